--- a/src/model_request.hpp
+++ b/src/model_request.hpp
@@ -1,4 +1,4 @@
-/// A caller's request for an answer of one adapter version.
+/// A caller's inference request to one adapter version.
 #ifndef MULBERRY_MODEL_REQUEST_HPP
 #define MULBERRY_MODEL_REQUEST_HPP
 
@@ -32,16 +32,17 @@
     base_model_id base_model;
     application_id application;
     model_endpoint endpoint = model_endpoint::completions;
-    /// Whether the caller asked for a stream. Engines are always asked for one.
+    /// Whether the caller asked for a streamed answer. Engines always stream.
     bool streamed = false;
     int priority = default_priority;
     time_point arrived{};
     time_point deadline = never;
-    /// Hash of the prompt's head; requests with equal keys share a cached
-    /// prefix. 0: none.
+    /// Hash of the prompt's prefix; requests with equal keys share a cached
+    /// prefix. 0 if there is none.
     std::uint64_t prefix_key = 0;
     std::size_t max_tokens = 16;
-    /// The caller's JSON body, checked; its `model` is replaced when sent.
+    /// The caller's validated JSON body; `model` is replaced when the request
+    /// is sent to an engine.
     std::shared_ptr<std::string const> body;
 };
 
--- a/src/relay_request.cpp
+++ b/src/relay_request.cpp
@@ -22,7 +22,8 @@
 request_identity identity_of(relay_request const& request)
 {
     std::string text;
-    // With their lengths, so that no two lists of fields make one text.
+    // Each field is preceded by its length, so that different lists of fields
+    // never produce the same text.
     auto const add = [&text](std::string const& field)
     { text += std::to_string(field.size()) + ":" + field; };
     add(request.method);
--- a/src/relay_request.hpp
+++ b/src/relay_request.hpp
@@ -1,5 +1,5 @@
-/// A caller's request on its way through, and what a worker said of it, after
-/// the adapter decoded them.
+/// A caller's request, a worker's reply and a worker's order and report, as
+/// decoded from the wire by the codec.
 #ifndef MULBERRY_RELAY_REQUEST_HPP
 #define MULBERRY_RELAY_REQUEST_HPP
 
@@ -21,139 +21,146 @@
 struct model_target
 {
     base_model_id model;
-    /// Empty for the base model itself.
+    /// Empty for a request to the base model.
     adapter_id adapter;
     friend auto operator<=>(model_target const&, model_target const&) = default;
 };
 
-/// A part of a prompt. Requests share parts; the last one is a request's own,
-/// or its session's.
+/// A part of a prompt. Several requests may share leading parts; the last part
+/// belongs to one request or one session.
 struct prompt_part
 {
-    /// The same text has the same id.
+    /// Parts with the same text have the same id.
     std::string id;
     std::uint32_t tokens = 0;
     friend auto operator<=>(prompt_part const&, prompt_part const&) = default;
 };
 
-/// The beginning of a prompt that other requests have in common with it. Value.
+/// The prefix of a prompt that other requests may share. Value.
 struct shared_prefix
 {
-    /// Of the ids of its parts; 0 for none.
+    /// Hash of the ids of the prefix's parts; 0 if there is no shared prefix.
     std::uint64_t key = 0;
     std::uint32_t tokens = 0;
     friend bool operator==(shared_prefix const&,
                            shared_prefix const&) = default;
 };
 
-/// How much a request asks of an engine, as its caller counted it. Value.
+/// Token counts of a request as stated by its caller. Value.
 struct prompt_shape
 {
-    /// Of the whole prompt; 0 when the caller did not say.
+    /// Tokens of the whole prompt; 0 if the caller did not state the number.
     std::uint32_t tokens = 0;
-    /// In their order in the prompt.
+    /// Parts of the prompt, in order.
     std::vector<prompt_part> parts;
-    /// The most that its answer may have; 0 when the caller did not say.
+    /// Maximum tokens of the answer; 0 if the caller did not state the number.
     std::uint32_t answer_tokens = 0;
     friend auto operator<=>(prompt_shape const&, prompt_shape const&) = default;
 };
 
-/// All parts but the last, which is the request's own.
+/// Returns the prefix made of all parts but the last, which is not shared.
 shared_prefix prefix_of(prompt_shape const& prompt);
 
-/// Tells tries of one request from those of others; each try has an id of its
-/// own. Value.
+/// Identifies retries of the same request, although each attempt has its own
+/// request id. Value.
 struct request_identity
 {
-    /// Of what a worker runs: method, host, target, model and body.
+    /// Digest of what a worker executes: method, host, target, model and body.
     request_digest content;
-    /// Of the same together with the caller's address.
+    /// Digest of `content` together with the caller's address.
     request_digest of_caller;
     friend bool operator==(request_identity const&,
                            request_identity const&) = default;
 };
 
-/// What the relay decides on; everything else passes through unchanged.
+/// The parts of a caller's request that the relay bases decisions on; the rest
+/// is forwarded unchanged.
 struct relay_request
 {
-    /// Of this try of the caller; a caller's own retry has another.
+    /// Identifies one attempt; a retry by the caller has another id.
     request_id id;
     std::string host;
     std::string method;
     /// Path and query as received.
     std::string target;
     std::string path;
-    /// Without the fields of one connection, those that only the layer may set
-    /// and those in `credentials`.
+    /// Without hop-by-hop fields, fields that only the relay may set, and the
+    /// fields in `credentials`.
     http_headers headers;
-    /// Fields that show or name a team, as received; never logged. They go on
-    /// only where there are no teams.
+    /// Fields that authenticate or name a team, as received; never logged. They
+    /// are forwarded only if no teams are configured.
     http_headers credentials;
-    /// Of the key that the caller showed, if it showed one.
+    /// Digest of the API key that the caller sent, if any.
     std::optional<key_digest> key;
     std::string body;
-    /// How much longer the caller waits, as of its arrival.
+    /// How long the caller waits for an answer, from the request's arrival.
     std::optional<duration> time_left;
     std::optional<model_target> model;
     prompt_shape prompt;
-    /// Where the caller resumes a stream.
+    /// Number of the last event that the caller received of a stream that it
+    /// resumes.
     std::optional<std::uint64_t> last_event;
-    /// The caller's address; empty where it is not known.
+    /// The caller's address; empty if unknown.
     std::string caller;
 };
 
-/// What a request counts against an allotment.
+/// The cost of a request in the allotment's unit: 1 per request, or the tokens
+/// of prompt and answer; `plain_tokens` if no token counts are stated.
 double allotment_cost(relay_request const& request, allotment const& limit);
 
-/// SHA-256, cut to 128 bits. Linear in the body's size.
+/// Computes both digests (SHA-256, truncated to 128 bits). Linear in the size
+/// of the body.
 request_identity identity_of(relay_request const& request);
 
-/// What the layer adds when it sends a request to a worker.
+/// Header values that the relay adds when it forwards a request to a worker.
 struct send_terms
 {
     worker_id worker;
     duration time_left{};
-    /// Whose request it is; empty where its route needs no team. Absent where
-    /// there are no teams: then what the caller wrote goes on.
+    /// Team that sent the request; empty if the route needs no team. Absent if
+    /// no teams are configured: the caller's own fields are then forwarded.
     std::optional<team_id> team;
     /// 0 is the most urgent; absent for a plain service.
     std::optional<int> priority;
-    /// The worker runs the request on that version of its adapter or refuses
-    /// it; 0 for any.
+    /// The worker runs the request on this version of the adapter or rejects
+    /// the request; 0 for any version.
     adapter_version version;
-    /// IP:PORT of another worker that may still have the beginning of the
-    /// prompt in its memory; the worker copies it instead of reading it.
+    /// IP:PORT of another worker that may still have the prompt's prefix in its
+    /// KV cache; the worker copies the cache entry instead of computing
+    /// prefill.
     std::optional<std::string> copy_prompt_from;
-    /// The stream goes on after this event.
+    /// Number of the event after which the stream resumes.
     std::optional<std::uint64_t> resume_after;
 };
 
-/// What the head of a worker's answer says.
+/// What the status line and headers of a worker's answer state.
 struct worker_reply
 {
     int status = 0;
-    /// It names the request that was sent.
+    /// The answer carries the id of the request that was sent.
     bool correlated = false;
-    /// It names some other request: the bytes are not the answer.
+    /// The answer carries the id of another request and must not be used.
     bool foreign = false;
-    /// The worker states that the request did not run and never will there.
+    /// The worker states that it did not run the request and never will.
     bool not_run = false;
-    /// The worker that answered is not the one that was meant.
+    /// The answer came from another worker than the addressed one.
     bool other_worker = false;
-    /// It does not hold the model, the adapter or its version.
+    /// The worker lacks the model, the adapter or the requested version.
     bool lacks_model = false;
-    /// It carries the worker's proof that it made the answer.
+    /// The answer carries the worker's proof of origin.
     bool sealed = false;
     bool event_stream = false;
-    /// The body was encoded on the way and is not the worker's.
+    /// An intermediary encoded the body, so that it is not the worker's own.
     bool encoded = false;
-    /// It turned the request away, and wants none from this VM for so long.
+    /// The worker rejected the request and wants no requests from this VM for
+    /// this long.
     std::optional<duration> rest;
-    /// It leaves, whatever the registry lists.
+    /// The worker states that it shuts down, even if the registry does not list
+    /// it as draining.
     bool leaving = false;
 };
 
-/// An order about an adapter or a model of a worker.
+/// What an order tells a worker to do with an adapter or a model.
 enum class order_kind
 {
     load,
@@ -164,44 +171,47 @@
 {
     order_kind kind = order_kind::load;
     base_model_id model;
-    /// Empty for the model itself.
+    /// Empty for an order about the model itself.
     adapter_id adapter;
     worker_id worker;
-    /// The count of orders that the worker must have accepted before it.
+    /// Number of orders that the worker must have accepted before this one;
+    /// otherwise the worker reports a conflict.
     std::uint64_t expected_sequence = 0;
     vm_id holder;
     fencing_number fence;
-    /// Of an adapter that is loaded; 0 for the newest.
+    /// Version of the adapter to load; 0 for the newest.
     adapter_version version;
     friend bool operator==(worker_order const&, worker_order const&) = default;
 };
 
 enum class order_outcome
 {
-    /// Accepted, being carried out.
+    /// The worker accepted the order and carries it out.
     accepted,
-    /// Already as ordered.
+    /// The worker's state is already as ordered.
     holds,
-    /// Another order is under way, or the sequence differs.
+    /// Another order is in progress, or `expected_sequence` differs.
     conflict,
-    /// A higher fencing token was seen.
+    /// The worker has seen a higher fencing token.
     fenced,
-    /// Malformed or impossible.
+    /// The order is malformed or impossible.
     refused,
-    /// Another worker has the address.
+    /// Another worker answered at this address.
     other_worker,
-    /// No answer: it may be carried out at any later time.
+    /// No answer arrived; the worker may still carry out the order at any later
+    /// time.
     unknown
 };
 
-/// What a worker reports of itself. Some hundred milliseconds old.
+/// A worker's state as reported by the worker; up to some hundred milliseconds
+/// old.
 struct worker_report
 {
     worker_start started;
     std::uint64_t sequence = 0;
     bool busy = false;
     std::map<base_model_id, std::map<adapter_id, adapter_version>> models;
-    /// Adapters on their way to the worker.
+    /// Adapters that are being loaded.
     std::vector<model_target> coming;
 };
 
--- a/src/route_table.hpp
+++ b/src/route_table.hpp
@@ -1,4 +1,4 @@
-/// Finds the route of a request: the longest prefix of its host.
+/// Finds the route of a request by host and longest path prefix.
 #ifndef MULBERRY_ROUTE_TABLE_HPP
 #define MULBERRY_ROUTE_TABLE_HPP
 
@@ -14,7 +14,8 @@
 namespace mulberry
 {
 
-/// A host as routes compare it: without its port, in lower case.
+/// Returns the host in lower case and without its port, the form in which hosts
+/// are compared.
 std::string host_key(std::string_view host);
 
 /// Immutable. Thread safety: const calls from any thread.
@@ -23,22 +24,25 @@
 public:
     explicit route_table(std::shared_ptr<routing_config const> config);
 
-    /// The route of that host whose prefix is the longest that begins the
-    /// path; null when there is none. The port of `host` does not count.
+    /// Returns the route of `host` with the longest prefix of `path`; null if
+    /// no route matches. The port in `host` is ignored.
     route const* find(std::string_view host, std::string_view path) const;
-    /// The service for one request, drawn by weight; `draw` is in [0, 1).
+    /// Chooses the service for one request at random by weight. `draw` is a
+    /// uniform random number in [0, 1).
     static service_id const& choose_service(route const& from, double draw);
-    /// How urgent a team's requests on a route are: by the team first, among
-    /// equals by the route. 0 is the most urgent, and no level between is
-    /// unused. Without a team the route's priority.
+    /// Returns the queue priority of a team's requests on a route: ordered by
+    /// the team's priority first, then by the route's. 0 is the most urgent;
+    /// the levels have no gaps. `holder` is null if the request has no team:
+    /// the route's priority is returned then.
     int urgency(route const& matched, team const* holder) const;
     routing_config const& config() const { return *config_; }
 
 private:
     std::shared_ptr<routing_config const> config_;
-    /// Per host, the longest prefix first.
+    /// By normalized host; the routes of a host are ordered by descending
+    /// prefix length.
     std::unordered_map<std::string, std::vector<route const*>> by_host_;
-    /// Each once, the most urgent first.
+    /// Distinct priorities, the most urgent first.
     std::set<int> route_priorities_;
     std::set<int> team_priorities_;
 };
--- a/src/routing_config.hpp
+++ b/src/routing_config.hpp
@@ -1,5 +1,4 @@
-/// The routes and services in force: what the operator declared, as immutable
-/// values.
+/// Routes, services and teams as declared by the operator; immutable values.
 #ifndef MULBERRY_ROUTING_CONFIG_HPP
 #define MULBERRY_ROUTING_CONFIG_HPP
 
@@ -17,14 +16,15 @@
 namespace mulberry
 {
 
-/// What may be repeated on a route.
+/// Which retries a route allows.
 enum class repeat_rule
 {
-    /// May run more than once.
+    /// A request may run more than once.
     idempotent,
-    /// May run at most once for each request of the caller.
+    /// Each request of a caller runs at most once.
     once,
-    /// A stream of events; runs once unless the route is resumable.
+    /// The answer is a stream of events; the request runs once unless the route
+    /// is resumable.
     stream
 };
 
@@ -36,27 +36,29 @@
                            weighted_service const&) = default;
 };
 
-/// Value.
+/// Requests that match host and path prefix, and how they are handled. Value.
 struct route
 {
     std::string name;
     std::string host;
     /// Begins and ends with a slash.
     std::string prefix;
-    /// One, or several that share the route by weight; never empty.
+    /// Services that share the route's requests by weight; never empty.
     std::vector<weighted_service> services;
     repeat_rule repeats = repeat_rule::once;
-    /// A stream may go on at another worker after its last whole event.
+    /// A broken stream may resume at another worker after its last complete
+    /// event.
     bool resumable = false;
-    /// The longest that a caller is kept waiting.
+    /// Longest time that a caller waits for its answer.
     duration timeout = std::chrono::seconds(5);
-    /// Within this span an answer is worth its full credit.
+    /// Target latency: an answer within this time has its full worth to the
+    /// caller, a later one less.
     duration latency_objective = std::chrono::seconds(1);
     /// 0 is the most urgent.
     int priority = 0;
-    /// The most workers that one request may run on.
+    /// Maximum number of workers that one request may be sent to.
     int worker_limit = 1;
-    /// Its requests need no key, where others do.
+    /// Requests on this route need no API key, even if teams are configured.
     bool open_to_all = false;
     friend bool operator==(route const&, route const&) = default;
 };
@@ -65,12 +67,12 @@
 {
     base_model_id name;
     std::size_t adapter_count = 0;
-    /// The time that a load of the weights takes at full speed.
+    /// Time to load the weights at full speed.
     duration load_time = std::chrono::seconds(1);
     friend bool operator==(base_model const&, base_model const&) = default;
 };
 
-/// What every worker of a model engine offers.
+/// Capacity that every worker of a model engine has.
 struct engine_limits
 {
     std::size_t batch_slots = 1;
@@ -84,7 +86,7 @@
 struct service_config
 {
     service_id name;
-    /// The most connections that one worker accepts from all callers.
+    /// Maximum number of connections that one worker accepts from all callers.
     std::size_t max_connections = 64;
     /// Absent for a plain service.
     std::optional<engine_limits> engine;
@@ -98,7 +100,7 @@
     config_version version;
     std::vector<route> routes;
     std::map<service_id, service_config> services;
-    /// Empty: callers need no keys.
+    /// If empty, callers need no API keys.
     std::vector<team> teams;
     friend bool operator==(routing_config const&,
                            routing_config const&) = default;
--- a/tests/relay_request_test.cpp
+++ b/tests/relay_request_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace mulberry;
 
-TEST_CASE("requests share all parts of a prompt but the last",
+TEST_CASE("the shared prefix consists of all prompt parts but the last",
           "[relay_request]")
 {
     prompt_shape const one{1460, {{"a", 800}, {"b", 410}, {"c", 250}}};
@@ -15,13 +15,13 @@
     CHECK(prefix_of(one).key != prefix_of(apart).key);
 }
 
-TEST_CASE("a prompt of one part shares nothing", "[relay_request]")
+TEST_CASE("a prompt of one part has no shared prefix", "[relay_request]")
 {
     CHECK(prefix_of({90, {{"d", 90}}}) == shared_prefix());
     CHECK(prefix_of({}) == shared_prefix());
 }
 
-TEST_CASE("tries of one request have one identity, other requests have others",
+TEST_CASE("retries of a request have the same identity, other requests differ",
           "[relay_request]")
 {
     relay_request one;
--- a/tests/route_table_test.cpp
+++ b/tests/route_table_test.cpp
@@ -27,7 +27,8 @@
 
 } // namespace
 
-TEST_CASE("the longest prefix of the host wins", "[route_table]")
+TEST_CASE("the route with the longest matching prefix of the host is found",
+          "[route_table]")
 {
     route_table const table =
         make_table({make_route("a.example", "/x/", "short"),
@@ -41,20 +42,21 @@
     CHECK(table.find("c.example", "/") == nullptr);
 }
 
-TEST_CASE("a host is compared without case and port", "[route_table]")
+TEST_CASE("host comparison ignores case and port", "[route_table]")
 {
     route_table const table = make_table({make_route("a.example", "/", "s")});
     CHECK(table.find("A.Example:8080", "/q") != nullptr);
 }
 
-TEST_CASE("a prefix without its last slash does not match", "[route_table]")
+TEST_CASE("a path must match the prefix up to its trailing slash",
+          "[route_table]")
 {
     route_table const table = make_table({make_route("a", "/x/", "s")});
     CHECK(table.find("a", "/x") == nullptr);
     CHECK(table.find("a", "/xy/") == nullptr);
 }
 
-TEST_CASE("services are drawn by weight", "[route_table]")
+TEST_CASE("services are chosen in proportion to their weights", "[route_table]")
 {
     route split = make_route("a", "/", "nine");
     split.services = {{service_id("nine"), 90}, {service_id("one"), 10}};
