--- a/bench/engine_model.cpp
+++ b/bench/engine_model.cpp
@@ -99,7 +99,7 @@
     if (order.expected_sequence != sequence_ || !leaving_.empty())
         return order_outcome::conflict;
     if (resident_.count(adapter) > 0)
-        return order_outcome::holds;
+        return order_outcome::already_applied;
     if (coming_.size() >= most_coming ||
         coming_.size() + resident_.size() >= settings_.adapter_slots)
         return order_outcome::conflict;
@@ -131,7 +131,7 @@
     if (leaving_.count(adapter) > 0)
         return order_outcome::accepted;
     if (resident_.count(adapter) == 0)
-        return order_outcome::holds;
+        return order_outcome::already_applied;
     if (order.expected_sequence != sequence_ || !leaving_.empty())
         return order_outcome::conflict;
     ++sequence_;
@@ -141,7 +141,7 @@
         return order_outcome::accepted;
     }
     resident_.erase(adapter);
-    return order_outcome::holds;
+    return order_outcome::already_applied;
 }
 
 worker_report engine_model::report(base_model_id const& model, time_point now)
@@ -153,7 +153,7 @@
     for (std::string const& adapter : resident_)
         held.emplace(adapter_id(adapter), adapter_version(1));
     for (auto const& [adapter, done] : coming_)
-        report.coming.push_back({model, adapter_id(adapter)});
+        report.loading_adapters.push_back({model, adapter_id(adapter)});
     return report;
 }
 
--- a/bench/trial_fleet.cpp
+++ b/bench/trial_fleet.cpp
@@ -111,12 +111,12 @@
     void send(std::size_t index, place_request const& placed);
     void on_sent(ticket_id ticket, std::size_t to, admission outcome);
     void refuse(std::size_t index, refuse_request const& refused);
-    void ask(std::size_t index, ask_owner const& question);
+    void ask(std::size_t index, request_owner_grant const& question);
     void watch_ask(std::size_t index, ticket_id ticket, ticket_id at_owner,
                    std::size_t owner);
     void answer(ticket_id at_owner, bool granted, granted_copy const& on);
-    void order(std::size_t index, give_order const& given);
-    void report(std::size_t index, ask_report const& question);
+    void order(std::size_t index, issue_order const& given);
+    void report(std::size_t index, request_report const& question);
     void step(std::size_t index);
     void plan_step(std::size_t index);
     void on_progress(engine_progress const& progress);
@@ -190,7 +190,7 @@
             domain_id("domain-" + std::to_string(number % plan_.domains));
         made.scheduler = std::make_unique<service_scheduler>(settings, config_);
         made.scheduler->set_members(plan_.vms);
-        made.scheduler->set_registry_moment({always_current, always_current});
+        made.scheduler->set_registry_timestamps({always_current, always_current});
         vm_places_.emplace(made.name, number);
         vms_.push_back(std::move(made));
     }
@@ -351,16 +351,16 @@
         return send(index, *placed);
     if (auto const* refused = std::get_if<refuse_request>(&action))
         return refuse(index, *refused);
-    if (auto const* question = std::get_if<ask_owner>(&action))
+    if (auto const* question = std::get_if<request_owner_grant>(&action))
         return ask(index, *question);
-    if (auto const* granted = std::get_if<grant_ask>(&action))
+    if (auto const* granted = std::get_if<grant_peer_request>(&action))
         return answer(granted->ticket, true, granted->copy);
-    if (auto const* given = std::get_if<give_order>(&action))
+    if (auto const* given = std::get_if<issue_order>(&action))
         return order(index, *given);
     // No version is declared in a trial.
     if (std::holds_alternative<withdraw_request>(action))
         return;
-    report(index, std::get<ask_report>(action));
+    report(index, std::get<request_report>(action));
 }
 
 void fleet::send(std::size_t index, place_request const& placed)
@@ -454,7 +454,7 @@
                  });
 }
 
-void fleet::ask(std::size_t index, ask_owner const& question)
+void fleet::ask(std::size_t index, request_owner_grant const& question)
 {
     ++result_.questions;
     std::size_t const owner = index_of(question.owner);
@@ -466,7 +466,7 @@
     item.target = question.target;
     item.priority = question.priority;
     item.give_up_at = question.give_up_at;
-    item.asked_for = question.worker;
+    item.requested_worker = question.worker;
     item.excluded = question.excluded;
     item.prompt_tokens = question.prompt_tokens;
     item.prefix = question.prefix;
@@ -480,29 +480,29 @@
                      post_run(owner);
                  });
     queue_.after(2 * hop, [this, index, ticket = question.ticket]
-                 { vms_.at(index).scheduler->on_owner_heard(ticket, now()); });
+                 { vms_.at(index).scheduler->on_grant_answer_started(ticket, now()); });
     watch_ask(index, question.ticket, at_owner, owner);
 }
 
 void fleet::watch_ask(std::size_t index, ticket_id ticket, ticket_id at_owner,
                       std::size_t owner)
 {
-    time_point const ends = vms_.at(index).scheduler->ask_ends_at(ticket);
+    time_point const ends = vms_.at(index).scheduler->grant_deadline(ticket);
     queue_.at(std::max<time_point>(ends, now() + milliseconds(1)),
               [this, index, ticket, at_owner, owner]
               {
                   auto const asked = asked_.find(ticket);
                   if (asked == asked_.end() || asked->second != at_owner)
                       return;
-                  if (vms_.at(index).scheduler->ask_ends_at(ticket) > now())
+                  if (vms_.at(index).scheduler->grant_deadline(ticket) > now())
                       return watch_ask(index, ticket, at_owner, owner);
                   asked_.erase(asked);
                   asks_.erase(at_owner);
                   vms_.at(owner).scheduler->withdraw(at_owner, now());
                   vms_.at(owner).scheduler->ended(
                       at_owner, send_outcome::abandoned, now());
-                  vms_.at(index).scheduler->on_owner(
-                      ticket, ask_outcome::silent, {}, now());
+                  vms_.at(index).scheduler->on_grant_answer(
+                      ticket, grant_outcome::silent, {}, now());
                   post_run(index);
               });
 }
@@ -531,9 +531,9 @@
                     request->second.grant = {
                         workers_.at(index_of(on.worker)).owner, at_owner};
                 used = vms_.at(asked.asker)
-                           .scheduler->on_owner(asked.ticket,
-                                                granted ? ask_outcome::granted
-                                                        : ask_outcome::refused,
+                           .scheduler->on_grant_answer(asked.ticket,
+                                                granted ? grant_outcome::granted
+                                                        : grant_outcome::refused,
                                                 on, now());
                 post_run(asked.asker);
             }
@@ -548,7 +548,7 @@
         });
 }
 
-void fleet::order(std::size_t index, give_order const& given)
+void fleet::order(std::size_t index, issue_order const& given)
 {
     ++result_.orders;
     queue_.after(
@@ -569,7 +569,7 @@
         });
 }
 
-void fleet::report(std::size_t index, ask_report const& question)
+void fleet::report(std::size_t index, request_report const& question)
 {
     queue_.after(2 * hop,
                  [this, index, worker = question.worker]
--- a/src/completion_request.cpp
+++ b/src/completion_request.cpp
@@ -124,8 +124,8 @@
     if (auto const header = request.headers.find("X-Priority"))
     {
         auto const priority = whole_number(*header);
-        if (!priority || *priority < least_priority ||
-            *priority > most_priority)
+        if (!priority || *priority < min_priority ||
+            *priority > max_priority)
             return bad("X-Priority must be a whole number from 0 to 9");
         result.priority = static_cast<int>(*priority);
     }
--- a/src/crash_watch.cpp
+++ b/src/crash_watch.cpp
@@ -147,7 +147,7 @@
     std::vector<crash_sighting> seen;
     for (broken_request const& each : crash.requests)
         for (request_digest const& digest :
-             {each.identity.content, each.identity.of_caller})
+             {each.identity.content, each.identity.content_and_caller})
             seen.push_back({digest, life, each.sent_at, crash.at});
     keeper_.on_crash(seen, boot_clock::now());
     note_crash(crash);
@@ -200,7 +200,7 @@
 {
     time_point const now = boot_clock::now();
     bool cleared = false;
-    for (request_digest const& each : {identity.content, identity.of_caller})
+    for (request_digest const& each : {identity.content, identity.content_and_caller})
     {
         if (!keeper_.record().suspects(each))
             continue;
@@ -216,7 +216,7 @@
 crash_watch::quarantine_of(request_identity const& identity) const
 {
     time_point const now = boot_clock::now();
-    for (request_digest const& each : {identity.of_caller, identity.content})
+    for (request_digest const& each : {identity.content_and_caller, identity.content})
     {
         auto const until = keeper_.record().quarantined_until(each, now);
         if (!until)
--- a/src/model_request.hpp
+++ b/src/model_request.hpp
@@ -20,9 +20,9 @@
     chat
 };
 
-inline constexpr int least_priority = 0;
+inline constexpr int min_priority = 0;
 inline constexpr int default_priority = 5;
-inline constexpr int most_priority = 9;
+inline constexpr int max_priority = 9;
 
 /// Immutable once made; cheap to copy (the body is shared).
 struct model_request
--- a/src/peer_codec.cpp
+++ b/src/peer_codec.cpp
@@ -278,7 +278,7 @@
                            : model_endpoint::completions;
     request.streamed = flag_or(*value, "streamed", false);
     request.priority = static_cast<int>(std::min<std::uint64_t>(
-        number_or(*value, "priority", default_priority), most_priority));
+        number_or(*value, "priority", default_priority), max_priority));
     request.arrived = now - ms_or_none(*value, "age_ms");
     request.deadline = now + ms_or_none(*value, "left_ms");
     request.prefix_key = *prefix;
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -161,7 +161,7 @@
                           place_request const& placed)
 {
     ++counts_.sent_to_replaced;
-    replaced_copy const& copy = *placed.replaced;
+    superseded_copy const& copy = *placed.superseded;
     time_point const at = now();
     log_fields fields;
     fields.add("request", exchange.request().id.str())
@@ -171,8 +171,8 @@
         .add("copy", copy.version.value())
         .add("named", placed.version.value())
         .add("newest", copy.newest.value())
-        .add("replaced_ms_ago", at - copy.replaced_at)
-        .add("newest_ms_ago", at - copy.newest_heard_at);
+        .add("replaced_ms_ago", at - copy.superseded_at)
+        .add("newest_ms_ago", at - copy.newest_learned_at);
     if (options_.registry_as_of)
         fields.add("known_ms_ago", at - options_.registry_as_of().declarations);
     log_.notable("sent to replaced version", fields, at);
@@ -197,7 +197,7 @@
 {
     time_point const at = now();
     worker_id const& worker = exchange.worker();
-    if (!find(exchange.terms().service)->scheduler.on_rest(worker, until, at))
+    if (!find(exchange.terms().service)->scheduler.on_backoff_request(worker, until, at))
         return;
     ++counts_.rests;
     log_.notable("worker asks for rest",
@@ -365,7 +365,7 @@
 duration relay::patience(relay_exchange const& exchange) const
 {
     auto const service = services_.find(exchange.terms().service);
-    return service->second.scheduler.patience(exchange.worker());
+    return service->second.scheduler.first_byte_timeout(exchange.worker());
 }
 
 duration relay::retry_after(relay_exchange const& exchange, duration least)
@@ -374,7 +374,7 @@
         exchange.terms().engine ? exchange.request().model : std::nullopt;
     return spread(std::max(
         least,
-        find(exchange.terms().service)->scheduler.rest_left(target, now())));
+        find(exchange.terms().service)->scheduler.remaining_backoff(target, now())));
 }
 
 bool relay::take_retry(relay_exchange const& exchange)
@@ -497,7 +497,7 @@
 void relay::tell_registry_moment(service_state& service) const
 {
     if (options_.registry_as_of)
-        service.scheduler.set_registry_moment(options_.registry_as_of());
+        service.scheduler.set_registry_timestamps(options_.registry_as_of());
 }
 
 /// Asked again for each send: while it waited, others may have crashed their
@@ -521,7 +521,7 @@
         waits_.add(now() - exchange->terms().arrived_at);
     if (placed.prefix_source)
         note_copy(*exchange, placed);
-    if (placed.replaced && placed.version != placed.replaced->newest)
+    if (placed.superseded && placed.version != placed.superseded->newest)
         note_replaced(*exchange, placed);
 
     exchange->on_placed(placed);
@@ -559,13 +559,13 @@
         }
         return;
     }
-    if (auto const* ask = std::get_if<ask_owner>(&action))
+    if (auto const* ask = std::get_if<request_owner_grant>(&action))
         return send_ask(service, *ask);
-    if (auto const* granted = std::get_if<grant_ask>(&action))
+    if (auto const* granted = std::get_if<grant_peer_request>(&action))
         return answer_peer(granted->ticket, true, granted->copy, granted->load);
-    if (auto const* order = std::get_if<give_order>(&action))
+    if (auto const* order = std::get_if<issue_order>(&action))
         return send_order(*order);
-    send_report(std::get<ask_report>(action));
+    send_report(std::get<request_report>(action));
 }
 
 void relay::arm_timer()
--- a/src/relay.hpp
+++ b/src/relay.hpp
@@ -252,14 +252,14 @@
     void run_service(service_state& service);
     void tell_registry_moment(service_state& service) const;
     void carry_out(service_state& service, placement_action const& action);
-    void send_order(give_order const& order);
-    void send_report(ask_report const& question);
-    void send_ask(service_state& service, ask_owner const& ask);
-    void on_ask(service_id const& service, ask_owner const& ask,
-                time_point asked_at, ask_outcome outcome,
+    void send_order(issue_order const& order);
+    void send_report(request_report const& question);
+    void send_ask(service_state& service, request_owner_grant const& ask);
+    void on_ask(service_id const& service, request_owner_grant const& ask,
+                time_point asked_at, grant_outcome outcome,
                 peer_reply const& reply);
-    void note_ask(ask_owner const& ask, time_point asked_at,
-                  ask_outcome outcome, peer_reply const& reply);
+    void note_ask(request_owner_grant const& ask, time_point asked_at,
+                  grant_outcome outcome, peer_reply const& reply);
     void give_back(held_grant const& grant, send_outcome outcome);
     void tell_done();
     void answer_peer(ticket_id ticket, bool granted, granted_copy const& copy,
--- a/src/relay_admission.cpp
+++ b/src/relay_admission.cpp
@@ -112,7 +112,7 @@
     exchange_terms terms;
     if (!teams_->empty())
         terms.team = holder != nullptr ? holder->name : team_id();
-    terms.priority = routes_->urgency(*matched, holder);
+    terms.priority = routes_->effective_priority(*matched, holder);
     terms.ticket = ticket_id(++last_ticket_);
     terms.service = route_table::choose_service(
         *matched, std::uniform_real_distribution<double>()(random_));
--- a/src/relay_codec.hpp
+++ b/src/relay_codec.hpp
@@ -33,7 +33,7 @@
     virtual relay_request decode_request(http_request received) const = 0;
     /// The head and body to send to a worker.
     virtual std::string encode_request(relay_request const& request,
-                                       send_terms const& terms) const = 0;
+                                       forward_options const& terms) const = 0;
     virtual worker_reply decode_reply(int status, http_headers const& headers,
                                       relay_request const& request) const = 0;
     /// The fields of a worker's answer that go to the caller.
--- a/src/relay_exchange.cpp
+++ b/src/relay_exchange.cpp
@@ -131,7 +131,7 @@
     body_.clear();
     ++sends_;
     ++runs_;
-    send_terms terms;
+    forward_options terms;
     terms.worker = worker.id;
     terms.version = placed.version;
     if (placed.prefix_source)
@@ -236,7 +236,7 @@
 void relay_exchange::on_head(int status, http_headers headers)
 {
     reply_ = host_.codec().decode_reply(status, headers, request_);
-    if (reply_.foreign)
+    if (reply_.mismatched)
     {
         // The answer to some other request came late on this connection. What
         // became of ours cannot be told.
@@ -246,8 +246,8 @@
     last_byte_at_ = host_.now();
     if (reply_.leaving && !reply_.other_worker)
         host_.said_leaving(*this);
-    if (reply_.rest)
-        host_.asked_for_rest(*this, last_byte_at_ + *reply_.rest);
+    if (reply_.backoff)
+        host_.asked_for_rest(*this, last_byte_at_ + *reply_.backoff);
     headers_ = host_.codec().answer_headers(headers);
     stage_ = stage::buffering;
     if (!reply_.not_run)
--- a/src/relay_exchange.hpp
+++ b/src/relay_exchange.hpp
@@ -81,7 +81,7 @@
     time_point arrived_at{};
     time_point give_up_at = never;
     bool engine = false;
-    /// As in send_terms.
+    /// As in forward_options.
     std::optional<team_id> team;
     /// 0 is the most urgent.
     int priority = 0;
--- a/src/relay_orders.cpp
+++ b/src/relay_orders.cpp
@@ -26,7 +26,7 @@
     {
     case order_outcome::accepted:
         return "accepted";
-    case order_outcome::holds:
+    case order_outcome::already_applied:
         return "holds";
     case order_outcome::conflict:
         return "conflict";
@@ -56,7 +56,7 @@
 
 } // namespace
 
-void relay::send_order(give_order const& order)
+void relay::send_order(issue_order const& order)
 {
     service_id const service = order.entry.service;
     if (options_.may_order && !options_.may_order(order.order.worker))
@@ -75,7 +75,7 @@
     start_collected(io_, pool_, std::move(call));
 }
 
-void relay::send_report(ask_report const& question)
+void relay::send_report(request_report const& question)
 {
     ++counts_.reports;
     collected_call call =
@@ -96,7 +96,7 @@
     counts_.orders_unknown += outcome == order_outcome::unknown;
     counts_.orders_conflict += outcome == order_outcome::conflict;
     bool const notable =
-        outcome != order_outcome::accepted && outcome != order_outcome::holds;
+        outcome != order_outcome::accepted && outcome != order_outcome::already_applied;
     auto const fields = [&]
     {
         return log_fields()
--- a/src/relay_peers.cpp
+++ b/src/relay_peers.cpp
@@ -30,17 +30,17 @@
 /// An answer that takes longer is always logged.
 constexpr milliseconds slow_answer{200};
 
-std::string_view outcome_name(ask_outcome outcome)
+std::string_view outcome_name(grant_outcome outcome)
 {
     switch (outcome)
     {
-    case ask_outcome::granted:
+    case grant_outcome::granted:
         return "granted";
-    case ask_outcome::refused:
+    case grant_outcome::refused:
         return "refused";
-    case ask_outcome::unreachable:
+    case grant_outcome::unreachable:
         return "unreachable";
-    case ask_outcome::silent:
+    case grant_outcome::silent:
         return "silent";
     }
     return "silent";
@@ -131,7 +131,7 @@
     item.priority = ask.priority;
     item.arrived_at = at;
     item.give_up_at = at + ask.time_left;
-    item.asked_for = ask.worker;
+    item.requested_worker = ask.worker;
     item.excluded = ask.excluded;
     item.prompt_tokens = ask.prompt_tokens;
     item.prefix = ask.prefix;
@@ -200,7 +200,7 @@
 }
 
 /// May be called within a decision, so nothing is told before it is over.
-void relay::send_ask(service_state& service, ask_owner const& ask)
+void relay::send_ask(service_state& service, request_owner_grant const& ask)
 {
     auto const found = exchanges_.find(ask.ticket);
     auto const peer = peers_.find(ask.owner);
@@ -210,7 +210,7 @@
     if (peer == peers_.end())
     {
         asio::post(io_, [this, name, ask]
-                   { on_ask(name, ask, now(), ask_outcome::unreachable, {}); });
+                   { on_ask(name, ask, now(), grant_outcome::unreachable, {}); });
         return;
     }
     peer_call message;
@@ -233,12 +233,12 @@
     message.done = std::exchange(peer->second.done, {});
     collected_call call = call_to(peer->second.address, message);
     call.ends_at = [this, name, ticket = ask.ticket] {
-        return boot_clock::to_steady(find(name)->scheduler.ask_ends_at(ticket));
+        return boot_clock::to_steady(find(name)->scheduler.grant_deadline(ticket));
     };
     call.on_head = [this, name, ticket = ask.ticket](int status)
     {
         if (status == status_ok)
-            find(name)->scheduler.on_owner_heard(ticket, now());
+            find(name)->scheduler.on_grant_answer_started(ticket, now());
     };
     call.on_end =
         [this, name, ask, asked_at = now()](collected_answer const& answer)
@@ -246,17 +246,17 @@
         auto const reply = answer.status == status_ok
                                ? decode_peer_reply(answer.body)
                                : std::nullopt;
-        ask_outcome const outcome = answer.timed_out ? ask_outcome::silent
-                                    : !reply         ? ask_outcome::unreachable
-                                    : reply->granted ? ask_outcome::granted
-                                                     : ask_outcome::refused;
+        grant_outcome const outcome = answer.timed_out ? grant_outcome::silent
+                                    : !reply         ? grant_outcome::unreachable
+                                    : reply->granted ? grant_outcome::granted
+                                                     : grant_outcome::refused;
         on_ask(name, ask, asked_at, outcome, reply.value_or(peer_reply()));
     };
     asks_[ask.ticket] = start_collected(io_, pool_, std::move(call));
 }
 
-void relay::note_ask(ask_owner const& ask, time_point asked_at,
-                     ask_outcome outcome, peer_reply const& reply)
+void relay::note_ask(request_owner_grant const& ask, time_point asked_at,
+                     grant_outcome outcome, peer_reply const& reply)
 {
     auto const found = exchanges_.find(ask.ticket);
     if (found == exchanges_.end())
@@ -272,20 +272,20 @@
             .add("outcome", outcome_name(outcome))
             .add("took_ms", at - asked_at);
     };
-    if (outcome != ask_outcome::granted || at - asked_at >= slow_answer)
+    if (outcome != grant_outcome::granted || at - asked_at >= slow_answer)
         log_.notable("owner answered", fields(), at);
     else
         log_.routine("owner answered", fields(), at);
 }
 
-void relay::on_ask(service_id const& service, ask_owner const& ask,
-                   time_point asked_at, ask_outcome outcome,
+void relay::on_ask(service_id const& service, request_owner_grant const& ask,
+                   time_point asked_at, grant_outcome outcome,
                    peer_reply const& reply)
 {
     asks_.erase(ask.ticket);
     note_ask(ask, asked_at, outcome, reply);
     bool const wanted = exchanges_.count(ask.ticket) > 0;
-    if (outcome == ask_outcome::granted)
+    if (outcome == grant_outcome::granted)
     {
         if (!wanted)
             return give_back({ask.owner, reply.grant}, send_outcome::abandoned);
@@ -293,9 +293,9 @@
     }
     service_state& state = *find(service);
     tell_registry_moment(state);
-    bool const used = state.scheduler.on_owner(
+    bool const used = state.scheduler.on_grant_answer(
         ask.ticket, outcome, {reply.worker, reply.version}, now());
-    if (!used && outcome == ask_outcome::granted)
+    if (!used && outcome == grant_outcome::granted)
     {
         give_back({ask.owner, reply.grant}, send_outcome::abandoned);
         held_grants_.erase(ask.ticket);
--- a/src/relay_request.cpp
+++ b/src/relay_request.cpp
@@ -27,14 +27,14 @@
     auto const add = [&text](std::string const& field)
     { text += std::to_string(field.size()) + ":" + field; };
     add(request.method);
-    add(host_key(request.host));
+    add(normalize_host(request.host));
     add(request.target);
     add(request.model ? request.model->model.str() : "");
     add(request.model ? request.model->adapter.str() : "");
     add(request.body);
     request_identity made;
     made.content = short_digest(text);
-    made.of_caller = short_digest(made.content.str() + request.caller);
+    made.content_and_caller = short_digest(made.content.str() + request.caller);
     return made;
 }
 
--- a/src/relay_request.hpp
+++ b/src/relay_request.hpp
@@ -68,7 +68,7 @@
     /// Digest of what a worker executes: method, host, target, model and body.
     request_digest content;
     /// Digest of `content` together with the caller's address.
-    request_digest of_caller;
+    request_digest content_and_caller;
     friend bool operator==(request_identity const&,
                            request_identity const&) = default;
 };
@@ -113,7 +113,7 @@
 request_identity identity_of(relay_request const& request);
 
 /// Header values that the relay adds when it forwards a request to a worker.
-struct send_terms
+struct forward_options
 {
     worker_id worker;
     duration time_left{};
@@ -140,7 +140,7 @@
     /// The answer carries the id of the request that was sent.
     bool correlated = false;
     /// The answer carries the id of another request and must not be used.
-    bool foreign = false;
+    bool mismatched = false;
     /// The worker states that it did not run the request and never will.
     bool not_run = false;
     /// The answer came from another worker than the addressed one.
@@ -154,7 +154,7 @@
     bool encoded = false;
     /// The worker rejected the request and wants no requests from this VM for
     /// this long.
-    std::optional<duration> rest;
+    std::optional<duration> backoff;
     /// The worker states that it shuts down, even if the registry does not list
     /// it as draining.
     bool leaving = false;
@@ -189,7 +189,7 @@
     /// The worker accepted the order and carries it out.
     accepted,
     /// The worker's state is already as ordered.
-    holds,
+    already_applied,
     /// Another order is in progress, or `expected_sequence` differs.
     conflict,
     /// The worker has seen a higher fencing token.
@@ -212,7 +212,7 @@
     bool busy = false;
     std::map<base_model_id, std::map<adapter_id, adapter_version>> models;
     /// Adapters that are being loaded.
-    std::vector<model_target> coming;
+    std::vector<model_target> loading_adapters;
 };
 
 } // namespace mulberry
--- a/src/request_queue.cpp
+++ b/src/request_queue.cpp
@@ -11,7 +11,7 @@
 std::size_t level(int priority)
 {
     return static_cast<std::size_t>(
-        std::clamp(priority, least_priority, most_priority));
+        std::clamp(priority, min_priority, max_priority));
 }
 
 std::uint64_t latest_first(std::uint64_t place)
--- a/src/request_queue.hpp
+++ b/src/request_queue.hpp
@@ -80,7 +80,7 @@
     std::set<std::pair<int, std::uint64_t>> by_priority_;
     std::set<std::pair<time_point, std::uint64_t>> by_deadline_;
     std::map<adapter_ref, places> by_adapter_;
-    std::array<std::size_t, most_priority + 1> counts_{};
+    std::array<std::size_t, max_priority + 1> counts_{};
 };
 
 } // namespace mulberry
--- a/src/route_table.cpp
+++ b/src/route_table.cpp
@@ -8,7 +8,7 @@
 namespace mulberry
 {
 
-std::string host_key(std::string_view host)
+std::string normalize_host(std::string_view host)
 {
     std::string key(host.substr(0, host.find(':')));
     std::transform(key.begin(), key.end(), key.begin(),
@@ -21,7 +21,7 @@
 {
     for (route const& each : config_->routes)
     {
-        by_host_[host_key(each.host)].push_back(&each);
+        by_host_[normalize_host(each.host)].push_back(&each);
         route_priorities_.insert(each.priority);
     }
     for (team const& each : config_->teams)
@@ -35,7 +35,7 @@
 route const* route_table::find(std::string_view host,
                                std::string_view path) const
 {
-    auto const routes = by_host_.find(host_key(host));
+    auto const routes = by_host_.find(normalize_host(host));
     if (routes == by_host_.end())
         return nullptr;
     for (route const* const each : routes->second)
@@ -44,7 +44,8 @@
     return nullptr;
 }
 
-int route_table::urgency(route const& matched, team const* holder) const
+int route_table::effective_priority(route const& matched,
+                                    team const* holder) const
 {
     if (holder == nullptr)
         return matched.priority;
--- a/src/route_table.hpp
+++ b/src/route_table.hpp
@@ -16,7 +16,7 @@
 
 /// Returns the host in lower case and without its port, the form in which hosts
 /// are compared.
-std::string host_key(std::string_view host);
+std::string normalize_host(std::string_view host);
 
 /// Immutable. Thread safety: const calls from any thread.
 class route_table
@@ -34,7 +34,7 @@
     /// the team's priority first, then by the route's. 0 is the most urgent;
     /// the levels have no gaps. `holder` is null if the request has no team:
     /// the route's priority is returned then.
-    int urgency(route const& matched, team const* holder) const;
+    int effective_priority(route const& matched, team const* holder) const;
     routing_config const& config() const { return *config_; }
 
 private:
--- a/src/routing_config.hpp
+++ b/src/routing_config.hpp
@@ -59,7 +59,7 @@
     /// Maximum number of workers that one request may be sent to.
     int worker_limit = 1;
     /// Requests on this route need no API key, even if teams are configured.
-    bool open_to_all = false;
+    bool allows_anonymous = false;
     friend bool operator==(route const&, route const&) = default;
 };
 
--- a/src/service_estimate.cpp
+++ b/src/service_estimate.cpp
@@ -20,23 +20,23 @@
 constexpr milliseconds other_domain_penalty{40};
 /// A request begins after what is ahead of it was read, at the latest after so
 /// many times as long: other VMs' prompts are known from a while ago.
-constexpr int begin_slack = 2;
+constexpr int prefill_time_factor = 2;
 /// A worker fails too much when it does so for so much more of its answers
 /// than the average worker of the service, and for so many times as many. A
 /// fault of the service as a whole is no reason to leave any worker: adapters
 /// would be fetched anew elsewhere, for nothing.
-constexpr double sick_margin = 0.2;
-constexpr double sick_multiple = 2;
+constexpr double outlier_failure_margin = 0.2;
+constexpr double outlier_failure_factor = 2;
 /// The share of a batch that a VM may fill at a worker that another VM fills.
-constexpr std::size_t foreign_share = 4;
+constexpr std::size_t non_owner_batch_divisor = 4;
 /// A worker is crowded when it has so many times as many requests as the
 /// average one, and more than a few: prompts are read one after the other, so
 /// that a first token waits for all of those before it long before the batch
 /// is full. Then other homes are used and second copies loaded.
-constexpr double crowded_multiple = 1.5;
-constexpr double few_requests = 4;
+constexpr double overload_factor = 1.5;
+constexpr double overload_min_requests = 4;
 /// A worker with so much to read is crowded too: a fetch elsewhere takes less.
-constexpr milliseconds longest_queue{300};
+constexpr milliseconds overload_prefill_time{300};
 /// What a fetch takes from other requests: a place among those that are sent
 /// at full speed, and an adapter slot.
 constexpr milliseconds fetch_cost{100};
@@ -46,78 +46,85 @@
 /// Of the time that a shared beginning takes to be read, this part is saved by
 /// its holder on average: it may have made way since. Counting all of it
 /// gathers requests at busy holders (mean worth 0.470 for 0.479, 20 days).
-constexpr int prefix_divisor = 2;
+constexpr int prefix_saving_divisor = 2;
 /// Whatever the average, a batch that is so full is crowded. This alone counts
 /// for an adapter that is seldom asked for: it adds little to the crowd, and a
 /// second home costs a fetch.
-constexpr double crowded_share = 0.75;
+constexpr double overload_batch_share = 0.75;
 /// An adapter that is asked for so often a second is worth a second copy when
 /// the first is busy: at one in three seconds the copy is used before it has to
 /// make way.
-constexpr double hot_rate = 0.3;
+constexpr double hot_requests_per_second = 0.3;
 
 } // namespace
 
-std::size_t service_scheduler::limit_of(worker_state const& worker) const
+std::size_t service_scheduler::request_limit(worker_state const& worker) const
 {
     std::size_t const slots = worker.entry.slots;
     if (!config_.engine || worker.owned)
         return slots;
-    return std::max<std::size_t>(1, slots / foreign_share);
+    return std::max<std::size_t>(1, slots / non_owner_batch_divisor);
 }
 
-std::size_t service_scheduler::taken(worker_state const& worker) const
+std::size_t
+service_scheduler::outstanding_requests(worker_state const& worker) const
 {
     return worker.health.outstanding() + worker.granted;
 }
 
-double service_scheduler::load_of(worker_state const& worker) const
+double service_scheduler::batch_utilization(worker_state const& worker) const
 {
-    return double(taken(worker)) / double(worker.entry.slots);
+    return double(outstanding_requests(worker)) / double(worker.entry.slots);
 }
 
-duration service_scheduler::queue_delay(worker_state const& worker,
-                                        time_point now) const
+duration service_scheduler::queueing_delay(worker_state const& worker,
+                                           time_point now) const
 {
-    return worker.reading.ahead(now) +
+    return worker.backlog.ahead(now) +
            duration(static_cast<duration::rep>(
-               load_of(worker) * double(duration(full_batch_delay).count())));
+               batch_utilization(worker) *
+               double(duration(full_batch_delay).count())));
 }
 
-duration service_scheduler::domain_delay(worker_state const& worker) const
+duration
+service_scheduler::cross_domain_penalty(worker_state const& worker) const
 {
     return worker.entry.domain == settings_.domain
                ? duration(0)
                : duration(other_domain_penalty);
 }
 
-bool service_scheduler::usable(worker_state const& worker,
-                               work_item const& item, time_point now) const
+bool service_scheduler::accepts_request(worker_state const& worker,
+                                        work_item const& item,
+                                        time_point now) const
 {
     if (worker.entry.draining || item.excluded.count(worker.entry.id) > 0 ||
-        rests_for(worker, item, now) || worker.health.full(now) ||
-        taken(worker) >= limit_of(worker))
+        in_backoff_for(worker, item, now) || worker.health.full(now) ||
+        outstanding_requests(worker) >= request_limit(worker))
         return false;
     return !worker.health.avoided(now) || worker.health.may_probe(now);
 }
 
-bool service_scheduler::ready_at(worker_state const& worker,
-                                 work_item const& item, time_point now) const
+bool service_scheduler::can_run_now(worker_state const& worker,
+                                    work_item const& item, time_point now) const
 {
-    return worker.owned && usable(worker, item, now) && !sick(worker, now) &&
-           holds(worker, *item.target, now);
+    return worker.owned && accepts_request(worker, item, now) &&
+           !is_failure_outlier(worker, now) &&
+           has_usable_copy(worker, *item.target, now);
 }
 
-bool service_scheduler::sick(worker_state const& worker, time_point now) const
+bool service_scheduler::is_failure_outlier(worker_state const& worker,
+                                           time_point now) const
 {
     double const share = worker.health.failure_share(now);
-    if (share <= sick_margin)
+    if (share <= outlier_failure_margin)
         return false;
     double sum = 0;
     for (auto const& [id, each] : workers_)
         sum += each->health.failure_share(now);
     double const average = sum / double(workers_.size());
-    return share > average + sick_margin && share > sick_multiple * average;
+    return share > average + outlier_failure_margin &&
+           share > outlier_failure_factor * average;
 }
 
 duration service_scheduler::weights_load_time(base_model_id const& model) const
@@ -141,7 +148,7 @@
                        });
 }
 
-double service_scheduler::average_taken() const
+double service_scheduler::mean_outstanding_requests() const
 {
     double sum = 0;
     double known = 0;
@@ -149,23 +156,23 @@
     {
         if (worker->entry.draining || !worker->owned)
             continue;
-        sum += load_of(*worker) * double(worker->entry.slots);
+        sum += batch_utilization(*worker) * double(worker->entry.slots);
         known += 1;
     }
     return known == 0 ? 0 : sum / known;
 }
 
-bool service_scheduler::crowded(worker_state const& worker, bool asked_often,
-                                time_point now) const
+bool service_scheduler::is_overloaded(worker_state const& worker,
+                                      bool asked_often, time_point now) const
 {
-    double const load = load_of(worker);
+    double const load = batch_utilization(worker);
     double const requests = load * double(worker.entry.slots);
-    if (load >= crowded_share)
+    if (load >= overload_batch_share)
         return true;
-    if (worker.reading.ahead(now) > longest_queue)
+    if (worker.backlog.ahead(now) > overload_prefill_time)
         return asked_often;
-    return asked_often && requests > few_requests &&
-           requests > crowded_multiple * average_taken() + 1;
+    return asked_often && requests > overload_min_requests &&
+           requests > overload_factor * mean_outstanding_requests() + 1;
 }
 
 /// Failure: a version is declared while a copy of the one before is in use; a
@@ -173,8 +180,9 @@
 /// wrong version. An old copy is used for the grace only, and only while the
 /// new one is being loaded; the grace has to last until the request begins,
 /// after the prompts that are ahead of it.
-bool service_scheduler::holds(worker_state const& worker,
-                              model_target const& target, time_point now) const
+bool service_scheduler::has_usable_copy(worker_state const& worker,
+                                        model_target const& target,
+                                        time_point now) const
 {
     if (worker.owned && worker.adapters.known())
     {
@@ -183,8 +191,9 @@
         if (worker.adapters.stage(target) != adapter_stage::resident)
             return false;
         return worker.adapters.version(target) >=
-               releases_.oldest_allowed(
-                   target, now + worker.reading.ahead(now) * begin_slack);
+               version_history_.oldest_allowed(target,
+                                               now + worker.backlog.ahead(now) *
+                                                         prefill_time_factor);
     }
     for (held_model const& held : worker.entry.models)
     {
@@ -193,7 +202,8 @@
         if (target.adapter.empty())
             return true;
         auto const copy = held.adapters.find(target.adapter);
-        return copy != held.adapters.end() && copy->second >= newest_of(target);
+        return copy != held.adapters.end() &&
+               copy->second >= newest_version(target);
     }
     return false;
 }
@@ -201,15 +211,15 @@
 /// Load it answers: more adapters in use at once than their homes have slots
 /// for. Some are loaded away from home then; asked for at home again, each
 /// would be fetched once more and take a second slot.
-bool service_scheduler::known_at(worker_state const& worker,
-                                 model_target const& target,
-                                 time_point now) const
+bool service_scheduler::has_or_loads_adapter(worker_state const& worker,
+                                             model_target const& target,
+                                             time_point now) const
 {
     if (worker.owned && worker.adapters.known())
         return worker.adapters.stage(target).has_value();
-    if (sightings_.at(target, worker.entry.id, now))
+    if (adapter_locations_.at(target, worker.entry.id, now))
         return true;
-    return holds(worker, target, now);
+    return has_usable_copy(worker, target, now);
 }
 
 /// Each slot is free again after the rest of a request: on average one of them
@@ -235,42 +245,44 @@
 
 /// A load that is overdue is taken to need as long again as it is late: while
 /// many are fetched at once nothing is known of when it ends.
-duration service_scheduler::load_left(worker_state const& worker,
-                                      model_target const& target,
-                                      time_point now) const
+duration service_scheduler::remaining_load_time(worker_state const& worker,
+                                                model_target const& target,
+                                                time_point now) const
 {
     time_point const due = worker.adapters.due(target);
     return due > now ? due - now : now - due;
 }
 
-duration service_scheduler::begin_delay(worker_state const& worker,
-                                        work_item const& item,
-                                        worker_state const* prefix_home,
-                                        time_point now) const
+duration service_scheduler::placement_cost(worker_state const& worker,
+                                           work_item const& item,
+                                           worker_state const* prefix_home,
+                                           time_point now) const
 {
     model_target const& target = *item.target;
-    duration delay = queue_delay(worker, now);
+    duration delay = queueing_delay(worker, now);
     duration cost{};
-    if (!known_at(worker, target, now))
+    if (!has_or_loads_adapter(worker, target, now))
     {
         delay = std::max(delay, load_delay(worker, target));
         if (!worker.adapters.was_here_lately(target))
             cost += fetch_cost;
     }
     else if (worker.owned && worker.adapters.due(target) != never)
-        delay = std::max(delay, load_left(worker, target, now));
-    if (now + delay + pace_.time_for(item.prompt_tokens) > item.objective_at)
+        delay = std::max(delay, remaining_load_time(worker, target, now));
+    if (now + delay + prefill_rate_.time_for(item.prompt_tokens) >
+        item.objective_at)
         cost += lateness_cost;
     delay += cost;
-    delay += domain_delay(worker);
+    delay += cross_domain_penalty(worker);
     if (&worker == prefix_home)
-        delay -= pace_.time_for(item.prefix.tokens) / prefix_divisor;
+        delay -=
+            prefill_rate_.time_for(item.prefix.tokens) / prefix_saving_divisor;
     return delay;
 }
 
-bool service_scheduler::hot(model_target const& target, time_point now) const
+bool service_scheduler::is_hot(model_target const& target, time_point now) const
 {
-    return demand_.rate(demand_key(target), now) >= hot_rate;
+    return demand_.rate(demand_key(target), now) >= hot_requests_per_second;
 }
 
 bool service_scheduler::has_reachable_owner(worker_state const& worker,
@@ -284,15 +296,15 @@
            peer->second.may_probe(now);
 }
 
-bool service_scheduler::refused_by(worker_id const& worker,
-                                   waiting_item const& waiting,
-                                   time_point now) const
+bool service_scheduler::owner_refused(worker_id const& worker,
+                                      waiting_item const& waiting,
+                                      time_point now) const
 {
     auto const owner = owners_.find(worker);
     if (owner == owners_.end())
         return false;
-    auto const refusal = waiting.said_no.find(owner->second);
-    return refusal != waiting.said_no.end() && now < refusal->second;
+    auto const refusal = waiting.refused_until.find(owner->second);
+    return refusal != waiting.refused_until.end() && now < refusal->second;
 }
 
 } // namespace mulberry
--- a/src/service_notices.cpp
+++ b/src/service_notices.cpp
@@ -13,10 +13,10 @@
 
 /// Where all workers rest, a caller is told to come back unless the first of
 /// them takes requests again within this.
-constexpr milliseconds longest_rest_wait{250};
+constexpr milliseconds max_backoff_wait{250};
 /// Where a request cannot be served here at all, another VM may: the caller is
 /// told to come back at once, spread over this span.
-constexpr milliseconds elsewhere_retry{50};
+constexpr milliseconds unservable_retry_after{50};
 
 } // namespace
 
@@ -34,24 +34,26 @@
     return true;
 }
 
-bool service_scheduler::rests(worker_state const& worker, time_point now) const
+bool service_scheduler::in_backoff(worker_state const& worker,
+                                   time_point now) const
 {
     return notices_.rests(worker.entry.id, now);
 }
 
 /// A rest holds for this VM's requests; a VM that asks names the workers that
 /// asked it.
-bool service_scheduler::rests_for(worker_state const& worker,
-                                  work_item const& item, time_point now) const
+bool service_scheduler::in_backoff_for(worker_state const& worker,
+                                       work_item const& item,
+                                       time_point now) const
 {
-    return !item.asked_for && rests(worker, now);
+    return !item.requested_worker && in_backoff(worker, now);
 }
 
 /// Whether orders and requests of this VM may go there.
-bool service_scheduler::accepts(worker_state const& worker,
-                                time_point now) const
+bool service_scheduler::is_available(worker_state const& worker,
+                                     time_point now) const
 {
-    return !worker.entry.draining && !rests(worker, now);
+    return !worker.entry.draining && !in_backoff(worker, now);
 }
 
 bool service_scheduler::has_model(
@@ -69,7 +71,8 @@
 /// When the first of the workers that the request may go to is over its rest;
 /// nothing unless all of them rest.
 std::optional<time_point>
-service_scheduler::all_rest_until(work_item const& item, time_point now) const
+service_scheduler::all_in_backoff_until(work_item const& item,
+                                        time_point now) const
 {
     std::optional<time_point> first;
     for (auto const& [id, worker] : workers_)
@@ -78,7 +81,7 @@
             !has_model(*worker, item.target) ||
             (worker->health.avoided(now) && !worker->health.may_probe(now)))
             continue;
-        if (!rests(*worker, now))
+        if (!in_backoff(*worker, now))
             return std::nullopt;
         time_point const until = notices_.rests_until(id);
         first = std::min(first.value_or(until), until);
@@ -86,34 +89,35 @@
     return first;
 }
 
-service_scheduler::verdict
-service_scheduler::wait_for_rest(waiting_item& waiting, time_point until,
-                                 time_point now)
+service_scheduler::decision
+service_scheduler::wait_for_backoff(waiting_item& waiting, time_point until,
+                                    time_point now)
 {
-    leave_wait(waiting);
-    if (until > now + duration(longest_rest_wait))
-        return verdict::hopeless;
+    stop_waiting_for_load(waiting);
+    if (until > now + duration(max_backoff_wait))
+        return decision::unservable;
     waiting.review_at = until;
-    return verdict::waits;
+    return decision::waits;
 }
 
-duration service_scheduler::rest_left(std::optional<model_target> const& target,
-                                      time_point now) const
+duration
+service_scheduler::remaining_backoff(std::optional<model_target> const& target,
+                                     time_point now) const
 {
     work_item any;
     any.target = target;
-    std::optional<time_point> const until = all_rest_until(any, now);
+    std::optional<time_point> const until = all_in_backoff_until(any, now);
     return until ? *until - now : duration(0);
 }
 
-void service_scheduler::refuse_hopeless(waiting_item const& waiting,
-                                        time_point now)
+void service_scheduler::refuse_unservable(waiting_item const& waiting,
+                                          time_point now)
 {
-    duration const left = rest_left(waiting.item.target, now);
-    if (left > duration(elsewhere_retry))
+    duration const left = remaining_backoff(waiting.item.target, now);
+    if (left > duration(unservable_retry_after))
         return refuse(waiting, error_kind::overloaded, left,
                       "all workers want rest", now);
-    refuse(waiting, error_kind::back_end_unavailable, elsewhere_retry,
+    refuse(waiting, error_kind::back_end_unavailable, unservable_retry_after,
            "no worker can serve it here", now);
 }
 
--- a/src/service_scheduler.cpp
+++ b/src/service_scheduler.cpp
@@ -13,18 +13,18 @@
 /// A request is turned away when the expected wait takes more than that share
 /// of the time that it has left: the rest is for the answer itself, and for
 /// the caller to come back elsewhere.
-constexpr double wait_share = 0.5;
+constexpr double max_wait_share = 0.5;
 /// What an owner refused, it is asked for again after this: by then some of
 /// what its workers were busy with is over.
-constexpr milliseconds refusal_valid{500};
+constexpr milliseconds refusal_lifetime{500};
 /// An owner that has begun to answer does so in the end once the adapter is
 /// loaded, which takes several times longer than usual while many are fetched.
-constexpr milliseconds owner_answers{2000};
-constexpr milliseconds least_retry{100};
-constexpr milliseconds longest_retry{1500};
+constexpr milliseconds started_answer_timeout{2000};
+constexpr milliseconds min_retry_after{100};
+constexpr milliseconds max_retry_after{1500};
 /// The window that loads of weights are counted in.
-constexpr milliseconds weight_window{5000};
-constexpr double newest_weight = 0.05;
+constexpr milliseconds weight_load_window{5000};
+constexpr double service_time_smoothing = 0.05;
 
 } // namespace
 
@@ -63,30 +63,31 @@
     queue_.emplace(key, waiting_item{std::move(item), {}, {}});
 }
 
-void service_scheduler::leave_wait(waiting_item& waiting)
+void service_scheduler::stop_waiting_for_load(waiting_item& waiting)
 {
-    if (waiting.loads_at.empty())
+    if (waiting.loading_worker.empty())
         return;
-    if (worker_state* const worker = find(waiting.loads_at))
+    if (worker_state* const worker = find(waiting.loading_worker))
         worker->adapters.end_wait(*waiting.item.target);
-    waiting.loads_at = {};
+    waiting.loading_worker = {};
 }
 
 void service_scheduler::withdraw(ticket_id ticket, time_point now)
 {
     // Failure: a question that was dropped stays open in the owner's record;
     // the owner looks silent from then on and is never asked again.
-    if (auto const asked = asked_.find(ticket); asked != asked_.end())
+    if (auto const asked = pending_grants_.find(ticket);
+        asked != pending_grants_.end())
     {
         peers_[asked->second.owner].ended(send_outcome::abandoned,
                                           asked->second.asked_at, now);
-        asked_.erase(asked);
+        pending_grants_.erase(asked);
     }
     auto const known = waiting_.find(ticket);
     if (known == waiting_.end())
         return;
     auto const queued = queue_.find(known->second);
-    leave_wait(queued->second);
+    stop_waiting_for_load(queued->second);
     queue_.erase(queued);
     waiting_.erase(known);
 }
@@ -98,12 +99,13 @@
         return;
     sent->second.begun = true;
     sent_item const& begun = sent->second;
-    pace_.observe(begun.prompt_tokens, begun.expected_at - begun.sent_at,
-                  now - begun.sent_at);
+    prefill_rate_.observe(begun.prompt_tokens,
+                          begun.expected_at - begun.sent_at,
+                          now - begun.sent_at);
     worker_state* const worker = find(begun.worker);
     if (worker == nullptr)
         return;
-    worker->reading.begun(begun.sent_at, now);
+    worker->backlog.begun(begun.sent_at, now);
     worker->health.first_byte(begun.sent_at, now);
 }
 
@@ -117,7 +119,7 @@
     sent_.erase(found);
     if (outcome == send_outcome::served)
         mean_service_ += duration(static_cast<duration::rep>(
-            newest_weight *
+            service_time_smoothing *
             double((now - sent.sent_at - mean_service_).count())));
     worker_state* const worker = find(sent.worker);
     if (worker == nullptr || worker->entry.started != sent.started)
@@ -134,7 +136,7 @@
     if (outcome == send_outcome::not_held && sent.target && worker->owned)
         worker->adapters.missing(*sent.target, now);
     if (outcome == send_outcome::not_held && sent.target)
-        sightings_.missed(*sent.target, sent.worker);
+        adapter_locations_.missed(*sent.target, sent.worker);
     if (outcome == send_outcome::not_held && sent.target && !worker->owned)
         for (held_model& held : worker->entry.models)
             held.adapters.erase(sent.target->adapter);
@@ -153,10 +155,12 @@
                                time_point now)
 {
     ++counts_.refused;
-    worker_state* const asked =
-        waiting.item.asked_for ? find(*waiting.item.asked_for) : nullptr;
+    worker_state* const asked = waiting.item.requested_worker
+                                    ? find(*waiting.item.requested_worker)
+                                    : nullptr;
     actions_.push_back(refuse_request{waiting.item.ticket, kind, retry_after,
-                                      reason, asked ? load_of(*asked) : 1});
+                                      reason,
+                                      asked ? batch_utilization(*asked) : 1});
 }
 
 void service_scheduler::set_owners(std::map<worker_id, vm_id> owners)
@@ -168,38 +172,40 @@
 /// would wait for as long as a slow load may take; asked of another owner too
 /// early, the adapter is fetched twice. An owner begins its answer at once, so
 /// that silence and a slow load look different.
-time_point service_scheduler::ask_ends_at(ticket_id ticket) const
+time_point service_scheduler::grant_deadline(ticket_id ticket) const
 {
-    auto const asked = asked_.find(ticket);
-    if (asked == asked_.end())
+    auto const asked = pending_grants_.find(ticket);
+    if (asked == pending_grants_.end())
         return time_point();
-    duration const limit = asked->second.heard
-                               ? owner_answers
+    duration const limit = asked->second.answer_started
+                               ? started_answer_timeout
                                : peers_.at(asked->second.owner).patience();
     return asked->second.asked_at + limit;
 }
 
-void service_scheduler::on_owner_heard(ticket_id ticket, time_point now)
+void service_scheduler::on_grant_answer_started(ticket_id ticket,
+                                                time_point now)
 {
-    auto const asked = asked_.find(ticket);
-    if (asked == asked_.end())
+    auto const asked = pending_grants_.find(ticket);
+    if (asked == pending_grants_.end())
         return;
-    asked->second.heard = true;
+    asked->second.answer_started = true;
     peers_[asked->second.owner].first_byte(asked->second.asked_at, now);
 }
 
-bool service_scheduler::on_owner(ticket_id ticket, ask_outcome outcome,
-                                 granted_copy const& granted, time_point now)
+bool service_scheduler::on_grant_answer(ticket_id ticket, grant_outcome outcome,
+                                        granted_copy const& granted,
+                                        time_point now)
 {
-    auto const found = asked_.find(ticket);
-    if (found == asked_.end())
+    auto const found = pending_grants_.find(ticket);
+    if (found == pending_grants_.end())
         return false;
-    asked_item asked = std::move(found->second);
-    asked_.erase(found);
+    pending_grant asked = std::move(found->second);
+    pending_grants_.erase(found);
     bool const answered =
-        outcome == ask_outcome::granted || outcome == ask_outcome::refused;
+        outcome == grant_outcome::granted || outcome == grant_outcome::refused;
     peers_[asked.owner].ended(answered ? send_outcome::served
-                              : outcome == ask_outcome::silent
+                              : outcome == grant_outcome::silent
                                   ? send_outcome::silent
                                   : send_outcome::unreachable,
                               asked.asked_at, now);
@@ -210,14 +216,14 @@
     // its grant sends a request there after the bound. So with a version.
     bool const too_old =
         granted.version != adapter_version() &&
-        granted.version < releases_.oldest_allowed(*item.target, now);
-    bool const usable_grant = outcome == ask_outcome::granted &&
+        granted.version < version_history_.oldest_allowed(*item.target, now);
+    bool const usable_grant = outcome == grant_outcome::granted &&
                               worker != nullptr && !worker->entry.draining &&
-                              !rests(*worker, now) && !too_old;
+                              !in_backoff(*worker, now) && !too_old;
     if (usable_grant)
     {
         ++counts_.placed_granted;
-        sightings_.seen(*item.target, worker->entry.id, now);
+        adapter_locations_.seen(*item.target, worker->entry.id, now);
         worker->adapters.remember(*item.target);
         actions_.push_back(place_request{
             item.ticket, worker->entry.id, worker->entry, "granted",
@@ -225,33 +231,34 @@
         auto& placed = std::get<place_request>(actions_.back());
         placed.prefix_source =
             prefix_source(item, *worker, placed.version, now);
-        placed.replaced = replaced(item.target, granted.version);
+        placed.superseded = find_superseded(item.target, granted.version);
 
         sent_item sent;
         sent.worker = worker->entry.id;
         sent.target = item.target;
-        sent.copy = std::max(placed.version, granted.version);
-        note_send(*worker, item, std::move(sent), now);
+        sent.copy_version = std::max(placed.version, granted.version);
+        record_send(*worker, item, std::move(sent), now);
         return true;
     }
-    asked.waiting.said_no[asked.owner] = now + refusal_valid;
+    asked.waiting.refused_until[asked.owner] = now + refusal_lifetime;
     waiting_.emplace(item.ticket, asked.key);
     queue_.emplace(asked.key, std::move(asked.waiting));
     return false;
 }
 
-void service_scheduler::note_send(worker_state& worker, work_item const& item,
-                                  sent_item sent, time_point now)
+void service_scheduler::record_send(worker_state& worker, work_item const& item,
+                                    sent_item sent, time_point now)
 {
     sent.sent_at = now;
     sent.started = worker.entry.started;
     sent.prompt_tokens = item.prompt_tokens;
-    worker.reading.add(pace_.time_for(item.prompt_tokens), now);
-    sent.expected_at = worker.reading.until();
+    worker.backlog.add(prefill_rate_.time_for(item.prompt_tokens), now);
+    sent.expected_at = worker.backlog.until();
     sent.streams = item.streams;
     if (item.target)
-        limit_begin(sent, releases_.replaced_at(*item.target, sent.copy));
-    worker.health.sent(now, worker.reading.ahead(now));
+        limit_start(sent, version_history_.replaced_at(*item.target,
+                                                       sent.copy_version));
+    worker.health.sent(now, worker.backlog.ahead(now));
     sent_.emplace(item.ticket, std::move(sent));
 }
 
@@ -261,12 +268,12 @@
 {
     std::size_t room = 0;
     for (auto const& [id, worker] : workers_)
-        if (!worker->entry.draining && !rests(*worker, now))
-            room += limit_of(*worker);
+        if (!worker->entry.draining && !in_backoff(*worker, now))
+            room += request_limit(*worker);
     if (room == 0)
     {
-        duration const rest = rest_left(std::nullopt, now);
-        return rest > duration(0) ? rest : longest_retry;
+        duration const backoff = remaining_backoff(std::nullopt, now);
+        return backoff > duration(0) ? backoff : max_retry_after;
     }
     return duration(static_cast<duration::rep>(double(mean_service_.count()) *
                                                double(ahead) / double(room)));
@@ -277,7 +284,7 @@
 {
     auto const left = waiting.item.give_up_at - now;
     return double(expected_wait(ahead, now).count()) >
-               wait_share * double(left.count()) ||
+               max_wait_share * double(left.count()) ||
            now - waiting.item.arrived_at >
                (waiting.item.give_up_at - waiting.item.arrived_at) / 2;
 }
@@ -290,41 +297,42 @@
 {
     for (auto& [id, worker] : workers_)
         worker->queued = 0;
-    std::set<model_target> stuck;
+    std::set<model_target> blocked_targets;
     std::vector<queue_key> done;
     std::size_t ahead = 0;
     for (auto& [key, waiting] : queue_)
     {
         work_item const& item = waiting.item;
-        worker_state* const loading = item.target && item.excluded.empty() &&
-                                              stuck.count(*item.target) > 0
-                                          ? find(waiting.loads_at)
-                                          : nullptr;
-        bool const known_stuck =
-            loading != nullptr && goes_on_waiting(*loading, waiting, now);
-        if (known_stuck)
+        worker_state* const loading =
+            item.target && item.excluded.empty() &&
+                    blocked_targets.count(*item.target) > 0
+                ? find(waiting.loading_worker)
+                : nullptr;
+        bool const known_blocked =
+            loading != nullptr && should_keep_waiting(*loading, waiting, now);
+        if (known_blocked)
             ++loading->queued;
-        verdict const decided =
-            known_stuck ? verdict::waits : decide(waiting, key, now);
-        if (decided == verdict::placed || decided == verdict::asked)
+        decision const decided =
+            known_blocked ? decision::waits : decide(waiting, key, now);
+        if (decided == decision::placed || decided == decision::grant_requested)
         {
             done.push_back(key);
             continue;
         }
-        if (decided == verdict::hopeless)
+        if (decided == decision::unservable)
         {
-            refuse_hopeless(waiting, now);
+            refuse_unservable(waiting, now);
             done.push_back(key);
             continue;
         }
         if (item.target)
-            stuck.insert(*item.target);
+            blocked_targets.insert(*item.target);
         ++ahead;
         if (ahead > settings_.max_waiting || too_late(waiting, ahead, now))
         {
             refuse(waiting, error_kind::overloaded,
-                   std::clamp<duration>(expected_wait(ahead, now), least_retry,
-                                        longest_retry),
+                   std::clamp<duration>(expected_wait(ahead, now),
+                                        min_retry_after, max_retry_after),
                    "the queue is too long for its deadline", now);
             done.push_back(key);
         }
@@ -332,7 +340,7 @@
     for (queue_key const& key : done)
     {
         auto const queued = queue_.find(key);
-        leave_wait(queued->second);
+        stop_waiting_for_load(queued->second);
         waiting_.erase(queued->second.item.ticket);
         queue_.erase(queued);
     }
@@ -347,10 +355,11 @@
     if (!config_.engine || config_.engine->models.empty())
         return;
     std::erase_if(weight_loads_, [now](time_point each)
-                  { return each + weight_window <= now; });
-    double const share = config_.engine->weight_loads_per_second *
-                         std::chrono::duration<double>(weight_window).count() /
-                         double(vms_);
+                  { return each + weight_load_window <= now; });
+    double const share =
+        config_.engine->weight_loads_per_second *
+        std::chrono::duration<double>(weight_load_window).count() /
+        double(vm_count_);
     if (double(weight_loads_.size()) >= std::max(1.0, std::floor(share)))
         return;
     std::map<base_model_id, std::size_t> copies;
@@ -373,9 +382,9 @@
     { return demand_.rate(demand_key(target), now); };
     for (auto& [id, worker] : workers_)
     {
-        if (now >= worker->entry_lapses_at)
-            forget_life_before(*worker);
-        if (!worker->owned || rests(*worker, now))
+        if (now >= worker->old_entry_expires_at)
+            forget_previous_incarnation(*worker);
+        if (!worker->owned || in_backoff(*worker, now))
             continue;
         bool const unsynced = worker->adapters.wants_report(now);
         if (unsynced)
@@ -385,16 +394,16 @@
         if (probes)
             worker->health.probed(now);
         if (unsynced || probes)
-            actions_.push_back(ask_report{id, worker->entry});
+            actions_.push_back(request_report{id, worker->entry});
         if (!worker->adapters.synced() || !worker->adapters.may_order(now) ||
             worker->entry.draining)
             continue;
         if (!worker->adapters.holds_any_model() &&
             !worker->adapters.wants_model() &&
-            !waits_to_be_listed(*worker, now))
+            !must_wait_for_entry(*worker, now))
             want_model(*worker, now);
         if (auto order = worker->adapters.next_order(id, keep, now))
-            actions_.push_back(give_order{std::move(*order), worker->entry});
+            actions_.push_back(issue_order{std::move(*order), worker->entry});
     }
 }
 
@@ -402,7 +411,7 @@
 {
     decided_at_ = now;
     notices_.forget_past(now);
-    withdraw_unbegun(now);
+    withdraw_overdue(now);
     run_queue(now);
     run_workers(now);
     return std::exchange(actions_, {});
@@ -410,7 +419,7 @@
 
 time_point service_scheduler::next_due() const
 {
-    time_point next = begin_by_;
+    time_point next = next_start_deadline_;
     if (!queue_.empty())
         next = std::min(next, notices_.next_end(decided_at_));
     for (auto const& [id, worker] : workers_)
@@ -420,8 +429,8 @@
             if (!worker->entry.draining)
                 next = std::min(next, std::max(worker->adapters.next_due(),
                                                notices_.rests_until(id)));
-            if (!worker->held_before.empty())
-                next = std::min(next, worker->entry_lapses_at);
+            if (!worker->previous_models.empty())
+                next = std::min(next, worker->old_entry_expires_at);
         }
     for (auto const& [key, waiting] : queue_)
     {
@@ -431,7 +440,7 @@
         next = std::min(next, review);
         if (waiting.review_at > decided_at_)
             next = std::min(next, waiting.review_at);
-        for (auto const& [owner, until] : waiting.said_no)
+        for (auto const& [owner, until] : waiting.refused_until)
             if (until > decided_at_)
                 next = std::min(next, until);
     }
@@ -443,7 +452,7 @@
     scheduler_counts counts = counts_;
     counts.waiting = queue_.size();
     counts.sent = sent_.size();
-    counts.asked = asked_.size();
+    counts.asked = pending_grants_.size();
     for (auto const& [id, worker] : workers_)
     {
         counts.cold_loads += worker->adapters.cold_loads();
--- a/src/service_scheduler.hpp
+++ b/src/service_scheduler.hpp
@@ -56,7 +56,7 @@
     /// Its answer is a stream, whose first byte shows that it has begun.
     bool streams = false;
     /// Another VM asks for room at that worker; the request itself is there.
-    std::optional<worker_id> asked_for = std::nullopt;
+    std::optional<worker_id> requested_worker = std::nullopt;
     /// That VM knows of another worker where it would begin by then.
     time_point begins_elsewhere_at = never;
 };
@@ -72,16 +72,16 @@
 
 /// What is believed of a copy of an adapter whose version is not the newest.
 /// Value.
-struct replaced_copy
+struct superseded_copy
 {
     /// 0 where that is not known.
     adapter_version version;
     adapter_version newest;
     /// When this VM heard of the first newer version.
-    time_point replaced_at{};
-    time_point newest_heard_at{};
-    friend bool operator==(replaced_copy const&,
-                           replaced_copy const&) = default;
+    time_point superseded_at{};
+    time_point newest_learned_at{};
+    friend bool operator==(superseded_copy const&,
+                           superseded_copy const&) = default;
 };
 
 /// Send the request to the worker now.
@@ -97,11 +97,11 @@
     /// Another worker that may have the beginning of its prompt.
     std::optional<backend_entry> prefix_source = std::nullopt;
     /// Of the copy that it is sent to, where a newer version was declared.
-    std::optional<replaced_copy> replaced = std::nullopt;
+    std::optional<superseded_copy> superseded = std::nullopt;
 };
 
 /// Ask the VM that gives the worker its orders to have the adapter there.
-struct ask_owner
+struct request_owner_grant
 {
     ticket_id ticket;
     vm_id owner;
@@ -120,7 +120,7 @@
 
 /// Tell the VM that asked that it may send the request now, to the worker that
 /// it asked for or to another of this VM's.
-struct grant_ask
+struct grant_peer_request
 {
     ticket_id ticket;
     granted_copy copy;
@@ -147,25 +147,25 @@
 };
 
 /// Send the order now.
-struct give_order
+struct issue_order
 {
     worker_order order;
     backend_entry entry;
 };
 
 /// Ask the worker what it holds.
-struct ask_report
+struct request_report
 {
     worker_id worker;
     backend_entry entry;
 };
 
 using placement_action =
-    std::variant<place_request, ask_owner, grant_ask, refuse_request,
-                 withdraw_request, give_order, ask_report>;
+    std::variant<place_request, request_owner_grant, grant_peer_request,
+                 refuse_request, withdraw_request, issue_order, request_report>;
 
 /// What became of a question to another VM.
-enum class ask_outcome
+enum class grant_outcome
 {
     granted,
     /// The worker has no room, or this VM is not its owner.
@@ -236,21 +236,24 @@
     void set_owners(std::map<worker_id, vm_id> owners);
     /// Another VM answered a question, or did not. Whether its grant is used;
     /// one that is not is to be given back.
-    bool on_owner(ticket_id ticket, ask_outcome outcome,
-                  granted_copy const& granted, time_point now);
+    bool on_grant_answer(ticket_id ticket, grant_outcome outcome,
+                         granted_copy const& granted, time_point now);
     /// Another VM began to answer a question.
-    void on_owner_heard(ticket_id ticket, time_point now);
+    void on_grant_answer_started(ticket_id ticket, time_point now);
     /// When a question to another VM is to be given up, as of now.
-    time_point ask_ends_at(ticket_id ticket) const;
+    time_point grant_deadline(ticket_id ticket) const;
     /// As of when the registry is known, for all that follows.
-    void set_registry_moment(registry_moment known_as_of)
+    void set_registry_timestamps(registry_moment known_as_of)
     {
         known_as_of_ = known_as_of;
     }
-    void set_members(std::size_t vms) { vms_ = std::max<std::size_t>(vms, 1); }
-    /// `heard_at`: when this VM heard of the version.
+    void set_members(std::size_t vms)
+    {
+        vm_count_ = std::max<std::size_t>(vms, 1);
+    }
+    /// `learned_at`: when this VM heard of the version.
     void on_release(model_target const& target, adapter_version version,
-                    time_point heard_at);
+                    time_point learned_at);
 
     void submit(work_item item, time_point now);
     /// The caller is gone or has been answered. Does nothing once sent.
@@ -260,7 +263,8 @@
     bool on_leaving(backend_entry const& entry, time_point now);
     /// The worker wants no requests from this VM until then. True if it was not
     /// resting before.
-    bool on_rest(worker_id const& worker, time_point until, time_point now)
+    bool on_backoff_request(worker_id const& worker, time_point until,
+                            time_point now)
     {
         return notices_.ask_rest(worker, until, now);
     }
@@ -285,10 +289,10 @@
     bool has_backends() const { return !workers_.empty(); }
     /// Until some worker with that model, or any, takes requests of this VM
     /// again; 0 while one does.
-    duration rest_left(std::optional<model_target> const& target,
-                       time_point now) const;
+    duration remaining_backoff(std::optional<model_target> const& target,
+                               time_point now) const;
     /// How long a worker may leave a request without a first byte.
-    duration patience(worker_id const& worker) const;
+    duration first_byte_timeout(worker_id const& worker) const;
 
 private:
     struct queue_key
@@ -312,11 +316,11 @@
         /// Requests that wait for room in its batch or for one of its adapter
         /// slots, as decided so far in this pass over the queue.
         std::size_t queued = 0;
-        worker_reading reading;
+        worker_reading backlog;
         /// What its entry in the registry says of an earlier life, and until
         /// when it may say so; nothing once the entry is of this life.
-        std::vector<held_model> held_before;
-        time_point entry_lapses_at = never;
+        std::vector<held_model> previous_models;
+        time_point old_entry_expires_at = never;
 
         worker_state(backend_entry listed, worker_adapters_settings settings)
             : entry(std::move(listed)), listed_draining(entry.draining),
@@ -328,14 +332,14 @@
     {
         work_item item;
         /// The worker whose load of the adapter it waits for.
-        worker_id loads_at;
+        worker_id loading_worker;
         /// Owners that said no, for all their workers, and until when that
         /// counts.
-        std::map<vm_id, time_point> said_no;
+        std::map<vm_id, time_point> refused_until;
         /// When it is to be decided on again though nothing happened.
         time_point review_at = never;
     };
-    struct asked_item
+    struct pending_grant
     {
         waiting_item waiting;
         queue_key key;
@@ -343,7 +347,7 @@
         worker_id worker;
         time_point asked_at{};
         /// Its owner has begun to answer.
-        bool heard = false;
+        bool answer_started = false;
     };
     struct sent_item
     {
@@ -361,106 +365,108 @@
         time_point expected_at{};
         bool streams = false;
         /// The version that it will begin on; 0 where that is not known.
-        adapter_version copy;
+        adapter_version copy_version;
         /// It is withdrawn if it has not begun by then.
-        time_point begin_by = never;
+        time_point start_deadline = never;
     };
-    enum class verdict
+    enum class decision
     {
         placed,
         waits,
         /// Another VM was asked.
-        asked,
-        hopeless
+        grant_requested,
+        unservable
     };
 
     worker_state* find(worker_id const& worker);
-    static void remember_listed(worker_state& worker);
-    static void forget_life_before(worker_state& worker);
+    static void record_listed_adapters(worker_state& worker);
+    static void forget_previous_incarnation(worker_state& worker);
     void add_worker(backend_entry const& entry);
-    void take_listed(worker_state& known, backend_entry const& entry);
-    void begin_life(worker_state& known, backend_entry const& entry);
-    void stop_waiting_at(worker_id const& worker);
+    void update_worker(worker_state& known, backend_entry const& entry);
+    void start_incarnation(worker_state& known, backend_entry const& entry);
+    void clear_load_waits(worker_id const& worker);
     /// Notes that this VM sends a request to the worker now.
-    void note_send(worker_state& worker, work_item const& item, sent_item sent,
-                   time_point now);
-    std::size_t limit_of(worker_state const& worker) const;
+    void record_send(worker_state& worker, work_item const& item,
+                     sent_item sent, time_point now);
+    std::size_t request_limit(worker_state const& worker) const;
     /// Until a request that is sent to the worker now would begin.
-    duration queue_delay(worker_state const& worker, time_point now) const;
+    duration queueing_delay(worker_state const& worker, time_point now) const;
     /// What a worker in another failure domain costs.
-    duration domain_delay(worker_state const& worker) const;
+    duration cross_domain_penalty(worker_state const& worker) const;
     /// Until a slot for one more adapter is free.
     duration slot_delay(worker_state const& worker) const;
     /// Until an adapter that is not there has been loaded.
     duration load_delay(worker_state const& worker,
                         model_target const& target) const;
     /// Until a load that has begun is over.
-    duration load_left(worker_state const& worker, model_target const& target,
-                       time_point now) const;
+    duration remaining_load_time(worker_state const& worker,
+                                 model_target const& target,
+                                 time_point now) const;
     /// Until the request would begin there, and what that costs others.
-    duration begin_delay(worker_state const& worker, work_item const& item,
-                         worker_state const* prefix_home, time_point now) const;
-    bool usable(worker_state const& worker, work_item const& item,
-                time_point now) const;
+    duration placement_cost(worker_state const& worker, work_item const& item,
+                            worker_state const* prefix_home,
+                            time_point now) const;
+    bool accepts_request(worker_state const& worker, work_item const& item,
+                         time_point now) const;
     /// The worker asked this VM for rest, and it is not over.
-    bool rests(worker_state const& worker, time_point now) const;
-    bool accepts(worker_state const& worker, time_point now) const;
-    bool rests_for(worker_state const& worker, work_item const& item,
-                   time_point now) const;
+    bool in_backoff(worker_state const& worker, time_point now) const;
+    bool is_available(worker_state const& worker, time_point now) const;
+    bool in_backoff_for(worker_state const& worker, work_item const& item,
+                        time_point now) const;
     bool has_model(worker_state const& worker,
                    std::optional<model_target> const& target) const;
-    std::optional<time_point> all_rest_until(work_item const& item,
-                                             time_point now) const;
+    std::optional<time_point> all_in_backoff_until(work_item const& item,
+                                                   time_point now) const;
     /// Waits for the end of a rest that is near, or is to be refused.
-    verdict wait_for_rest(waiting_item& waiting, time_point until,
-                          time_point now);
+    decision wait_for_backoff(waiting_item& waiting, time_point until,
+                              time_point now);
     /// A worker of this VM that has the adapter and room.
-    bool ready_at(worker_state const& worker, work_item const& item,
-                  time_point now) const;
-    bool sick(worker_state const& worker, time_point now) const;
-    double load_of(worker_state const& worker) const;
-    std::size_t taken(worker_state const& worker) const;
-    bool holds(worker_state const& worker, model_target const& target,
-               time_point now) const;
-    adapter_version newest_of(model_target const& target) const;
+    bool can_run_now(worker_state const& worker, work_item const& item,
+                     time_point now) const;
+    bool is_failure_outlier(worker_state const& worker, time_point now) const;
+    double batch_utilization(worker_state const& worker) const;
+    std::size_t outstanding_requests(worker_state const& worker) const;
+    bool has_usable_copy(worker_state const& worker, model_target const& target,
+                         time_point now) const;
+    adapter_version newest_version(model_target const& target) const;
     /// Of the copy at the worker, as far as is known; 0 where it is not.
     adapter_version believed_version(worker_state const& worker,
                                      model_target const& target) const;
-    std::optional<replaced_copy>
-    replaced(std::optional<model_target> const& target,
-             adapter_version copy) const;
+    std::optional<superseded_copy>
+    find_superseded(std::optional<model_target> const& target,
+                    adapter_version copy) const;
     adapter_version required_version(std::optional<model_target> const& target,
                                      adapter_version copy,
                                      time_point now) const;
     worker_state* best_holder(waiting_item const& waiting, time_point now);
     /// Until so many requests more have found one of the slots free.
     duration slot_wait(std::size_t ahead, std::size_t slots) const;
-    bool goes_on_waiting(worker_state const& worker,
-                         waiting_item const& waiting, time_point now) const;
+    bool should_keep_waiting(worker_state const& worker,
+                             waiting_item const& waiting, time_point now) const;
     bool worth_waiting(worker_state const& worker, work_item const& item,
                        time_point now) const;
     /// Whether an owner that said no may say yes a moment later.
-    bool may_ask_again(waiting_item const& waiting, time_point now) const;
+    bool may_retry_owner(waiting_item const& waiting, time_point now) const;
     /// Whether some worker that it may go to has no owner now.
-    bool owner_may_come(waiting_item const& waiting, time_point now) const;
-    bool refused_by(worker_id const& worker, waiting_item const& waiting,
-                    time_point now) const;
+    bool may_gain_owner(waiting_item const& waiting, time_point now) const;
+    bool owner_refused(worker_id const& worker, waiting_item const& waiting,
+                       time_point now) const;
     /// Whether some VM can be asked for room at the worker.
     bool has_reachable_owner(worker_state const& worker, time_point now) const;
     /// Whether a request may be sent there without asking: the worker lists
     /// its adapter, and nobody can be asked.
-    bool may_send_unasked(worker_state const& worker, work_item const& item,
-                          time_point now) const;
+    bool may_send_without_grant(worker_state const& worker,
+                                work_item const& item, time_point now) const;
     bool may_load_at(worker_state const& worker, waiting_item const& waiting,
                      time_point now) const;
-    bool known_at(worker_state const& worker, model_target const& target,
-                  time_point now) const;
+    bool has_or_loads_adapter(worker_state const& worker,
+                              model_target const& target, time_point now) const;
     /// Where a request for an adapter would begin first, and where next.
-    struct choice
+    struct placement_choice
     {
         worker_state* worker = nullptr;
         /// Sent there without asking its owner.
-        bool unasked = false;
+        bool without_grant = false;
         duration delay = duration::max();
         /// At the next best worker of another VM.
         duration next_delay = duration::max();
@@ -475,60 +481,62 @@
     worker_state const* prefix_home(work_item const& item,
                                     time_point now) const;
     /// `named`: the version that the request names; 0 where it names none.
-    std::optional<backend_entry> prefix_source(work_item const& item,
-                                               worker_state const& on,
-                                               adapter_version named,
-                                               time_point now);
-    worker_state const* home_beside(work_item const& item,
-                                    worker_state const& on,
-                                    adapter_version named,
-                                    weights_version newest,
-                                    time_point now) const;
-    copy_verdict judge_source(worker_state const& source,
-                              worker_state const& reader,
-                              model_target const& target, adapter_version named,
-                              weights_version newest_weights,
-                              time_point now) const;
+    std::optional<backend_entry>
+    prefix_source(work_item const& item, worker_state const& on,
+                  adapter_version requested_version, time_point now);
+    worker_state const*
+    alternative_prefix_home(work_item const& item, worker_state const& on,
+                            adapter_version requested_version,
+                            weights_version newest, time_point now) const;
+    copy_verdict check_copy_source(worker_state const& source,
+                                   worker_state const& reader,
+                                   model_target const& target,
+                                   adapter_version requested_version,
+                                   weights_version newest_weights,
+                                   time_point now) const;
     served_versions versions_at(worker_state const& worker,
                                 model_target const& target) const;
     weights_version newest_weights(base_model_id const& model) const;
     duration weights_load_time(base_model_id const& model) const;
     bool shares_address(worker_state const& worker) const;
-    bool waits_to_be_listed(worker_state const& worker, time_point now) const;
-    choice best_place(waiting_item const& waiting, bool own_only,
-                      worker_state const* except, time_point now);
-    double average_taken() const;
-    bool crowded(worker_state const& worker, bool asked_often,
-                 time_point now) const;
+    bool must_wait_for_entry(worker_state const& worker, time_point now) const;
+    placement_choice best_worker(waiting_item const& waiting,
+                                 bool own_workers_only,
+                                 worker_state const* except, time_point now);
+    double mean_outstanding_requests() const;
+    bool is_overloaded(worker_state const& worker, bool asked_often,
+                       time_point now) const;
     /// Asked for often by all that come to this VM's workers.
-    bool hot(model_target const& target, time_point now) const;
+    bool is_hot(model_target const& target, time_point now) const;
     /// Goes on waiting for a load that has begun, or begins at a holder that is
     /// sooner; nothing if the request waits for no load.
-    std::optional<verdict> go_on(waiting_item& waiting, time_point now);
-    verdict use_holder(waiting_item& waiting, worker_state& holder,
-                       time_point now);
+    std::optional<decision> continue_waiting(waiting_item& waiting,
+                                             time_point now);
+    decision place_at_holder(waiting_item& waiting, worker_state& holder,
+                             time_point now);
     worker_state* own_holder(waiting_item const& waiting, time_point now);
-    verdict decide_asked(waiting_item& waiting, time_point now);
-    verdict wait_at(waiting_item& waiting, worker_state& worker,
+    decision decide_peer_request(waiting_item& waiting, time_point now);
+    decision wait_for_load_at(waiting_item& waiting, worker_state& worker,
+                              time_point now);
+    void request_grant(waiting_item& waiting, queue_key const& key,
+                       placement_choice const& best, time_point now);
+    decision decide(waiting_item& waiting, queue_key const& key,
                     time_point now);
-    void ask(waiting_item& waiting, queue_key const& key, choice const& best,
-             time_point now);
-    verdict decide(waiting_item& waiting, queue_key const& key, time_point now);
-    verdict decide_adapter(waiting_item& waiting, queue_key const& key,
-                           time_point now);
-    void spread_load(worker_state const& busy, waiting_item const& waiting,
-                     time_point now);
+    decision decide_adapter(waiting_item& waiting, queue_key const& key,
+                            time_point now);
+    void replicate_adapter(worker_state const& busy,
+                           waiting_item const& waiting, time_point now);
     void place(waiting_item& waiting, worker_state& on, time_point now);
     void refuse(waiting_item const& waiting, error_kind kind,
                 duration retry_after, std::string_view reason, time_point now);
-    void refuse_hopeless(waiting_item const& waiting, time_point now);
-    void leave_wait(waiting_item& waiting);
+    void refuse_unservable(waiting_item const& waiting, time_point now);
+    void stop_waiting_for_load(waiting_item& waiting);
     duration expected_wait(std::size_t ahead, time_point now) const;
     bool too_late(waiting_item const& waiting, std::size_t ahead,
                   time_point now) const;
     /// A newer version than the request's was heard of then.
-    void limit_begin(sent_item& sent, time_point heard_at);
-    void withdraw_unbegun(time_point now);
+    void limit_start(sent_item& sent, time_point learned_at);
+    void withdraw_overdue(time_point now);
     void run_queue(time_point now);
     void run_workers(time_point now);
     void want_model(worker_state& worker, time_point now);
@@ -540,26 +548,26 @@
     std::map<queue_key, waiting_item> queue_;
     std::map<ticket_id, queue_key> waiting_;
     std::map<ticket_id, sent_item> sent_;
-    std::map<ticket_id, asked_item> asked_;
+    std::map<ticket_id, pending_grant> pending_grants_;
     std::map<worker_id, vm_id> owners_;
     std::map<worker_id, order_grant> grants_;
     std::map<vm_id, worker_health> peers_;
     worker_notices notices_;
-    adapter_releases releases_;
+    adapter_releases version_history_;
     std::map<base_model_id, weights_version> declared_weights_;
     registry_moment known_as_of_;
     /// Of this VM's callers and of the VMs that ask it.
     adapter_demand demand_;
-    adapter_sightings sightings_;
+    adapter_sightings adapter_locations_;
     std::vector<placement_action> actions_;
     std::vector<time_point> weight_loads_;
     std::uint64_t last_number_ = 0;
     /// When run() was called last.
     time_point decided_at_{};
     /// The first moment by which a request that was sent has to begin.
-    time_point begin_by_ = never;
-    std::size_t vms_ = 1;
-    reading_pace pace_;
+    time_point next_start_deadline_ = never;
+    std::size_t vm_count_ = 1;
+    reading_pace prefill_rate_;
     duration mean_service_ = std::chrono::milliseconds(500);
     scheduler_counts counts_;
 };
--- a/src/service_versions.cpp
+++ b/src/service_versions.cpp
@@ -7,9 +7,10 @@
 namespace mulberry
 {
 
-adapter_version service_scheduler::newest_of(model_target const& target) const
+adapter_version
+service_scheduler::newest_version(model_target const& target) const
 {
-    return releases_.newest(target);
+    return version_history_.newest(target);
 }
 
 /// Declared, or listed by a worker that loaded it before this VM heard.
@@ -47,7 +48,7 @@
     if (target.adapter.empty())
         return known;
     known.adapter = believed_version(worker, target);
-    if (newest_of(target) == adapter_version())
+    if (newest_version(target) == adapter_version())
         known.adapter = std::max(known.adapter, adapter_version(1));
     return known;
 }
@@ -62,26 +63,27 @@
 {
     if (!target)
         return {};
-    adapter_version const newest = newest_of(*target);
+    adapter_version const newest = newest_version(*target);
     if (newest != adapter_version() && copy >= newest)
         return copy;
-    adapter_version const oldest = releases_.oldest_allowed(*target, now);
+    adapter_version const oldest =
+        version_history_.oldest_allowed(*target, now);
     if (oldest == adapter_version())
         return {};
     return copy >= oldest ? copy : newest;
 }
 
-std::optional<replaced_copy>
-service_scheduler::replaced(std::optional<model_target> const& target,
-                            adapter_version copy) const
+std::optional<superseded_copy>
+service_scheduler::find_superseded(std::optional<model_target> const& target,
+                                   adapter_version copy) const
 {
     if (!target || target->adapter.empty())
         return std::nullopt;
-    time_point const at = releases_.replaced_at(*target, copy);
+    time_point const at = version_history_.replaced_at(*target, copy);
     if (at == never)
         return std::nullopt;
-    return replaced_copy{copy, newest_of(*target), at,
-                         releases_.newest_heard_at(*target)};
+    return superseded_copy{copy, newest_version(*target), at,
+                           version_history_.newest_heard_at(*target)};
 }
 
 /// Failure: a version of a model's weights counts as an adapter's. Every worker
@@ -89,7 +91,8 @@
 /// the new version, and callers of the model itself are turned away. Weights
 /// come into use as workers load the model; no request waits for them.
 void service_scheduler::on_release(model_target const& target,
-                                   adapter_version version, time_point heard_at)
+                                   adapter_version version,
+                                   time_point learned_at)
 {
     if (target.adapter.empty())
     {
@@ -97,42 +100,45 @@
         newest = std::max(newest, weights_version(version.value()));
         return;
     }
-    if (!releases_.declare(
-            target, {version, heard_at, heard_at + settings_.release_grace}))
+    if (!version_history_.declare(
+            target,
+            {version, learned_at, learned_at + settings_.release_grace}))
         return;
     for (auto& [id, worker] : workers_)
         worker->adapters.outdate(target, version);
     for (auto& [ticket, sent] : sent_)
-        if (sent.target == target && sent.copy < version)
-            limit_begin(sent, heard_at);
+        if (sent.target == target && sent.copy_version < version)
+            limit_start(sent, learned_at);
 }
 
-void service_scheduler::limit_begin(sent_item& sent, time_point heard_at)
+void service_scheduler::limit_start(sent_item& sent, time_point learned_at)
 {
-    if (heard_at == never || sent.begun || sent.by_peer || !sent.streams)
+    if (learned_at == never || sent.begun || sent.by_peer || !sent.streams)
         return;
-    sent.begin_by = std::min(sent.begin_by, heard_at + settings_.release_begin);
-    begin_by_ = std::min(begin_by_, sent.begin_by);
+    sent.start_deadline =
+        std::min(sent.start_deadline, learned_at + settings_.release_begin);
+    next_start_deadline_ = std::min(next_start_deadline_, sent.start_deadline);
 }
 
 /// Failure: a request is sent to an old copy in time, or before the new version
 /// was heard of, and waits at a worker that is silent or full for longer than
 /// was expected; it begins on the old version after the bound.
-void service_scheduler::withdraw_unbegun(time_point now)
+void service_scheduler::withdraw_overdue(time_point now)
 {
-    if (now < begin_by_)
+    if (now < next_start_deadline_)
         return;
-    begin_by_ = never;
+    next_start_deadline_ = never;
     for (auto& [ticket, sent] : sent_)
     {
-        if (sent.begun || sent.begin_by == never)
+        if (sent.begun || sent.start_deadline == never)
             continue;
-        if (sent.begin_by > now)
+        if (sent.start_deadline > now)
         {
-            begin_by_ = std::min(begin_by_, sent.begin_by);
+            next_start_deadline_ =
+                std::min(next_start_deadline_, sent.start_deadline);
             continue;
         }
-        sent.begin_by = never;
+        sent.start_deadline = never;
         actions_.push_back(withdraw_request{ticket});
     }
 }
--- a/src/service_workers.cpp
+++ b/src/service_workers.cpp
@@ -24,84 +24,86 @@
     {
         listed.insert(entry.id);
         if (worker_state* const known = find(entry.id))
-            take_listed(*known, entry);
+            update_worker(*known, entry);
         else
             add_worker(entry);
     }
     std::erase_if(workers_, [&](auto const& each)
                   { return listed.count(each.first) == 0; });
     for (auto& [key, waiting] : queue_)
-        if (!waiting.loads_at.empty() && find(waiting.loads_at) == nullptr)
-            waiting.loads_at = {};
+        if (!waiting.loading_worker.empty() &&
+            find(waiting.loading_worker) == nullptr)
+            waiting.loading_worker = {};
 }
 
 void service_scheduler::add_worker(backend_entry const& entry)
 {
-    worker_adapters_settings shelf;
-    shelf.adapter_slots = config_.engine ? config_.engine->adapter_slots : 0;
+    worker_adapters_settings adapter_settings;
+    adapter_settings.adapter_slots =
+        config_.engine ? config_.engine->adapter_slots : 0;
     auto const made = workers_.emplace(
-        entry.id, std::make_unique<worker_state>(entry, shelf));
+        entry.id, std::make_unique<worker_state>(entry, adapter_settings));
     worker_state& added = *made.first->second;
     added.entry.draining |= notices_.leaves(entry.id, entry.started);
-    remember_listed(added);
+    record_listed_adapters(added);
 }
 
 /// An entry that does not say when the worker started is of the life that is
 /// known. One of an earlier life came late and says nothing of this one.
-void service_scheduler::take_listed(worker_state& known,
-                                    backend_entry const& entry)
+void service_scheduler::update_worker(worker_state& known,
+                                      backend_entry const& entry)
 {
     worker_start const before = known.entry.started;
-    bool const told = entry.started != worker_start();
-    if (told && before != worker_start() && entry.started < before)
+    bool const has_start = entry.started != worker_start();
+    if (has_start && before != worker_start() && entry.started < before)
         return;
-    if (told && before != worker_start() && entry.started > before)
-        return begin_life(known, entry);
-    if (told)
-        forget_life_before(known);
+    if (has_start && before != worker_start() && entry.started > before)
+        return start_incarnation(known, entry);
+    if (has_start)
+        forget_previous_incarnation(known);
     known.entry = entry;
     known.listed_draining = entry.draining;
-    if (!told)
+    if (!has_start)
         known.entry.started = before;
     known.entry.draining |=
         notices_.leaves(known.entry.id, known.entry.started);
-    remember_listed(known);
+    record_listed_adapters(known);
 }
 
-void service_scheduler::forget_life_before(worker_state& worker)
+void service_scheduler::forget_previous_incarnation(worker_state& worker)
 {
-    worker.held_before.clear();
-    worker.entry_lapses_at = never;
+    worker.previous_models.clear();
+    worker.old_entry_expires_at = never;
 }
 
 /// Failure: a worker crashes and starts again under its id. What it held, its
 /// count of orders, its health and its queue are believed of it on, so that
 /// requests go to copies that are gone and every order conflicts. Nothing of
 /// the life before is kept; its owner asks what it holds before the next order.
-void service_scheduler::begin_life(worker_state& known,
-                                   backend_entry const& entry)
+void service_scheduler::start_incarnation(worker_state& known,
+                                          backend_entry const& entry)
 {
     worker_id const id = entry.id;
     bool const owned = known.owned;
-    stop_waiting_at(id);
-    sightings_.forget(id);
+    clear_load_waits(id);
+    adapter_locations_.forget(id);
     workers_.erase(id);
     add_worker(entry);
     if (owned && grants_.count(id) > 0)
         set_grants(grants_);
 }
 
-void service_scheduler::stop_waiting_at(worker_id const& worker)
+void service_scheduler::clear_load_waits(worker_id const& worker)
 {
     for (auto& [key, waiting] : queue_)
-        if (waiting.loads_at == worker)
-            waiting.loads_at = {};
+        if (waiting.loading_worker == worker)
+            waiting.loading_worker = {};
 }
 
 /// Load it answers: more adapters are asked for than slots hold, and each comes
 /// and goes. One that is asked for again loads in a tenth of the time where it
 /// was before, wherever that was.
-void service_scheduler::remember_listed(worker_state& worker)
+void service_scheduler::record_listed_adapters(worker_state& worker)
 {
     for (held_model const& held : worker.entry.models)
         for (auto const& [adapter, version] : held.adapters)
@@ -123,7 +125,7 @@
         else if (worker->adapters.granted())
         {
             worker->adapters.revoke();
-            stop_waiting_at(id);
+            clear_load_waits(id);
         }
         worker->owned = granted;
     }
@@ -144,13 +146,15 @@
         entry.started = report->started;
         // What the life before said of its leaving is not this one's.
         entry.draining = known->listed_draining;
-        std::vector<held_model> held_before = std::exchange(entry.models, {});
-        held_before.insert(held_before.end(), known->held_before.begin(),
-                           known->held_before.end());
-        begin_life(*known, entry);
+        std::vector<held_model> previous_models =
+            std::exchange(entry.models, {});
+        previous_models.insert(previous_models.end(),
+                               known->previous_models.begin(),
+                               known->previous_models.end());
+        start_incarnation(*known, entry);
         worker_state& begun = *find(worker);
-        begun.held_before = std::move(held_before);
-        begun.entry_lapses_at = now + duration(entry_lifetime);
+        begun.previous_models = std::move(previous_models);
+        begun.old_entry_expires_at = now + duration(entry_lifetime);
         return on_report(worker, report, now);
     }
     if (report && report->started != worker_start() && report->started < listed)
@@ -158,7 +162,7 @@
     if (report)
         known->health.reached(now);
     known->adapters.on_report(report, now);
-    releases_.for_each(
+    version_history_.for_each(
         [known](model_target const& target, declared_version const& declared)
         { known->adapters.outdate(target, declared.version); });
 }
@@ -169,12 +173,13 @@
 /// that newer ones read. So unless those of its entry are known to be the
 /// newest, it loads none before the entry is written anew or has lapsed: from
 /// then on a VM whose knowledge is recent knows of the start.
-bool service_scheduler::waits_to_be_listed(worker_state const& worker,
-                                           time_point now) const
+bool service_scheduler::must_wait_for_entry(worker_state const& worker,
+                                            time_point now) const
 {
-    if (now >= worker.entry_lapses_at)
+    if (now >= worker.old_entry_expires_at)
         return false;
-    return std::any_of(worker.held_before.begin(), worker.held_before.end(),
+    return std::any_of(worker.previous_models.begin(),
+                       worker.previous_models.end(),
                        [this, now](held_model const& held)
                        {
                            return held.weights < newest_weights(held.model) ||
--- a/src/team_directory.cpp
+++ b/src/team_directory.cpp
@@ -45,7 +45,7 @@
                                        key_bounds const& bounds,
                                        time_point now) const
 {
-    if (empty() || matched.open_to_all)
+    if (empty() || matched.allows_anonymous)
         return access_granted{};
     if (!key)
         return error(error_kind::unauthorized, "the request has no key");
--- a/src/worker_adapters.cpp
+++ b/src/worker_adapters.cpp
@@ -118,7 +118,7 @@
             adapters_[{model, adapter}].version = version;
         }
     }
-    for (model_target const& target : report->coming)
+    for (model_target const& target : report->loading_adapters)
         adopt(target, adapter_stage::loading);
     // Requests still wait for what is neither there nor coming.
     for (auto const& [target, before] : known)
@@ -475,7 +475,7 @@
         // Track was lost while it was on its way; the report shows its effect,
         // and one from before it must not be believed.
         bool const counted = outcome == order_outcome::accepted ||
-                             outcome == order_outcome::holds;
+                             outcome == order_outcome::already_applied;
         if (lost_sequence_ && counted)
             lost_sequence_ = std::max(*lost_sequence_, order.expected_sequence);
         return false;
@@ -485,7 +485,7 @@
     case order_outcome::accepted:
         conflicts_ = 0;
         return accepted(order, now);
-    case order_outcome::holds:
+    case order_outcome::already_applied:
         conflicts_ = 0;
         held(order, now);
         return true;
--- a/tests/engine_model_test.cpp
+++ b/tests/engine_model_test.cpp
@@ -164,7 +164,7 @@
           order_outcome::accepted);
     world.until(1, ended);
     CHECK(world.engine.take(load("a", 3, order_kind::unload), world.now) ==
-          order_outcome::holds);
+          order_outcome::already_applied);
     CHECK(world.engine.take(load("a", 3), world.now) ==
           order_outcome::accepted);
     world.now += 10ms;
@@ -189,5 +189,5 @@
         world.engine.report(base_model_id("base"), world.now);
     CHECK(report.sequence == 0);
     CHECK(report.models.at(base_model_id("base")).empty());
-    CHECK(report.coming.empty());
+    CHECK(report.loading_adapters.empty());
 }
--- a/tests/prompt_copy_test.cpp
+++ b/tests/prompt_copy_test.cpp
@@ -76,7 +76,7 @@
     /// The worker starts again, empty, and is given the adapter again.
     void restart(worker_id const& worker, weights_version loaded)
     {
-        lives[worker] = worker_start(++last_start_);
+        start_times[worker] = worker_start(++last_start_);
         weights[worker] = loaded;
         workers[worker] = scripted_worker();
         list_all();
@@ -112,7 +112,7 @@
 {
     two_readers world;
     for (worker_id const& each : {world.home, world.other})
-        world.lives[each] = worker_start(1);
+        world.start_times[each] = worker_start(1);
     world.list_all();
     REQUIRE(world.copied_from() == world.home);
     SECTION("the one that reads the prompt has started again")
@@ -180,7 +180,7 @@
 {
     scheduler_world world(1);
     worker_id const worker = scheduler_world::name(0);
-    world.lives[worker] = worker_start(1);
+    world.start_times[worker] = worker_start(1);
     world.list_all();
     bool const newer = GENERATE(true, false);
     bool const informed = GENERATE(true, false);
@@ -196,12 +196,12 @@
         for (time_point const until = world.now + span; world.now < until;
              world.now += 5ms)
         {
-            world.scheduler.set_registry_moment(
+            world.scheduler.set_registry_timestamps(
                 {world.now - world.declarations_age, world.now});
             for (placement_action const& each : world.scheduler.run(world.now))
-                if (auto const* order = std::get_if<give_order>(&each))
+                if (auto const* order = std::get_if<issue_order>(&each))
                     loads += order->order.adapter.empty();
-                else if (std::holds_alternative<ask_report>(each))
+                else if (std::holds_alternative<request_report>(each))
                     world.scheduler.on_report(worker, begun, world.now);
         }
         return loads;
@@ -215,7 +215,7 @@
     CHECK(model_loads(1s) == 0);
     SECTION("when its entry is written anew")
     {
-        world.lives[worker] = worker_start(2);
+        world.start_times[worker] = worker_start(2);
         world.list_all();
         CHECK(model_loads(1s) == 1);
     }
--- a/tests/registry_watch_test.cpp
+++ b/tests/registry_watch_test.cpp
@@ -69,7 +69,7 @@
 
     relay_request decode_request(http_request) const override { throw unused; }
     std::string encode_request(relay_request const&,
-                               send_terms const&) const override
+                               forward_options const&) const override
     {
         throw unused;
     }
--- a/tests/relay_callers.hpp
+++ b/tests/relay_callers.hpp
@@ -29,7 +29,7 @@
         return request;
     }
     std::string encode_request(relay_request const&,
-                               send_terms const&) const override
+                               forward_options const&) const override
     {
         return {};
     }
--- a/tests/relay_request_test.cpp
+++ b/tests/relay_request_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace mulberry;
 
-TEST_CASE("the shared prefix consists of all prompt parts but the last",
+TEST_CASE("requests share the prefix made of all prompt parts but the last",
           "[relay_request]")
 {
     prompt_shape const one{1460, {{"a", 800}, {"b", 410}, {"c", 250}}};
@@ -41,7 +41,8 @@
     relay_request elsewhere = one;
     elsewhere.caller = "10.0.0.2";
     CHECK(identity_of(elsewhere).content == identity_of(one).content);
-    CHECK(identity_of(elsewhere).of_caller != identity_of(one).of_caller);
+    CHECK(identity_of(elsewhere).content_and_caller !=
+          identity_of(one).content_and_caller);
 
     relay_request other_port = one;
     other_port.host = "Receipts.example:8080";
--- a/tests/relay_teams_test.cpp
+++ b/tests/relay_teams_test.cpp
@@ -31,7 +31,7 @@
         return request;
     }
     std::string encode_request(relay_request const& request,
-                               send_terms const& terms) const override
+                               forward_options const& terms) const override
     {
         return "GET " + request.path + "/" + terms.team.value().str() +
                " HTTP/1.1\r\nHost: worker\r\n\r\n";
--- a/tests/route_table_test.cpp
+++ b/tests/route_table_test.cpp
@@ -56,7 +56,7 @@
     CHECK(table.find("a", "/xy/") == nullptr);
 }
 
-TEST_CASE("services are chosen in proportion to their weights", "[route_table]")
+TEST_CASE("services are chosen by weight", "[route_table]")
 {
     route split = make_route("a", "/", "nine");
     split.services = {{service_id("nine"), 90}, {service_id("one"), 10}};
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -223,7 +223,7 @@
     auto const policy = configured("mulberry", a_declaration());
     worker_view const worker = a_worker(0);
     std::vector<waiting_request> waiting;
-    waiting.push_back({request_id("old"), adapter_numbered(2), least_priority,
+    waiting.push_back({request_id("old"), adapter_numbered(2), min_priority,
                        time_point(0s), never});
     bool served = false;
     for (int i = 1; i <= 120 && !served; ++i)
@@ -231,7 +231,7 @@
         time_point const at = time_point(i * 500ms);
         for (int each = 0; each < 2; ++each)
             waiting.push_back({request_id(std::to_string(i)),
-                               adapter_numbered(4), most_priority, at,
+                               adapter_numbered(4), max_priority, at,
                                at + 1s});
         auto const next = policy->next(worker, waiting, at);
         REQUIRE(next);
--- a/tests/scheduler_world.cpp
+++ b/tests/scheduler_world.cpp
@@ -12,7 +12,7 @@
 constexpr milliseconds load_time{250};
 constexpr milliseconds run_time{120};
 constexpr milliseconds step{5};
-constexpr std::size_t most_coming = 4;
+constexpr std::size_t max_loading = 4;
 /// When an order without an answer counts as unknown.
 constexpr milliseconds unanswered_after{80};
 char const* const model = "base";
@@ -40,7 +40,8 @@
 
 } // namespace
 
-order_outcome scripted_worker::take(worker_order const& order, time_point now)
+order_outcome scripted_worker::handle_order(worker_order const& order,
+                                            time_point now)
 {
     order_outcome const outcome = carry_out(order, now);
     return loses_answers_ ? order_outcome::unknown : outcome;
@@ -52,15 +53,15 @@
     std::string const adapter = order.adapter.str();
     if (order.kind == order_kind::load)
         ordered_[adapter] = order.version;
-    for (auto coming = coming_.begin(); coming != coming_.end();)
+    for (auto coming = loading_.begin(); coming != loading_.end();)
         if (coming->second <= now)
         {
             resident_.insert(coming->first);
-            coming = coming_.erase(coming);
+            coming = loading_.erase(coming);
         }
         else
             ++coming;
-    std::erase_if(leaving_,
+    std::erase_if(unloading_,
                   [&](auto const& each)
                   {
                       if (each.second > now)
@@ -69,33 +70,33 @@
                       return true;
                   });
     // As the engines do: a load under way is confirmed whatever its number.
-    if (order.kind == order_kind::load && coming_.count(adapter) > 0)
+    if (order.kind == order_kind::load && loading_.count(adapter) > 0)
         return order_outcome::accepted;
     if (order.expected_sequence != sequence_)
         return order_outcome::conflict;
     if (order.kind == order_kind::load)
     {
         if (resident_.count(adapter) > 0)
-            return order_outcome::holds;
-        if (coming_.size() >= most_coming)
+            return order_outcome::already_applied;
+        if (loading_.size() >= max_loading)
             return order_outcome::conflict;
         ++sequence_;
         ++loads_[adapter];
-        coming_.emplace(adapter, now + load_time);
-        most_held_ = std::max(most_held_, held());
+        loading_.emplace(adapter, now + load_time);
+        max_held_ = std::max(max_held_, held());
         return order_outcome::accepted;
     }
     if (used_.erase(adapter) > 0)
     {
         ++sequence_;
-        leaving_[adapter] = now + run_time;
+        unloading_[adapter] = now + run_time;
         return order_outcome::accepted;
     }
-    if (leaving_.count(adapter) > 0)
+    if (unloading_.count(adapter) > 0)
         return order_outcome::accepted;
     if (resident_.erase(adapter) > 0)
         ++sequence_;
-    return order_outcome::holds;
+    return order_outcome::already_applied;
 }
 
 worker_report scripted_worker::report() const
@@ -105,8 +106,9 @@
     auto& held = report.models[base_model_id(model)];
     for (std::string const& adapter : resident_)
         held.emplace(adapter_id(adapter), adapter_version(1));
-    for (auto const& [adapter, done] : coming_)
-        report.coming.push_back({base_model_id(model), adapter_id(adapter)});
+    for (auto const& [adapter, done] : loading_)
+        report.loading_adapters.push_back(
+            {base_model_id(model), adapter_id(adapter)});
     return report;
 }
 
@@ -137,7 +139,7 @@
     made.domain = domain_id("a");
     made.slots = batch_slots_;
     made.draining = draining.count(made.id) > 0;
-    if (auto const life = lives.find(made.id); life != lives.end())
+    if (auto const life = start_times.find(made.id); life != start_times.end())
         made.started = life->second;
     auto const held = weights.find(made.id);
     made.models.push_back(
@@ -176,7 +178,7 @@
                                         std::set<worker_id> excluded)
 {
     work_item item;
-    item.asked_for = name(worker);
+    item.requested_worker = name(worker);
     item.excluded = std::move(excluded);
     return submit(std::move(item), adapter, std::chrono::seconds(5));
 }
@@ -214,7 +216,7 @@
                       });
         for (auto const& [at, order] : due)
             scheduler.on_order(order, order_outcome::unknown, now);
-        scheduler.set_registry_moment(
+        scheduler.set_registry_timestamps(
             {now - declarations_age, now - workers_age});
         // A worker's answers may let the next order follow at once.
         for (int again = 0; again < 4; ++again)
@@ -238,24 +240,24 @@
         if (begins_at_once)
             scheduler.first_byte(placed->ticket, now);
     }
-    else if (auto const* granted = std::get_if<grant_ask>(&action))
+    else if (auto const* granted = std::get_if<grant_peer_request>(&action))
         granted_.emplace(granted->ticket, granted->copy);
     else if (auto const* refused = std::get_if<refuse_request>(&action))
         refused_.emplace(refused->ticket, *refused);
     else if (auto const* late = std::get_if<withdraw_request>(&action))
         withdrawn_.insert(late->ticket);
-    else if (auto const* ask = std::get_if<ask_owner>(&action))
-        asks_.push_back(*ask);
-    else if (auto const* report = std::get_if<ask_report>(&action))
+    else if (auto const* ask = std::get_if<request_owner_grant>(&action))
+        grant_requests_.push_back(*ask);
+    else if (auto const* report = std::get_if<request_report>(&action))
         scheduler.on_report(
             report->worker,
             reports ? std::optional(workers.at(report->worker).report())
                     : std::nullopt,
             now);
-    else if (auto const* order = std::get_if<give_order>(&action))
+    else if (auto const* order = std::get_if<issue_order>(&action))
     {
         order_outcome const outcome =
-            workers.at(order->order.worker).take(order->order, now);
+            workers.at(order->order.worker).handle_order(order->order, now);
         if (outcome == order_outcome::unknown)
             unanswered_.emplace_back(now + unanswered_after, order->order);
         else
--- a/tests/scheduler_world.hpp
+++ b/tests/scheduler_world.hpp
@@ -18,15 +18,15 @@
 class scripted_worker
 {
 public:
-    order_outcome take(worker_order const& order, time_point now);
+    order_outcome handle_order(worker_order const& order, time_point now);
     void lose_answers(bool lost) { loses_answers_ = lost; }
     worker_report report() const;
-    std::size_t held() const { return resident_.size() + coming_.size(); }
-    std::size_t most_held() const { return most_held_; }
+    std::size_t held() const { return resident_.size() + loading_.size(); }
+    std::size_t max_held() const { return max_held_; }
     std::uint64_t sequence() const { return sequence_; }
     /// A request that the scheduler does not know of uses the adapter: an
     /// unload waits for its end.
-    void use(std::string const& adapter) { used_.insert(adapter); }
+    void mark_in_use(std::string const& adapter) { used_.insert(adapter); }
     bool holds(std::string const& adapter) const
     {
         return resident_.count(adapter) > 0;
@@ -48,12 +48,12 @@
 
     std::uint64_t sequence_ = 0;
     std::set<std::string> resident_;
-    std::map<std::string, time_point> coming_;
+    std::map<std::string, time_point> loading_;
     std::set<std::string> used_;
-    std::map<std::string, time_point> leaving_;
+    std::map<std::string, time_point> unloading_;
     std::map<std::string, std::size_t> loads_;
     std::map<std::string, adapter_version> ordered_;
-    std::size_t most_held_ = 0;
+    std::size_t max_held_ = 0;
     bool loses_answers_ = false;
 };
 
@@ -102,8 +102,11 @@
     {
         return versions_.at(ticket);
     }
-    std::vector<ticket_id> const& order_of_placing() const { return order_; }
-    std::vector<ask_owner> const& asks() const { return asks_; }
+    std::vector<ticket_id> const& placement_order() const { return order_; }
+    std::vector<request_owner_grant> const& grant_requests() const
+    {
+        return grant_requests_;
+    }
     backend_entry prefix_source(ticket_id ticket) const
     {
         return sources_.at(ticket).value_or(backend_entry());
@@ -124,7 +127,7 @@
     std::map<worker_id, scripted_worker> workers;
     std::set<worker_id> draining;
     /// When workers started, of those that say it.
-    std::map<worker_id, worker_start> lives;
+    std::map<worker_id, worker_start> start_times;
     /// The versions of the weights that workers list; the first where none is
     /// given.
     std::map<worker_id, weights_version> weights;
@@ -150,7 +153,7 @@
     std::map<ticket_id, refuse_request> refused_;
     std::set<ticket_id> withdrawn_;
     std::vector<ticket_id> order_;
-    std::vector<ask_owner> asks_;
+    std::vector<request_owner_grant> grant_requests_;
     std::vector<std::pair<time_point, worker_order>> unanswered_;
 };
 
--- a/tests/service_leaving_test.cpp
+++ b/tests/service_leaving_test.cpp
@@ -50,12 +50,12 @@
           "[scheduler][leaving]")
 {
     scheduler_world world(1);
-    world.lives[first] = worker_start(1);
+    world.start_times[first] = worker_start(1);
     world.list_all();
     REQUIRE(placed(world));
     world.scheduler.on_leaving(world.entry(0), world.now);
     CHECK_FALSE(placed(world));
-    world.lives[first] = worker_start(2);
+    world.start_times[first] = worker_start(2);
     world.workers[first] = {};
     world.list_all();
     world.own_all();
@@ -68,9 +68,9 @@
           "[scheduler][leaving]")
 {
     scheduler_world world(1);
-    world.lives[first] = worker_start(1);
+    world.start_times[first] = worker_start(1);
     backend_entry const before = world.entry(0);
-    world.lives[first] = worker_start(2);
+    world.start_times[first] = worker_start(2);
     world.list_all();
     CHECK_FALSE(world.scheduler.on_leaving(before, world.now));
     CHECK(placed(world));
@@ -81,7 +81,7 @@
           "[scheduler][leaving]")
 {
     scheduler_world world(1);
-    world.lives[first] = worker_start(1);
+    world.start_times[first] = worker_start(1);
     world.list_all();
     REQUIRE(placed(world));
     world.scheduler.on_leaving(world.entry(0), world.now);
--- a/tests/service_load_test.cpp
+++ b/tests/service_load_test.cpp
@@ -119,8 +119,8 @@
     REQUIRE(world.placed(here));
     world.submit(item_of(short_prompt), adapter);
     world.run(5ms);
-    REQUIRE(world.asks().size() == 1);
-    CHECK(world.asks().front().worker == scheduler_world::name(1));
+    REQUIRE(world.grant_requests().size() == 1);
+    CHECK(world.grant_requests().front().worker == scheduler_world::name(1));
 }
 
 // Each VM believes that some other one is sooner, from what it heard a while
@@ -135,13 +135,15 @@
                                 {scheduler_world::name(2), vm_id("vm-4")}});
     ticket_id const ticket = world.ask("a1");
     world.run(5ms);
-    REQUIRE(world.asks().size() == 1);
-    CHECK(world.asks().front().begins_elsewhere_at != never);
-    world.scheduler.on_owner(ticket, ask_outcome::refused, {}, world.now);
+    REQUIRE(world.grant_requests().size() == 1);
+    CHECK(world.grant_requests().front().begins_elsewhere_at != never);
+    world.scheduler.on_grant_answer(ticket, grant_outcome::refused, {},
+                                    world.now);
     world.run(5ms);
-    REQUIRE(world.asks().size() == 2);
-    CHECK(world.asks().back().owner != world.asks().front().owner);
-    CHECK(world.asks().back().begins_elsewhere_at == never);
+    REQUIRE(world.grant_requests().size() == 2);
+    CHECK(world.grant_requests().back().owner !=
+          world.grant_requests().front().owner);
+    CHECK(world.grant_requests().back().begins_elsewhere_at == never);
 }
 
 TEST_CASE("an owner says no to what begins sooner elsewhere", "[load]")
@@ -154,7 +156,7 @@
     world.submit(item_of(long_prompt), "a1");
     world.run(5ms);
     work_item item = item_of(short_prompt);
-    item.asked_for = scheduler_world::name(0);
+    item.requested_worker = scheduler_world::name(0);
     item.begins_elsewhere_at = world.now + 50ms;
     ticket_id const other = world.submit(item, "a1");
     item.begins_elsewhere_at = never;
@@ -178,12 +180,14 @@
     for (std::size_t asked = 1; asked <= 2; ++asked)
     {
         world.run(5ms);
-        REQUIRE(world.asks().size() == asked);
-        world.scheduler.on_owner(ticket, ask_outcome::refused, {}, world.now);
+        REQUIRE(world.grant_requests().size() == asked);
+        world.scheduler.on_grant_answer(ticket, grant_outcome::refused, {},
+                                        world.now);
     }
-    CHECK(world.asks().front().owner != world.asks().back().owner);
+    CHECK(world.grant_requests().front().owner !=
+          world.grant_requests().back().owner);
     world.run(100ms);
-    CHECK(world.asks().size() == 2);
+    CHECK(world.grant_requests().size() == 2);
 }
 
 // The worker that is asked for fails; the owner has another one.
@@ -216,13 +220,14 @@
     for (std::size_t asked = 1; asked <= 2; ++asked)
     {
         world.run(5ms);
-        REQUIRE(world.asks().size() == asked);
-        world.scheduler.on_owner(ticket, ask_outcome::refused, {}, world.now);
+        REQUIRE(world.grant_requests().size() == asked);
+        world.scheduler.on_grant_answer(ticket, grant_outcome::refused, {},
+                                        world.now);
     }
     world.run(5ms);
     CHECK_FALSE(world.refused(ticket));
     world.run(600ms);
-    CHECK(world.asks().size() == 3);
+    CHECK(world.grant_requests().size() == 3);
 }
 
 // The VM that orders a worker is gone for good, and nobody else may order it
--- a/tests/service_rest_test.cpp
+++ b/tests/service_rest_test.cpp
@@ -13,9 +13,10 @@
 worker_id const first = scheduler_world::name(0);
 worker_id const second = scheduler_world::name(1);
 
-void ask_rest(scheduler_world& world, worker_id const& worker, duration rest)
+void request_backoff(scheduler_world& world, worker_id const& worker,
+                     duration rest)
 {
-    world.scheduler.on_rest(worker, world.now + rest, world.now);
+    world.scheduler.on_backoff_request(worker, world.now + rest, world.now);
 }
 
 bool placed_now(scheduler_world& world, ticket_id ticket)
@@ -25,9 +26,9 @@
 }
 
 /// Its two workers are another VM's.
-struct foreign_pair
+struct other_owner_pair
 {
-    foreign_pair()
+    other_owner_pair()
     {
         world.grants.clear();
         world.scheduler.set_grants({});
@@ -46,7 +47,7 @@
     world.run(300ms);
     REQUIRE(world.placed(before));
     worker_id const home = world.worker_of(before);
-    ask_rest(world, home, 3s);
+    request_backoff(world, home, 3s);
     ticket_id const during = world.ask("a1");
     world.run(600ms);
     REQUIRE(world.placed(during));
@@ -57,7 +58,7 @@
 TEST_CASE("a worker that is listed anew still rests", "[scheduler][rest]")
 {
     scheduler_world world(1);
-    ask_rest(world, first, 3s);
+    request_backoff(world, first, 3s);
     world.scheduler.set_backends({});
     world.list_all();
     world.own_all();
@@ -71,8 +72,8 @@
           "[scheduler][rest]")
 {
     scheduler_world world(2);
-    ask_rest(world, first, 3s);
-    ask_rest(world, second, 2s);
+    request_backoff(world, first, 3s);
+    request_backoff(world, second, 2s);
     for (char const* adapter : {"a1", ""})
     {
         ticket_id const during = world.ask(adapter);
@@ -89,7 +90,7 @@
     ticket_id const before = world.ask("a1");
     world.run(300ms);
     REQUIRE(world.placed(before));
-    ask_rest(world, first, 200ms);
+    request_backoff(world, first, 200ms);
     ticket_id const during = world.ask("a1");
     REQUIRE_FALSE(placed_now(world, during));
     CHECK(world.scheduler.next_due() <= world.now + 200ms);
@@ -103,7 +104,7 @@
     scheduler_world world(1);
     world.ask("a1");
     world.run(20ms);
-    ask_rest(world, first, 3s);
+    request_backoff(world, first, 3s);
     world.run(600ms);
     CHECK(world.scheduler.next_due() >= world.now + 1s);
 }
@@ -112,7 +113,7 @@
 TEST_CASE("a worker that rests is given no order", "[scheduler][rest]")
 {
     scheduler_world world(1);
-    ask_rest(world, first, 3s);
+    request_backoff(world, first, 3s);
     world.ask_for_peer("a1", 0);
     world.run(1s);
     CHECK(world.workers.at(first).loads_of("a1") == 0);
@@ -121,25 +122,26 @@
 // Guards against a grant by an owner whom the worker did not ask for rest.
 TEST_CASE("a grant for a worker that rests is not used", "[scheduler][rest]")
 {
-    foreign_pair pair;
+    other_owner_pair pair;
     ticket_id const asked = pair.world.ask("a1");
     pair.world.run(5ms);
-    REQUIRE(pair.world.asks().size() == 1);
-    ask_rest(pair.world, first, 3s);
-    CHECK_FALSE(pair.world.scheduler.on_owner(asked, ask_outcome::granted,
-                                              {first, {}}, pair.world.now));
+    REQUIRE(pair.world.grant_requests().size() == 1);
+    request_backoff(pair.world, first, 3s);
+    CHECK_FALSE(pair.world.scheduler.on_grant_answer(
+        asked, grant_outcome::granted, {first, {}}, pair.world.now));
 }
 
 TEST_CASE("an owner is told which workers asked this VM for rest",
           "[scheduler][rest]")
 {
-    foreign_pair pair;
-    ask_rest(pair.world, second, 3s);
+    other_owner_pair pair;
+    request_backoff(pair.world, second, 3s);
     pair.world.ask("a1");
     pair.world.run(5ms);
-    REQUIRE(pair.world.asks().size() == 1);
-    CHECK(pair.world.asks().front().worker == first);
-    CHECK(pair.world.asks().front().excluded == std::set<worker_id>{second});
+    REQUIRE(pair.world.grant_requests().size() == 1);
+    CHECK(pair.world.grant_requests().front().worker == first);
+    CHECK(pair.world.grant_requests().front().excluded ==
+          std::set<worker_id>{second});
 }
 
 // Guards against a VM that keeps its own rest for the requests of others.
@@ -150,7 +152,7 @@
     ticket_id const before = world.ask("a1");
     world.run(300ms);
     REQUIRE(world.placed(before));
-    ask_rest(world, first, 3s);
+    request_backoff(world, first, 3s);
     ticket_id const theirs = world.ask_for_peer("a1", 0);
     world.run(5ms);
     CHECK(world.granted(theirs));
@@ -161,7 +163,7 @@
           "[scheduler][rest]")
 {
     scheduler_world world(1, 4, 1);
-    ask_rest(world, first, 200ms);
+    request_backoff(world, first, 200ms);
     ticket_id const served = world.ask("");
     ticket_id const waits = world.ask("");
     world.run(300ms);
@@ -174,15 +176,16 @@
 TEST_CASE("an owner's no that is over is not due while all workers rest",
           "[scheduler][rest]")
 {
-    foreign_pair pair;
+    other_owner_pair pair;
     scheduler_world& world = pair.world;
     ticket_id const asked = world.ask("a1");
     world.run(5ms);
-    REQUIRE(world.asks().size() == 1);
-    world.scheduler.on_owner(asked, ask_outcome::refused, {}, world.now);
+    REQUIRE(world.grant_requests().size() == 1);
+    world.scheduler.on_grant_answer(asked, grant_outcome::refused, {},
+                                    world.now);
     world.run(350ms);
-    ask_rest(world, first, 240ms);
-    ask_rest(world, second, 240ms);
+    request_backoff(world, first, 240ms);
+    request_backoff(world, second, 240ms);
     world.run(200ms);
     REQUIRE_FALSE(world.refused(asked));
     CHECK(world.scheduler.next_due() > world.now);
@@ -196,7 +199,7 @@
     ticket_id const before = world.ask("a1");
     world.run(300ms);
     REQUIRE(world.placed(before));
-    ask_rest(world, first, 100ms);
+    request_backoff(world, first, 100ms);
     ticket_id const during = world.ask("a1", 0, 2s);
     world.run(5ms);
     CHECK_FALSE(world.refused(during));
@@ -212,7 +215,7 @@
     backend_entry other = world.entry(1);
     other.models.front().model = base_model_id("other");
     world.scheduler.set_backends({world.entry(0), other});
-    ask_rest(world, first, 3s);
+    request_backoff(world, first, 3s);
     ticket_id const during = world.ask("");
     world.run(0ms);
     REQUIRE(world.refused(during));
@@ -229,7 +232,7 @@
     world.run(5ms);
     worker_id const dead = world.worker_of(lost);
     world.end(lost, send_outcome::unreachable);
-    ask_rest(world, dead == first ? second : first, 3s);
+    request_backoff(world, dead == first ? second : first, 3s);
     ticket_id const during = world.ask("");
     world.run(0ms);
     REQUIRE(world.refused(during));
--- a/tests/service_scheduler_test.cpp
+++ b/tests/service_scheduler_test.cpp
@@ -47,7 +47,7 @@
         if (world.placed(tickets.back()))
             world.end(tickets.back());
     }
-    CHECK(world.workers.at(scheduler_world::name(0)).most_held() <= 3);
+    CHECK(world.workers.at(scheduler_world::name(0)).max_held() <= 3);
     for (ticket_id const ticket : tickets)
         CHECK(world.placed(ticket));
 }
@@ -79,11 +79,11 @@
     ticket_id const first = world.ask("a1");
     world.run(300ms);
     world.end(first);
-    worker.use("a1");
+    worker.mark_in_use("a1");
     ticket_id const second = world.ask("a2");
     world.run(600ms);
     CHECK(world.placed(second));
-    CHECK(worker.most_held() == 1);
+    CHECK(worker.max_held() == 1);
 }
 
 TEST_CASE("the more urgent request is placed first", "[scheduler]")
@@ -192,18 +192,18 @@
     ticket_id const first = world.ask("a1");
     world.run(400ms);
     REQUIRE(world.placed(first));
-    std::vector<ticket_id> foreign;
+    std::vector<ticket_id> peer_requests;
     for (int number = 0; number < 20; ++number)
-        foreign.push_back(world.ask_for_peer("a1", 0));
+        peer_requests.push_back(world.ask_for_peer("a1", 0));
     world.run(5ms);
     std::size_t refused = 0;
-    for (ticket_id const ticket : foreign)
+    for (ticket_id const ticket : peer_requests)
         refused += world.refused(ticket) && world.refusal(ticket).load == 1;
     CHECK(world.scheduler.counts().granted == 7);
     CHECK(refused >= 8);
     // The rest wait, and get room as it comes free.
     std::size_t const waiting = world.scheduler.counts().waiting;
-    CHECK(waiting == foreign.size() - refused - 7);
+    CHECK(waiting == peer_requests.size() - refused - 7);
     REQUIRE(waiting > 0);
     world.end(first);
     world.run(5ms);
@@ -424,9 +424,9 @@
 {
 
 /// A world whose one worker is another VM's.
-struct foreign_world : scheduler_world
+struct other_owner_world : scheduler_world
 {
-    foreign_world() : scheduler_world(1)
+    other_owner_world() : scheduler_world(1)
     {
         scheduler.set_grants({});
         scheduler.set_owners({{scheduler_world::name(0), vm_id("vm-2")}});
@@ -438,14 +438,14 @@
 TEST_CASE("the owner of the home is asked, and its grant places the request",
           "[scheduler]")
 {
-    foreign_world world;
+    other_owner_world world;
     ticket_id const ticket = world.ask("a1");
     world.run(5ms);
-    REQUIRE(world.asks().size() == 1);
-    CHECK(world.asks().front().owner == vm_id("vm-2"));
+    REQUIRE(world.grant_requests().size() == 1);
+    CHECK(world.grant_requests().front().owner == vm_id("vm-2"));
     CHECK_FALSE(world.placed(ticket));
-    world.scheduler.on_owner(ticket, ask_outcome::granted,
-                             {scheduler_world::name(0), {}}, world.now);
+    world.scheduler.on_grant_answer(ticket, grant_outcome::granted,
+                                    {scheduler_world::name(0), {}}, world.now);
     world.run(0ms);
     CHECK(world.placed(ticket));
 }
@@ -455,15 +455,15 @@
 // and uses another worker.
 TEST_CASE("a grant for a worker that drains is not used", "[scheduler]")
 {
-    foreign_world world;
+    other_owner_world world;
     ticket_id const ticket = world.ask("a1");
     world.run(5ms);
-    REQUIRE(world.asks().size() == 1);
+    REQUIRE(world.grant_requests().size() == 1);
     world.draining.insert(scheduler_world::name(0));
     world.list_all();
-    CHECK_FALSE(world.scheduler.on_owner(ticket, ask_outcome::granted,
-                                         {scheduler_world::name(0), {}},
-                                         world.now));
+    CHECK_FALSE(world.scheduler.on_grant_answer(ticket, grant_outcome::granted,
+                                                {scheduler_world::name(0), {}},
+                                                world.now));
     world.run(5ms);
     CHECK_FALSE(world.placed(ticket));
     CHECK(world.refused(ticket));
@@ -473,14 +473,14 @@
 // load looks the same, except that an owner begins its answer at once.
 TEST_CASE("an owner that begins to answer is given longer", "[scheduler]")
 {
-    foreign_world world;
+    other_owner_world world;
     ticket_id const silent = world.ask("a1");
     ticket_id const heard = world.ask("a2");
     world.run(5ms);
-    world.scheduler.on_owner_heard(heard, world.now);
-    CHECK(world.scheduler.ask_ends_at(silent) <
-          world.scheduler.ask_ends_at(heard));
-    CHECK(world.scheduler.ask_ends_at(heard) >= world.now + 1s);
+    world.scheduler.on_grant_answer_started(heard, world.now);
+    CHECK(world.scheduler.grant_deadline(silent) <
+          world.scheduler.grant_deadline(heard));
+    CHECK(world.scheduler.grant_deadline(heard) >= world.now + 1s);
 }
 
 // A peer is gone. One question finds that out; until it answers one, the rest
@@ -488,16 +488,17 @@
 TEST_CASE("a peer that did not answer is asked one question at a time",
           "[scheduler]")
 {
-    foreign_world world;
+    other_owner_world world;
     ticket_id const first = world.ask("a1");
     world.run(5ms);
-    world.scheduler.on_owner(first, ask_outcome::silent, {}, world.now);
+    world.scheduler.on_grant_answer(first, grant_outcome::silent, {},
+                                    world.now);
     world.run(3s);
-    std::size_t const before = world.asks().size();
+    std::size_t const before = world.grant_requests().size();
     for (int number = 0; number < 10; ++number)
         world.ask("b" + std::to_string(number));
     world.run(5ms);
-    CHECK(world.asks().size() == before + 1);
+    CHECK(world.grant_requests().size() == before + 1);
 }
 
 // A caller leaves while the owner has not yet begun to answer. The question is
@@ -505,15 +506,15 @@
 TEST_CASE("a question that was dropped says nothing of the owner",
           "[scheduler]")
 {
-    foreign_world world;
+    other_owner_world world;
     ticket_id const first = world.ask("a1");
     world.run(5ms);
-    REQUIRE(world.asks().size() == 1);
+    REQUIRE(world.grant_requests().size() == 1);
     world.scheduler.withdraw(first, world.now);
     world.run(10s);
     ticket_id const second = world.ask("a2");
     world.run(5ms);
-    CHECK(world.asks().size() == 2);
+    CHECK(world.grant_requests().size() == 2);
     CHECK_FALSE(world.refused(second));
 }
 
@@ -620,7 +621,7 @@
         item.target = model_target{base_model_id("base"), adapter_id("a1")};
         item.arrived_at = world.now;
         item.give_up_at = world.now + 5s;
-        item.asked_for = home;
+        item.requested_worker = home;
         world.scheduler.submit(item, world.now);
         world.run(20ms);
         world.scheduler.ended(item.ticket, send_outcome::served, world.now);
@@ -658,13 +659,13 @@
 {
     scheduler_world world(1);
     worker_id const id = scheduler_world::name(0);
-    world.lives[id] = worker_start(1000);
+    world.start_times[id] = worker_start(1000);
     world.list_all();
     ticket_id const before = world.ask("a1");
     world.run(300ms);
     REQUIRE(world.placed(before));
     world.workers[id] = scripted_worker();
-    world.lives[id] = worker_start(2000);
+    world.start_times[id] = worker_start(2000);
     world.list_all();
     // The end of a request of the life before takes nothing from this one.
     world.end(before, send_outcome::unreachable);
@@ -683,19 +684,19 @@
 {
     scheduler_world world(1);
     worker_id const id = scheduler_world::name(0);
-    world.lives[id] = worker_start(1000);
+    world.start_times[id] = worker_start(1000);
     world.list_all();
     world.ask("a1");
     std::optional<worker_order> old;
     for (placement_action const& action : world.scheduler.run(world.now))
-        if (auto const* order = std::get_if<give_order>(&action))
+        if (auto const* order = std::get_if<issue_order>(&action))
             old = order->order;
     REQUIRE(old);
     world.workers[id] = scripted_worker();
-    world.lives[id] = worker_start(2000);
+    world.start_times[id] = worker_start(2000);
     world.list_all();
-    CHECK_FALSE(
-        world.scheduler.on_order(*old, order_outcome::holds, world.now));
+    CHECK_FALSE(world.scheduler.on_order(*old, order_outcome::already_applied,
+                                         world.now));
     ticket_id const after = world.ask("a1");
     world.run(400ms);
     CHECK(world.placed(after));
@@ -710,7 +711,7 @@
 {
     scheduler_world world(1);
     worker_id const id = scheduler_world::name(0);
-    world.lives[id] = worker_start(1000);
+    world.start_times[id] = worker_start(1000);
     world.list_all();
     ticket_id const before = world.ask("a1");
     world.run(300ms);
@@ -732,7 +733,7 @@
 {
     scheduler_world world(1);
     worker_id const worker = scheduler_world::name(0);
-    world.lives[worker] = worker_start(1);
+    world.start_times[worker] = worker_start(1);
     world.list_all();
     world.declarations_age = 10s;
     world.scheduler.on_release({base_model_id("base"), {}}, adapter_version(2),
@@ -744,12 +745,12 @@
         for (time_point const until = world.now + span; world.now < until;
              world.now += 5ms)
         {
-            world.scheduler.set_registry_moment(
+            world.scheduler.set_registry_timestamps(
                 {world.now - world.declarations_age, world.now});
             for (placement_action const& each : world.scheduler.run(world.now))
-                if (auto const* order = std::get_if<give_order>(&each))
+                if (auto const* order = std::get_if<issue_order>(&each))
                     loads += order->order.adapter.empty();
-                else if (std::holds_alternative<ask_report>(each))
+                else if (std::holds_alternative<request_report>(each))
                     world.scheduler.on_report(worker, begun, world.now);
         }
         return loads;
--- a/tests/service_version_test.cpp
+++ b/tests/service_version_test.cpp
@@ -14,9 +14,9 @@
 model_target const target{base_model_id("base"), adapter_id("a1")};
 
 /// A worker whose copy of the first version is in use, and so is not replaced.
-struct copy_in_use
+struct superseded_copy_in_use
 {
-    copy_in_use()
+    superseded_copy_in_use()
     {
         world.ask("a1", 0, 60s);
         world.run(300ms);
@@ -158,7 +158,7 @@
 TEST_CASE("a copy is not used again when the next version is declared",
           "[scheduler]")
 {
-    copy_in_use old;
+    superseded_copy_in_use old;
     old.declare(2);
     REQUIRE(old.placed_now());
     old.world.run(4s);
@@ -171,7 +171,7 @@
 TEST_CASE("versions in quick succession do not prolong the use of an old one",
           "[scheduler]")
 {
-    copy_in_use old;
+    superseded_copy_in_use old;
     for (std::uint64_t version = 2; version < 8; ++version)
     {
         old.declare(version);
@@ -238,8 +238,8 @@
     {
         ticket_id const asked = world.ask("a1");
         world.run(5ms);
-        return world.scheduler.on_owner(
-            asked, ask_outcome::granted,
+        return world.scheduler.on_grant_answer(
+            asked, grant_outcome::granted,
             {scheduler_world::name(0), adapter_version(version)}, world.now);
     };
     CHECK_FALSE(used(1));
@@ -273,9 +273,9 @@
         at_theirs.excluded = {ours};
         ticket_id const older = world.submit(at_theirs, "a1");
         world.run(5ms);
-        REQUIRE(world.scheduler.on_owner(older, ask_outcome::granted,
-                                         {theirs, adapter_version(2)},
-                                         world.now));
+        REQUIRE(world.scheduler.on_grant_answer(older, grant_outcome::granted,
+                                                {theirs, adapter_version(2)},
+                                                world.now));
         world.run(0ms);
         REQUIRE(world.version_of(older) == adapter_version(2));
         CHECK(world.prefix_source(older).id.empty());
@@ -283,9 +283,9 @@
 }
 
 /// A stream that was sent to the first version and has not begun.
-struct unbegun_stream
+struct unstarted_stream
 {
-    explicit unbegun_stream(bool streams = true)
+    explicit unstarted_stream(bool streams = true)
     {
         old.world.begins_at_once = false;
         work_item item;
@@ -294,7 +294,7 @@
         old.world.run(5ms);
         REQUIRE(old.world.placed(ticket));
     }
-    copy_in_use old;
+    superseded_copy_in_use old;
     ticket_id ticket;
 };
 
@@ -302,7 +302,7 @@
 TEST_CASE("a stream that has not begun is withdrawn from a replaced version",
           "[scheduler]")
 {
-    unbegun_stream late;
+    unstarted_stream late;
     scheduler_world& world = late.old.world;
     late.old.declare(2);
     world.run(7s);
@@ -316,7 +316,7 @@
 TEST_CASE("a further version gives a stream no more time to begin",
           "[scheduler]")
 {
-    unbegun_stream late;
+    unstarted_stream late;
     late.old.declare(2);
     late.old.world.run(4s);
     late.old.declare(3);
@@ -327,7 +327,7 @@
 TEST_CASE("only what has not begun is withdrawn", "[scheduler]")
 {
     bool const streams = GENERATE(true, false);
-    unbegun_stream late(streams);
+    unstarted_stream late(streams);
     scheduler_world& world = late.old.world;
     if (streams)
         world.scheduler.first_byte(late.ticket, world.now);
--- a/tests/team_directory_test.cpp
+++ b/tests/team_directory_test.cpp
@@ -67,7 +67,7 @@
           "[team_directory]")
 {
     route open;
-    open.open_to_all = true;
+    open.allows_anonymous = true;
     auto const teams = directory();
     CHECK(holder(teams.decide(open, known_key, known_since(1h), bounds(),
                               start)) == team_id());
@@ -120,10 +120,10 @@
     route_table const table(config);
     team const& urgent = config->teams[0];
     team const& patient = config->teams[1];
-    CHECK(table.urgency(config->routes[2], &urgent) <
-          table.urgency(config->routes[0], &patient));
-    CHECK(table.urgency(config->routes[0], &patient) <
-          table.urgency(config->routes[1], &patient));
-    CHECK(table.urgency(config->routes[2], &patient) == 5);
-    CHECK(table.urgency(config->routes[1], nullptr) == 1);
+    CHECK(table.effective_priority(config->routes[2], &urgent) <
+          table.effective_priority(config->routes[0], &patient));
+    CHECK(table.effective_priority(config->routes[0], &patient) <
+          table.effective_priority(config->routes[1], &patient));
+    CHECK(table.effective_priority(config->routes[2], &patient) == 5);
+    CHECK(table.effective_priority(config->routes[1], nullptr) == 1);
 }
--- a/tests/worker_adapters_test.cpp
+++ b/tests/worker_adapters_test.cpp
@@ -75,7 +75,7 @@
             REQUIRE(order);
             CHECK(adapters.stage({order->model, order->adapter}) ==
                   adapter_stage::loading);
-            adapters.on_outcome(order_outcome::holds, now);
+            adapters.on_outcome(order_outcome::already_applied, now);
         }
     }
 
@@ -222,7 +222,7 @@
     CHECK(again->kind == order_kind::unload);
     CHECK(again->adapter == unload->adapter);
     CHECK(again->expected_sequence == unload->expected_sequence + 1);
-    adapters.on_outcome(order_outcome::holds, now);
+    adapters.on_outcome(order_outcome::already_applied, now);
     auto const load = next();
     REQUIRE(load);
     CHECK(load->kind == order_kind::load);
