--- a/src/service_estimate.cpp
+++ b/src/service_estimate.cpp
@@ -1,5 +1,5 @@
-// What is known of workers, and when a request would begin at one; see
-// service_scheduler.hpp.
+// Assumed state of workers, and estimates of when a request would start at a
+// worker; see service_scheduler.hpp.
 #include "service_scheduler.hpp"
 
 #include <algorithm>
@@ -11,49 +11,53 @@
 
 using std::chrono::milliseconds;
 
-/// A worker is chosen by the time until a request would begin there: the
-/// prompts that it has yet to read, and this for a batch in use as a whole,
-/// whose steps take longer.
+/// Added to the prefill backlog in the queueing delay, in proportion to the use
+/// of the batch: this much for a full batch, whose steps take longer.
 constexpr milliseconds full_batch_delay{100};
-/// Bytes between failure domains cost time and money, so a worker elsewhere is
-/// used when those here are later by as much.
+/// Traffic between failure domains costs time and money. A worker in another
+/// domain is used only if local workers would start the request later by more
+/// than this.
 constexpr milliseconds other_domain_penalty{40};
-/// A request begins after what is ahead of it was read, at the latest after so
-/// many times as long: other VMs' prompts are known from a while ago.
+/// Upper bound of the time until a request starts, as a multiple of the known
+/// prefill backlog. The backlog from other VMs is known from stale data only.
 constexpr int prefill_time_factor = 2;
-/// A worker fails too much when it does so for so much more of its answers
-/// than the average worker of the service, and for so many times as many. A
-/// fault of the service as a whole is no reason to leave any worker: adapters
-/// would be fetched anew elsewhere, for nothing.
+/// A worker is an outlier if its failure share exceeds the service's average by
+/// this margin and by this factor. Comparing with the average keeps all workers
+/// in use when the service fails as a whole; avoiding some would only fetch
+/// adapters again elsewhere.
 constexpr double outlier_failure_margin = 0.2;
 constexpr double outlier_failure_factor = 2;
-/// The share of a batch that a VM may fill at a worker that another VM fills.
+/// A VM that does not own a worker may use one part in this many of the
+/// worker's batch.
 constexpr std::size_t non_owner_batch_divisor = 4;
-/// A worker is crowded when it has so many times as many requests as the
-/// average one, and more than a few: prompts are read one after the other, so
-/// that a first token waits for all of those before it long before the batch
-/// is full. Then other homes are used and second copies loaded.
+/// A worker is overloaded if it has this many times the average number of
+/// requests and more than a few. Prefill runs one prompt at a time, so that the
+/// first token waits for all earlier prompts long before the batch is full.
+/// Second copies of adapters are loaded elsewhere then.
 constexpr double overload_factor = 1.5;
 constexpr double overload_min_requests = 4;
-/// A worker with so much to read is crowded too: a fetch elsewhere takes less.
+/// A worker with a larger prefill backlog is overloaded too: a fetch elsewhere
+/// takes less time.
 constexpr milliseconds overload_prefill_time{300};
-/// What a fetch takes from other requests: a place among those that are sent
-/// at full speed, and an adapter slot.
+/// Cost of a fetch to other requests: one of the fetches that run at full speed
+/// and an adapter slot.
 constexpr milliseconds fetch_cost{100};
-/// An answer that begins after its objective is worth a third to its caller; a
-/// fetch that saves it from that is worth its cost.
+/// Penalty for an answer that starts after its service-level objective. Such an
+/// answer is worth only a third to the caller, so a fetch that avoids the delay
+/// is worth its cost.
 constexpr milliseconds lateness_cost{500};
-/// Of the time that a shared beginning takes to be read, this part is saved by
-/// its holder on average: it may have made way since. Counting all of it
-/// gathers requests at busy holders (mean worth 0.470 for 0.479, 20 days).
+/// The holder of a shared prefix saves on average one part in this many of its
+/// prefill time, since the prefix may have been evicted from the cache. A
+/// divisor of 1 concentrates requests on busy holders and lowered the mean
+/// worth of answers from 0.479 to 0.470 over 20 days.
 constexpr int prefix_saving_divisor = 2;
-/// Whatever the average, a batch that is so full is crowded. This alone counts
-/// for an adapter that is seldom asked for: it adds little to the crowd, and a
-/// second home costs a fetch.
+/// A worker whose batch is used to this share is overloaded whatever the
+/// average. Only this criterion counts for an adapter that is rarely requested:
+/// it adds little load, and a second copy costs a fetch.
 constexpr double overload_batch_share = 0.75;
-/// An adapter that is asked for so often a second is worth a second copy when
-/// the first is busy: at one in three seconds the copy is used before it has to
-/// make way.
+/// An adapter with this request rate is worth a second copy when the worker of
+/// the first is busy: at one request in three seconds the copy is used before
+/// it is evicted.
 constexpr double hot_requests_per_second = 0.3;
 
 } // namespace
@@ -163,23 +167,24 @@
 }
 
 bool service_scheduler::is_overloaded(worker_state const& worker,
-                                      bool asked_often, time_point now) const
+                                      bool frequently_requested,
+                                      time_point now) const
 {
     double const load = batch_utilization(worker);
     double const requests = load * double(worker.entry.slots);
     if (load >= overload_batch_share)
         return true;
     if (worker.backlog.ahead(now) > overload_prefill_time)
-        return asked_often;
-    return asked_often && requests > overload_min_requests &&
+        return frequently_requested;
+    return frequently_requested && requests > overload_min_requests &&
            requests > overload_factor * mean_outstanding_requests() + 1;
 }
 
-/// Failure: a version is declared while a copy of the one before is in use; a
-/// request that begins on the old copy after the bound gets an answer of the
-/// wrong version. An old copy is used for the grace only, and only while the
-/// new one is being loaded; the grace has to last until the request begins,
-/// after the prompts that are ahead of it.
+/// Whether the worker has the model or a copy of the adapter that a request may
+/// use. A superseded copy is usable only during the grace period, while the new
+/// version is loaded. The grace period must last until the request starts,
+/// after the prefill of earlier prompts; otherwise the request would get an
+/// answer of the wrong version after the bound.
 bool service_scheduler::has_usable_copy(worker_state const& worker,
                                         model_target const& target,
                                         time_point now) const
@@ -208,9 +213,10 @@
     return false;
 }
 
-/// Load it answers: more adapters in use at once than their homes have slots
-/// for. Some are loaded away from home then; asked for at home again, each
-/// would be fetched once more and take a second slot.
+/// Whether the adapter is resident or being loaded at the worker. Recent
+/// locations on other VMs' workers count too: when more adapters are in use
+/// than their homes have slots, some are loaded away from home, and a second
+/// request at the home would fetch the adapter again and use a second slot.
 bool service_scheduler::has_or_loads_adapter(worker_state const& worker,
                                              model_target const& target,
                                              time_point now) const
@@ -222,12 +228,12 @@
     return has_usable_copy(worker, target, now);
 }
 
-/// Each slot is free again after the rest of a request: on average one of them
-/// after a mean request's time over their number.
+/// On average a slot becomes free after the mean service time divided by the
+/// number of slots.
 duration service_scheduler::slot_wait(std::size_t ahead,
                                       std::size_t slots) const
 {
-    return mean_service_ * ahead / std::max<std::size_t>(slots, 1);
+    return mean_service_time_ * ahead / std::max<std::size_t>(slots, 1);
 }
 
 duration service_scheduler::slot_delay(worker_state const& worker) const
@@ -243,8 +249,8 @@
     return slot_delay(worker) + worker.adapters.load_time(target);
 }
 
-/// A load that is overdue is taken to need as long again as it is late: while
-/// many are fetched at once nothing is known of when it ends.
+/// An overdue load is assumed to need as much more time as it is late, since
+/// its end cannot be predicted while many adapters are fetched at once.
 duration service_scheduler::remaining_load_time(worker_state const& worker,
                                                 model_target const& target,
                                                 time_point now) const
--- a/src/service_notices.cpp
+++ b/src/service_notices.cpp
@@ -1,5 +1,5 @@
-// What follows from what workers say of themselves: that they leave, or want
-// rest; see service_scheduler.hpp.
+// Handling of workers' announcements (shutdown and backoff); see
+// service_scheduler.hpp.
 #include "service_scheduler.hpp"
 
 #include <algorithm>
@@ -11,18 +11,20 @@
 
 using std::chrono::milliseconds;
 
-/// Where all workers rest, a caller is told to come back unless the first of
-/// them takes requests again within this.
+/// If all workers are in backoff, a request waits only if the first of them
+/// accepts requests again within this time; otherwise the request is rejected
+/// with a Retry-After.
 constexpr milliseconds max_backoff_wait{250};
-/// Where a request cannot be served here at all, another VM may: the caller is
-/// told to come back at once, spread over this span.
+/// Retry-After of a request that no worker can serve through this VM. Another
+/// VM may be able to, so callers should retry at once, spread over this time.
 constexpr milliseconds unservable_retry_after{50};
 
 } // namespace
 
-/// Failure: a worker that leaves is listed as ready for seconds more, or never
-/// as leaving, and requests go on to it until it is gone. Its own word counts
-/// for this life, whatever is listed later.
+/// The registry may list a worker that shuts down as ready for seconds more, or
+/// never as draining, and requests would be sent to it until it is gone.
+/// Therefore the worker's own announcement counts for its incarnation, whatever
+/// the registry lists later.
 bool service_scheduler::on_leaving(backend_entry const& entry, time_point now)
 {
     notices_.leave(entry.id, entry.started, now);
@@ -40,8 +42,8 @@
     return notices_.rests(worker.entry.id, now);
 }
 
-/// A rest holds for this VM's requests; a VM that asks names the workers that
-/// asked it.
+/// A backoff requested from this VM holds for this VM's requests only. Other
+/// VMs exclude the workers that requested a backoff from them.
 bool service_scheduler::in_backoff_for(worker_state const& worker,
                                        work_item const& item,
                                        time_point now) const
@@ -49,7 +51,6 @@
     return !item.requested_worker && in_backoff(worker, now);
 }
 
-/// Whether orders and requests of this VM may go there.
 bool service_scheduler::is_available(worker_state const& worker,
                                      time_point now) const
 {
@@ -68,8 +69,6 @@
                        { return held.model == target->model; });
 }
 
-/// When the first of the workers that the request may go to is over its rest;
-/// nothing unless all of them rest.
 std::optional<time_point>
 service_scheduler::all_in_backoff_until(work_item const& item,
                                         time_point now) const
@@ -110,14 +109,14 @@
     return until ? *until - now : duration(0);
 }
 
-void service_scheduler::refuse_unservable(waiting_item const& waiting,
+void service_scheduler::reject_unservable(waiting_item const& waiting,
                                           time_point now)
 {
     duration const left = remaining_backoff(waiting.item.target, now);
     if (left > duration(unservable_retry_after))
-        return refuse(waiting, error_kind::overloaded, left,
+        return reject(waiting, error_kind::overloaded, left,
                       "all workers want rest", now);
-    refuse(waiting, error_kind::back_end_unavailable, unservable_retry_after,
+    reject(waiting, error_kind::back_end_unavailable, unservable_retry_after,
            "no worker can serve it here", now);
 }
 
--- a/src/service_placing.cpp
+++ b/src/service_placing.cpp
@@ -1,4 +1,4 @@
-// Where the requests of a service are placed; see service_scheduler.hpp.
+// Placement of a service's requests on workers; see service_scheduler.hpp.
 #include "placement.hpp"
 #include "service_scheduler.hpp"
 
@@ -13,29 +13,32 @@
 
 using std::chrono::milliseconds;
 
-/// Another VM gives that worker its orders and fills it; what it holds is
-/// known from its last heartbeat only.
+/// Penalty for a worker of another owner: that VM fills the worker, and its
+/// contents are known from the last heartbeat only.
 constexpr milliseconds other_owner_penalty{30};
-/// Longer than any queue: a worker that fails is used when there is no other.
+/// Exceeds any queueing delay, so that a failing worker or a superseded copy is
+/// used only if there is no other.
 constexpr milliseconds failing_worker_penalty{60'000};
-/// An adapter's home is likely to have kept a copy of it, which loads in a
-/// tenth of the time.
+/// Penalty for loading an adapter away from its home. The home has probably
+/// kept a copy on disk, which loads in a tenth of the time.
 constexpr milliseconds off_home_penalty{100};
-/// An owner that would begin a request so much later than another worker says
-/// no: asking costs the way there and back twice.
+/// An owner refuses a grant if the request would start later by more than this
+/// than at the best other worker known to the asking VM. The margin covers the
+/// second round trip that a refusal costs.
 constexpr milliseconds redirect_margin{60};
-/// After so many owners said no, a request is served by whatever is here.
+/// After this many owners refused, only workers of this VM are considered.
 constexpr std::size_t max_owner_refusals = 4;
-/// A home whose slots are all in use is waited for while one is expected to be
-/// free within this: a fetch elsewhere takes about as long, and keeps others
-/// from theirs.
+/// A request waits for a slot at a full home if one is expected to be free
+/// within this time. A fetch elsewhere takes about as long and delays other
+/// fetches.
 constexpr milliseconds max_slot_wait{250};
-/// However soon a slot was expected, a home is waited for no longer.
+/// Longest wait for a slot at a full home since the request arrived, whatever
+/// the estimates were.
 constexpr milliseconds max_busy_home_wait{700};
-/// How long a request waits for workers to have owners again: VMs that restart
-/// take theirs within a fraction of a second once the store answers. As long as
-/// a fetch of its adapter takes; the workers of a VM that is lost have no owner
-/// for much longer, and nobody waits for these.
+/// How long a request waits for workers to have owners again, as long as a
+/// fetch of its adapter takes. Restarted VMs claim their workers within a
+/// fraction of a second once the store answers. Workers of a lost VM have no
+/// owner for much longer and are not waited for.
 constexpr milliseconds max_owner_wait{250};
 
 } // namespace
@@ -68,10 +71,10 @@
     return best;
 }
 
-/// Load it answers: many rare adapters at once, more of them at some homes than
-/// those have slots for, or one adapter that more ask for than a batch holds.
-/// Homes are chosen by hash, so a few have queues of seconds while others have
-/// room to spare; a short queue is waited for.
+/// Avoids load imbalance when many rare adapters share one home with too few
+/// slots, or when more requests ask for one adapter than fit into a batch.
+/// Homes are chosen by hash, so that a few may have queues of seconds while
+/// other workers are idle. Only a short queue is worth waiting for.
 bool service_scheduler::worth_waiting(worker_state const& worker,
                                       work_item const& item,
                                       time_point now) const
@@ -99,11 +102,13 @@
     if (worker.entry.draining || waiting.item.excluded.count(id) > 0 ||
         owner_refused(id, waiting, now) || is_failure_outlier(worker, now))
         return false;
-    // A load would need orders of this VM, or a request of it.
+    // A load needs orders or a request of this VM; a worker in backoff wants
+    // none.
     if (in_backoff(worker, now))
         return false;
-    // Another VM's worker may be asked for now and then though this VM could
-    // not reach it: its owner says no if it cannot either.
+    // A grant for another VM's worker is requested now and then although this
+    // VM could not reach the worker. If the owner cannot reach the worker
+    // either, the owner refuses.
     if (worker.health.avoided(now) &&
         (worker.owned || !worker.health.may_probe(now)))
         return false;
@@ -114,9 +119,9 @@
     return has_reachable_owner(worker, now);
 }
 
-/// Load it answers: a VM is gone or cut off with the workers that it orders, a
-/// third of all. What they hold goes on being used; only loads have to wait for
-/// another owner.
+/// Keeps workers in use whose owner is gone or cut off (up to a third of all
+/// workers). Resident adapters are still used; only loads have to wait for a
+/// new owner.
 bool service_scheduler::may_send_without_grant(worker_state const& worker,
                                                work_item const& item,
                                                time_point now) const
@@ -138,11 +143,11 @@
                        worker.entry.id.str());
 }
 
-/// Load it answers: prompts with a long beginning in common, more of them than
-/// one worker can read. An engine keeps what it has read for as long as memory
-/// lasts; requests with the same beginning go to the same holder of their
-/// adapter, by rendezvous hashing, and where another begins sooner the
-/// beginning is copied from there.
+/// Prefix-aware routing. An engine caches the prefill of prompts while memory
+/// lasts, so requests with the same prefix prefer the same worker with their
+/// adapter, chosen by rendezvous hashing. When one worker cannot prefill all of
+/// these requests, the others start elsewhere and copy the cached prefix from
+/// the prefix home.
 service_scheduler::worker_state const*
 service_scheduler::prefix_home(work_item const& item, time_point now) const
 {
@@ -187,9 +192,9 @@
     return source->entry;
 }
 
-/// Requests that run on other weights than the home has have a home of their
-/// own: the first in rank among the worker that they go to and those whose
-/// memory is of use there.
+/// Prefix home of requests that run on other weights than the first prefix home
+/// has: the worker of highest rank among `on` and the workers whose cache is
+/// valid for `on`.
 service_scheduler::worker_state const*
 service_scheduler::alternative_prefix_home(work_item const& item,
                                            worker_state const& on,
@@ -220,7 +225,7 @@
 {
     served_versions const from = versions_at(source, target);
     served_versions to = versions_at(reader, target);
-    // The worker refuses a request that names a version which it lacks.
+    // The worker rejects a request that names a version which the worker lacks.
     if (requested_version != adapter_version())
         to.adapter = requested_version;
     newest_versions const newest{
@@ -233,11 +238,11 @@
                       now + reader.backlog.ahead(now));
 }
 
-/// Load it answers: prompts of a second beside short ones, many rare adapters
-/// and a few that everybody asks for. Each request goes where it would begin
-/// first. Adapters that are nowhere go to their home by rendezvous hashing, the
-/// same on every VM that sees the same workers and where copies of them are
-/// kept, unless another worker is sooner by more than a fetch is worth.
+/// Chooses the worker with the lowest placement cost, to balance long and short
+/// prompts as well as rare and popular adapters. An adapter that is not
+/// resident anywhere goes to its home, chosen by rendezvous hashing, which is
+/// the same on all VMs that see the same workers and where copies on disk are
+/// likely, unless another worker is better by more than a fetch costs.
 service_scheduler::placement_choice
 service_scheduler::best_worker(waiting_item const& waiting,
                                bool own_workers_only,
@@ -358,10 +363,10 @@
     return all_tried ? decision::unservable : decision::waits;
 }
 
-/// Another VM's request for one worker of this one's. Load it answers: an owner
-/// has several workers and the one that was asked for is full, fails or leaves.
-/// The others are as good; a no stands for all of them, so that nobody asks the
-/// same owner again for each.
+/// Decides on another VM's grant request for a worker of this VM. If that
+/// worker is full, fails or drains, any other worker of this VM may be granted.
+/// A refusal therefore holds for all workers of this VM, and the other VM need
+/// not ask for each of them.
 service_scheduler::decision
 service_scheduler::decide_peer_request(waiting_item& waiting, time_point now)
 {
@@ -389,9 +394,10 @@
     return wait_for_load_at(waiting, *best.worker, now);
 }
 
-/// Failure: an adapter is fetched because its holder has seconds of prompts to
-/// read; asked again a moment later, the request goes to that holder all the
-/// same, and is late beside a copy that nobody uses.
+/// Keeps to the decision to wait for a load unless a holder is now at least as
+/// good. Otherwise an adapter would be fetched because its holder has a prefill
+/// backlog of seconds, and a moment later the request would go to that holder
+/// all the same, late and with an unused second copy.
 std::optional<service_scheduler::decision>
 service_scheduler::continue_waiting(waiting_item& waiting, time_point now)
 {
@@ -437,9 +443,9 @@
     return decision::waits;
 }
 
-/// Load it answers: an adapter grows hot, or its new version must replace a
-/// copy in use. A second copy is loaded beside the crowded or outdated one
-/// while that still serves, so that nobody waits for it.
+/// Loads a second copy of an adapter when the worker of the first is overloaded
+/// by a hot adapter or has an outdated version. The first copy serves requests
+/// meanwhile, so that none waits for the load.
 void service_scheduler::replicate_adapter(worker_state const& busy,
                                           waiting_item const& waiting,
                                           time_point now)
@@ -461,8 +467,8 @@
     other->adapters.want(target, newest_version(target), now);
 }
 
-/// A worker of this VM that has the adapter and room: one with the newest
-/// version first, then the emptiest.
+/// Returns the owned worker with a usable copy and free capacity that has the
+/// newest version, then the lowest placement cost; null if there is none.
 service_scheduler::worker_state*
 service_scheduler::own_holder(waiting_item const& waiting, time_point now)
 {
@@ -485,7 +491,7 @@
     return best;
 }
 
-/// Whether a request still waits for its adapter at that worker.
+/// Whether a request should keep waiting for its adapter's load at the worker.
 bool service_scheduler::should_keep_waiting(worker_state const& worker,
                                             waiting_item const& waiting,
                                             time_point now) const
@@ -524,14 +530,16 @@
         return place_at_holder(waiting, *best.worker, now);
     if (best.worker != nullptr)
         return wait_for_load_at(waiting, *best.worker, now);
-    // Nobody can be asked and nothing loaded: whoever lists the adapter.
+    // No owner can be asked and nothing can be loaded: use any worker that
+    // lists the adapter.
     if (worker_state* const holder = best_holder(waiting, now))
     {
         place(waiting, *holder, now);
         return decision::placed;
     }
-    // Failure: a VM that orders no worker is told by four owners that they are
-    // busy, and rejects for seconds what they could take a moment later.
+    // Without this wait, a VM that owns no worker would reject requests for
+    // seconds after four owners refused, although these owners could accept
+    // the requests a moment later.
     if (may_retry_owner(waiting, now))
         return decision::waits;
     if (may_gain_owner(waiting, now))
@@ -552,9 +560,9 @@
     return own_may_later ? decision::waits : decision::unservable;
 }
 
-/// Failure: all VMs restart at once. For a moment nobody owns a worker, and
-/// every request for an adapter that is not loaded is told to come back, though
-/// an owner would take it half a second later.
+/// Guards against rejections when all VMs restart at once: for a moment no
+/// worker has an owner, but half a second later an owner would accept requests
+/// for adapters that are not loaded.
 bool service_scheduler::may_gain_owner(waiting_item const& waiting,
                                        time_point now) const
 {
@@ -596,8 +604,9 @@
     if (peer.avoided(now))
         peer.probed(now);
     peer.sent(now);
-    // Failure: every VM knows the others' workers from a while ago. Each owner
-    // says no for the sake of the next one, and the request is served by none.
+    // Only the first owner learns of the alternative. VMs know each other's
+    // workers from stale data; if every owner refused in favour of the next
+    // one, no owner would serve the request.
     bool const first_ask = waiting.refused_until.empty();
     time_point const elsewhere = first_ask && best.next_delay != duration::max()
                                      ? now + best.next_delay
--- a/src/service_scheduler.cpp
+++ b/src/service_scheduler.cpp
@@ -10,20 +10,22 @@
 
 using std::chrono::milliseconds;
 
-/// A request is turned away when the expected wait takes more than that share
-/// of the time that it has left: the rest is for the answer itself, and for
-/// the caller to come back elsewhere.
+/// A request is rejected if the expected wait exceeds this share of its
+/// remaining time. The rest is left for the answer itself, or for a retry of
+/// the caller elsewhere.
 constexpr double max_wait_share = 0.5;
-/// What an owner refused, it is asked for again after this: by then some of
-/// what its workers were busy with is over.
+/// An owner that refused a grant may be asked again after this time, when some
+/// requests at its workers have ended.
 constexpr milliseconds refusal_lifetime{500};
-/// An owner that has begun to answer does so in the end once the adapter is
-/// loaded, which takes several times longer than usual while many are fetched.
+/// Timeout for an owner that has started to answer. The owner completes the
+/// answer when the adapter is loaded, which takes several times longer than
+/// usual while many adapters are fetched.
 constexpr milliseconds started_answer_timeout{2000};
 constexpr milliseconds min_retry_after{100};
 constexpr milliseconds max_retry_after{1500};
-/// The window that loads of weights are counted in.
+/// Window in which loads of weights are counted.
 constexpr milliseconds weight_load_window{5000};
+/// Weight of a new sample in the moving average of service times.
 constexpr double service_time_smoothing = 0.05;
 
 } // namespace
@@ -74,8 +76,9 @@
 
 void service_scheduler::withdraw(ticket_id ticket, time_point now)
 {
-    // Failure: a question that was dropped stays open in the owner's record;
-    // the owner looks silent from then on and is never asked again.
+    // Ends the grant request in the owner's health record as well. Otherwise
+    // the request would stay open there, and the owner would look silent and
+    // never be asked again.
     if (auto const asked = pending_grants_.find(ticket);
         asked != pending_grants_.end())
     {
@@ -118,9 +121,9 @@
     sent_item const sent = found->second;
     sent_.erase(found);
     if (outcome == send_outcome::served)
-        mean_service_ += duration(static_cast<duration::rep>(
+        mean_service_time_ += duration(static_cast<duration::rep>(
             service_time_smoothing *
-            double((now - sent.sent_at - mean_service_).count())));
+            double((now - sent.sent_at - mean_service_time_).count())));
     worker_state* const worker = find(sent.worker);
     if (worker == nullptr || worker->entry.started != sent.started)
         return;
@@ -150,7 +153,7 @@
            known->adapters.on_outcome(outcome, now);
 }
 
-void service_scheduler::refuse(waiting_item const& waiting, error_kind kind,
+void service_scheduler::reject(waiting_item const& waiting, error_kind kind,
                                duration retry_after, std::string_view reason,
                                time_point now)
 {
@@ -168,10 +171,10 @@
     owners_ = std::move(owners);
 }
 
-/// Failure: an owner that is gone leaves all questions unanswered, and each
-/// would wait for as long as a slow load may take; asked of another owner too
-/// early, the adapter is fetched twice. An owner begins its answer at once, so
-/// that silence and a slow load look different.
+/// Distinguishes a dead owner from a slow load. A dead owner answers nothing,
+/// and each request would wait for the longest load; asking another owner too
+/// early fetches the adapter twice. An owner therefore starts its answer at
+/// once, and has a longer timeout from then on.
 time_point service_scheduler::grant_deadline(ticket_id ticket) const
 {
     auto const asked = pending_grants_.find(ticket);
@@ -212,8 +215,9 @@
     worker_state* const worker =
         find(granted.worker.empty() ? asked.worker : granted.worker);
     work_item const& item = asked.waiting.item;
-    // Failure: the owner hears later than this VM that a worker leaves, and
-    // its grant sends a request there after the bound. So with a version.
+    // The owner may learn later than this VM that a worker drains or that a
+    // version is superseded. Its grant must not send a request to such a worker
+    // or copy after the bound.
     bool const too_old =
         granted.version != adapter_version() &&
         granted.version < version_history_.oldest_allowed(*item.target, now);
@@ -262,7 +266,8 @@
     sent_.emplace(item.ticket, std::move(sent));
 }
 
-/// Little's law over what this VM's workers run at a time.
+/// Little's law, applied to the concurrent requests that this VM may have at
+/// the workers.
 duration service_scheduler::expected_wait(std::size_t ahead,
                                           time_point now) const
 {
@@ -275,8 +280,8 @@
         duration const backoff = remaining_backoff(std::nullopt, now);
         return backoff > duration(0) ? backoff : max_retry_after;
     }
-    return duration(static_cast<duration::rep>(double(mean_service_.count()) *
-                                               double(ahead) / double(room)));
+    return duration(static_cast<duration::rep>(
+        double(mean_service_time_.count()) * double(ahead) / double(room)));
 }
 
 bool service_scheduler::too_late(waiting_item const& waiting, std::size_t ahead,
@@ -289,10 +294,10 @@
                (waiting.item.give_up_at - waiting.item.arrived_at) / 2;
 }
 
-/// Load it answers: more arrives than the workers can run, for seconds. The
-/// most urgent first, within a rank the oldest; whoever cannot be served in
-/// time is told so at once, with the time after which the queue that there is
-/// now will be gone.
+/// Decides on all waiting requests, by priority and then by age. When more
+/// requests arrive than the workers can run, requests that cannot be served in
+/// time are rejected at once, with the expected time to drain the current queue
+/// as Retry-After.
 void service_scheduler::run_queue(time_point now)
 {
     for (auto& [id, worker] : workers_)
@@ -321,7 +326,7 @@
         }
         if (decided == decision::unservable)
         {
-            refuse_unservable(waiting, now);
+            reject_unservable(waiting, now);
             done.push_back(key);
             continue;
         }
@@ -330,7 +335,7 @@
         ++ahead;
         if (ahead > settings_.max_waiting || too_late(waiting, ahead, now))
         {
-            refuse(waiting, error_kind::overloaded,
+            reject(waiting, error_kind::overloaded,
                    std::clamp<duration>(expected_wait(ahead, now),
                                         min_retry_after, max_retry_after),
                    "the queue is too long for its deadline", now);
@@ -346,10 +351,8 @@
     }
 }
 
-/// Failure: a worker goes dark for a second and is avoided. What it holds is
-/// loaded elsewhere meanwhile, so that no request comes to try it again, and it
-/// stays unused for good. Its owner asks an avoided worker how it is instead.
-/// A worker that starts empty is given the model that is asked for most.
+/// Gives a worker that holds no model the one with the fewest copies, within
+/// this VM's share of the service's limit of weight loads.
 void service_scheduler::want_model(worker_state& worker, time_point now)
 {
     if (!config_.engine || config_.engine->models.empty())
@@ -374,6 +377,12 @@
     worker.adapters.want_model(best->name);
 }
 
+/// Sends report requests, probes and orders to the workers of this VM.
+///
+/// An owned worker that is unreachable is probed with a report request.
+/// Otherwise, after an outage of a second, the worker's adapters would be
+/// loaded elsewhere, no request would try the worker again, and it would stay
+/// unused.
 void service_scheduler::run_workers(time_point now)
 {
     if (!config_.engine)
@@ -425,7 +434,7 @@
     for (auto const& [id, worker] : workers_)
         if (worker->owned)
         {
-            // One that leaves is given no order.
+            // A draining worker gets no orders.
             if (!worker->entry.draining)
                 next = std::min(next, std::max(worker->adapters.next_due(),
                                                notices_.rests_until(id)));
--- a/src/service_scheduler.hpp
+++ b/src/service_scheduler.hpp
@@ -1,5 +1,5 @@
-/// How the requests of one service wait, are placed and are turned away on one
-/// VM.
+/// Queues the requests of one service on one VM, places them on workers, orders
+/// loads of adapters, and rejects requests that cannot be served in time.
 #ifndef MULBERRY_SERVICE_SCHEDULER_HPP
 #define MULBERRY_SERVICE_SCHEDULER_HPP
 
@@ -32,7 +32,7 @@
 namespace mulberry
 {
 
-/// A request as the scheduler knows it; unique within a process.
+/// Identifies a request within a process.
 using ticket_id = number_id<struct ticket_tag>;
 
 /// A request that waits for a worker.
@@ -43,64 +43,69 @@
     /// 0 is the most urgent.
     int priority = 0;
     time_point arrived_at{};
-    /// When the caller stops waiting, or the route's timeout ends.
+    /// The caller's deadline or the end of the route's timeout.
     time_point give_up_at = never;
-    /// Until then its answer is to begin.
+    /// Service-level objective: when the answer should begin.
     time_point objective_at = never;
-    /// Tokens of its prompt; 0 when that is not known.
+    /// Tokens of the prompt; 0 if unknown.
     std::uint32_t prompt_tokens = 0;
-    /// The beginning of its prompt that other requests share.
+    /// Prefix of the prompt that other requests may share.
     shared_prefix prefix;
-    /// Workers that are not to be used: tried before.
+    /// Workers that must not be used, for example because the request was
+    /// tried there.
     std::set<worker_id> excluded;
-    /// Its answer is a stream, whose first byte shows that it has begun.
+    /// The answer is a stream, whose first byte shows that the request has
+    /// started.
     bool streams = false;
-    /// Another VM asks for room at that worker; the request itself is there.
+    /// Set if another VM holds the request and asks for a grant to send it to
+    /// this worker.
     std::optional<worker_id> requested_worker = std::nullopt;
-    /// That VM knows of another worker where it would begin by then.
+    /// When the request would start at another worker known to that VM.
     time_point begins_elsewhere_at = never;
 };
 
-/// A copy of an adapter that a request may be sent to. Value.
+/// The copy of an adapter that a grant allows a request to be sent to. Value.
 struct granted_copy
 {
     worker_id worker;
-    /// 0 where that is not known.
+    /// 0 if unknown.
     adapter_version version;
     friend bool operator==(granted_copy const&, granted_copy const&) = default;
 };
 
-/// What is believed of a copy of an adapter whose version is not the newest.
-/// Value.
+/// A copy of an adapter whose version is superseded by a newer one, as far as
+/// this VM knows. Value.
 struct superseded_copy
 {
-    /// 0 where that is not known.
+    /// 0 if unknown.
     adapter_version version;
     adapter_version newest;
-    /// When this VM heard of the first newer version.
+    /// When this VM learned of the first newer version.
     time_point superseded_at{};
+    /// When this VM learned of the newest version.
     time_point newest_learned_at{};
     friend bool operator==(superseded_copy const&,
                            superseded_copy const&) = default;
 };
 
-/// Send the request to the worker now.
+/// Action: send the request to the worker now.
 struct place_request
 {
     ticket_id ticket;
     worker_id worker;
     backend_entry entry;
-    /// What decided it, for the log.
+    /// Reason for the choice of worker, for the log.
     std::string_view reason;
-    /// The version of its adapter that it has to run on; 0 for any.
+    /// Adapter version that the request must run on; 0 for any.
     adapter_version version;
-    /// Another worker that may have the beginning of its prompt.
+    /// Another worker that may have the prompt's prefix in its cache.
     std::optional<backend_entry> prefix_source = std::nullopt;
-    /// Of the copy that it is sent to, where a newer version was declared.
+    /// Set if the chosen copy is superseded by a newer declared version.
     std::optional<superseded_copy> superseded = std::nullopt;
 };
 
-/// Ask the VM that gives the worker its orders to have the adapter there.
+/// Action: ask the worker's owner for a grant to send the request there; the
+/// owner loads the adapter if necessary.
 struct request_owner_grant
 {
     ticket_id ticket;
@@ -109,17 +114,17 @@
     model_target target;
     int priority = 0;
     time_point give_up_at = never;
-    /// Workers that the request may not be sent to.
+    /// Workers that the request must not be sent to.
     std::set<worker_id> excluded;
     std::uint32_t prompt_tokens = 0;
     shared_prefix prefix;
     time_point objective_at = never;
-    /// When it would begin at the next best worker.
+    /// When the request would start at the next best worker.
     time_point begins_elsewhere_at = never;
 };
 
-/// Tell the VM that asked that it may send the request now, to the worker that
-/// it asked for or to another of this VM's.
+/// Action: grant another VM's request. That VM may send the request now, to the
+/// worker that it asked for or to another worker of this VM.
 struct grant_peer_request
 {
     ticket_id ticket;
@@ -127,33 +132,33 @@
     double load = 0;
 };
 
-/// Answer the request that it was not run.
+/// Action: reject the request without running it.
 struct refuse_request
 {
     ticket_id ticket;
     error_kind kind = error_kind::overloaded;
     duration retry_after{};
     std::string_view reason;
-    /// Of the worker that another VM asked for: the share of its batch that is
-    /// taken.
+    /// For another VM's request: the share of the requested worker's batch that
+    /// is in use.
     double load = 1;
 };
 
-/// Take the request back from its worker: it has not begun, and may not begin
-/// there any more.
+/// Action: withdraw the request from its worker. The request has not started
+/// there and must not start any more.
 struct withdraw_request
 {
     ticket_id ticket;
 };
 
-/// Send the order now.
+/// Action: send the order now.
 struct issue_order
 {
     worker_order order;
     backend_entry entry;
 };
 
-/// Ask the worker what it holds.
+/// Action: ask the worker for a report of its state.
 struct request_report
 {
     worker_id worker;
@@ -164,17 +169,18 @@
     std::variant<place_request, request_owner_grant, grant_peer_request,
                  refuse_request, withdraw_request, issue_order, request_report>;
 
-/// What became of a question to another VM.
+/// How a grant request to another VM ended.
 enum class grant_outcome
 {
     granted,
-    /// The worker has no room, or this VM is not its owner.
+    /// The owner has no capacity for the request, or does not own the worker.
     refused,
     unreachable,
     silent
 };
 
-/// This VM is the one that gives a worker orders.
+/// Ownership of a worker by this VM: the right to send the worker orders with
+/// this fencing number, from `orders_from` on. Value.
 struct order_grant
 {
     fencing_number fence;
@@ -186,15 +192,17 @@
 {
     vm_id vm;
     domain_id domain;
-    /// Requests that may wait here at a time.
+    /// Maximum number of waiting requests.
     std::size_t max_waiting = 512;
-    /// How long an older copy may be used after a newer version was heard of.
+    /// How long requests may be sent to a superseded copy after this VM learned
+    /// of the newer version.
     duration release_grace = std::chrono::milliseconds(2000);
-    /// How long after that a request that was sent to one may begin.
+    /// How long after learning of the newer version a request that was sent to
+    /// a superseded copy may still start.
     duration release_begin = std::chrono::milliseconds(7500);
 };
 
-/// Why a scheduler decided so, summed up for metrics. Value.
+/// Counters of the scheduler's decisions and current sizes, for metrics. Value.
 struct scheduler_counts
 {
     std::uint64_t placed_resident = 0;
@@ -206,8 +214,8 @@
     std::uint64_t cold_loads = 0;
     std::uint64_t warm_loads = 0;
     std::uint64_t evictions = 0;
-    /// Requests whose prompt another worker may have begun to read, by what was
-    /// decided on copying it from there.
+    /// Requests whose prompt prefix another worker may have cached, by the
+    /// decision on copying the prefix from there.
     std::array<std::uint64_t, all_copy_verdicts.size()> prompt_copies{};
     std::size_t waiting = 0;
     std::size_t sent = 0;
@@ -216,8 +224,15 @@
                            scheduler_counts const&) = default;
 };
 
-/// Events go in with the time, actions come out; no I/O, no clock. Thread
-/// safety: none.
+/// Scheduler of one service's requests on one VM. Events and the current time
+/// are passed in, run() returns actions for the caller to carry out; the class
+/// does no I/O and reads no clock. Thread safety: none.
+///
+/// Owner: the VM that sends a worker orders (loads and unloads of adapters).
+/// Requests go to a worker of another owner only with that owner's grant,
+/// unless the owner is unreachable and the worker lists the adapter. Home: the
+/// worker chosen first for an adapter, or for a prompt prefix, by rendezvous
+/// hashing.
 class service_scheduler
 {
 public:
@@ -227,71 +242,81 @@
     service_scheduler& operator=(service_scheduler const&) = delete;
 
     void configure(service_config config);
-    /// Every worker of the service that may be used now. One that is missing
-    /// is gone.
+    /// Sets the complete list of the service's workers; workers that are
+    /// missing in the list are removed.
     void set_backends(std::vector<backend_entry> const& entries);
-    /// The workers that this VM gives orders to.
+    /// Sets the workers that this VM owns.
     void set_grants(std::map<worker_id, order_grant> const& grants);
-    /// The other VMs that give orders to workers.
+    /// Sets the owners of workers that other VMs own.
     void set_owners(std::map<worker_id, vm_id> owners);
-    /// Another VM answered a question, or did not. Whether its grant is used;
-    /// one that is not is to be given back.
+    /// Handles the answer of an owner to a grant request, or its absence.
+    /// Returns whether the grant is used; the caller must return an unused
+    /// grant to the owner.
     bool on_grant_answer(ticket_id ticket, grant_outcome outcome,
                          granted_copy const& granted, time_point now);
-    /// Another VM began to answer a question.
+    /// Reports that an owner has started to answer a grant request.
     void on_grant_answer_started(ticket_id ticket, time_point now);
-    /// When a question to another VM is to be given up, as of now.
+    /// Returns when the grant request times out. The deadline moves when the
+    /// owner starts to answer; the epoch if no grant request is pending.
     time_point grant_deadline(ticket_id ticket) const;
-    /// As of when the registry is known, for all that follows.
+    /// Sets as of when registry data is known, for all later decisions.
     void set_registry_timestamps(registry_moment known_as_of)
     {
         known_as_of_ = known_as_of;
     }
+    /// Sets the number of VMs that share the limit of weight loads per second.
     void set_members(std::size_t vms)
     {
         vm_count_ = std::max<std::size_t>(vms, 1);
     }
-    /// `learned_at`: when this VM heard of the version.
+    /// Records a declared version of an adapter, or of a model's weights if
+    /// `target` names no adapter. `learned_at`: when this VM learned of the
+    /// version.
     void on_release(model_target const& target, adapter_version version,
                     time_point learned_at);
 
     void submit(work_item item, time_point now);
-    /// The caller is gone or has been answered. Does nothing once sent.
+    /// Removes a waiting request, or one whose grant is pending, because the
+    /// caller is gone or has been answered. Does nothing if the request has
+    /// already been sent to a worker.
     void withdraw(ticket_id ticket, time_point now);
-    /// The worker, in the life of that entry, said that it leaves. Whether this
-    /// VM did not know it.
+    /// Handles a worker's announcement that it shuts down; `entry` names the
+    /// incarnation. Returns whether this is news to the scheduler.
     bool on_leaving(backend_entry const& entry, time_point now);
-    /// The worker wants no requests from this VM until then. True if it was not
-    /// resting before.
+    /// Handles a worker's request to send it nothing until `until`. Returns
+    /// true if the worker was not in backoff before.
     bool on_backoff_request(worker_id const& worker, time_point until,
                             time_point now)
     {
         return notices_.ask_rest(worker, until, now);
     }
-    /// The worker began to answer.
+    /// Reports the first byte of a worker's answer.
     void first_byte(ticket_id ticket, time_point now);
-    /// A request that was sent is over at its worker.
+    /// Reports that a request has ended at its worker.
     void ended(ticket_id ticket, send_outcome outcome, time_point now);
 
-    /// Whether what is believed of the worker changed. An outcome of an order
-    /// to an earlier life of the worker is passed over.
+    /// Handles the outcome of an order. Returns whether the assumed state of
+    /// the worker changed. Outcomes of orders to an earlier incarnation are
+    /// ignored.
     bool on_order(worker_order const& order, order_outcome outcome,
                   time_point now);
     void on_report(worker_id const& worker,
                    std::optional<worker_report> const& report, time_point now);
 
-    /// Decides whatever can be decided now.
+    /// Makes all decisions that are possible now and returns the actions that
+    /// follow from events and decisions since the last call.
     std::vector<placement_action> run(time_point now);
-    /// When run() may have something to do, if nothing happens before.
+    /// Returns when run() must be called next if no event comes first.
     time_point next_due() const;
 
     scheduler_counts counts() const;
     bool has_backends() const { return !workers_.empty(); }
-    /// Until some worker with that model, or any, takes requests of this VM
-    /// again; 0 while one does.
+    /// Returns the time until the first worker with the model (any worker
+    /// without `target`) accepts requests of this VM again; 0 if one accepts
+    /// them now.
     duration remaining_backoff(std::optional<model_target> const& target,
                                time_point now) const;
-    /// How long a worker may leave a request without a first byte.
+    /// How long to wait for the first byte of a worker's answer.
     duration first_byte_timeout(worker_id const& worker) const;
 
 private:
@@ -303,22 +328,23 @@
     };
     struct worker_state
     {
-        /// Draining also where the worker itself said so.
+        /// `draining` is also set if the worker itself announced its shutdown.
         backend_entry entry;
-        /// As the registry lists it.
+        /// Draining according to the registry.
         bool listed_draining = false;
         worker_health health;
         worker_adapters adapters;
-        /// This VM gives it orders.
+        /// This VM owns the worker.
         bool owned = false;
-        /// Requests of other VMs that were granted and are not over.
+        /// Granted requests of other VMs that have not ended.
         std::size_t granted = 0;
-        /// Requests that wait for room in its batch or for one of its adapter
-        /// slots, as decided so far in this pass over the queue.
+        /// Requests that wait for a batch slot or an adapter slot of this
+        /// worker, as decided so far in the current pass over the queue.
         std::size_t queued = 0;
         worker_reading backlog;
-        /// What its entry in the registry says of an earlier life, and until
-        /// when it may say so; nothing once the entry is of this life.
+        /// Models in the registry's entry of the previous incarnation, and when
+        /// that entry expires at the latest. Empty once the registry lists the
+        /// current incarnation.
         std::vector<held_model> previous_models;
         time_point old_entry_expires_at = never;
 
@@ -331,12 +357,12 @@
     struct waiting_item
     {
         work_item item;
-        /// The worker whose load of the adapter it waits for.
+        /// The worker whose load of the adapter the request waits for.
         worker_id loading_worker;
-        /// Owners that said no, for all their workers, and until when that
-        /// counts.
+        /// Owners that refused a grant for any of their workers, and until when
+        /// the refusal counts.
         std::map<vm_id, time_point> refused_until;
-        /// When it is to be decided on again though nothing happened.
+        /// When to decide on the request again even without an event.
         time_point review_at = never;
     };
     struct pending_grant
@@ -346,7 +372,7 @@
         vm_id owner;
         worker_id worker;
         time_point asked_at{};
-        /// Its owner has begun to answer.
+        /// The owner has started to answer.
         bool answer_started = false;
     };
     struct sent_item
@@ -356,25 +382,27 @@
         std::optional<model_target> target;
         bool counted_use = false;
         bool begun = false;
-        /// Sent by another VM.
+        /// Another VM sent the request, with a grant of this VM.
         bool by_peer = false;
-        /// Of the life that it was sent to.
+        /// The worker's incarnation that the request was sent to.
         worker_start started;
         std::uint32_t prompt_tokens = 0;
-        /// When it was to begin, as of its sending.
+        /// When the request was expected to start, as estimated when sent.
         time_point expected_at{};
         bool streams = false;
-        /// The version that it will begin on; 0 where that is not known.
+        /// The adapter version that the request will start on; 0 if unknown.
         adapter_version copy_version;
-        /// It is withdrawn if it has not begun by then.
+        /// The request is withdrawn if it has not started by then.
         time_point start_deadline = never;
     };
+    /// What was decided on one request in a pass over the queue.
     enum class decision
     {
         placed,
         waits,
-        /// Another VM was asked.
+        /// A grant was requested from another VM.
         grant_requested,
+        /// No worker can serve the request through this VM.
         unservable
     };
 
@@ -382,45 +410,59 @@
     static void record_listed_adapters(worker_state& worker);
     static void forget_previous_incarnation(worker_state& worker);
     void add_worker(backend_entry const& entry);
+    /// Applies a new registry entry of a known worker.
     void update_worker(worker_state& known, backend_entry const& entry);
+    /// Resets the worker's state after a restart; `known` is invalid
+    /// afterwards.
     void start_incarnation(worker_state& known, backend_entry const& entry);
+    /// Makes requests stop waiting for loads at the worker.
     void clear_load_waits(worker_id const& worker);
-    /// Notes that this VM sends a request to the worker now.
+    /// Records that this VM sends a request to the worker now.
     void record_send(worker_state& worker, work_item const& item,
                      sent_item sent, time_point now);
+    /// Maximum number of requests that this VM may have at the worker.
     std::size_t request_limit(worker_state const& worker) const;
-    /// Until a request that is sent to the worker now would begin.
+    /// Time until a request that is sent to the worker now would start.
     duration queueing_delay(worker_state const& worker, time_point now) const;
-    /// What a worker in another failure domain costs.
+    /// Penalty for a worker in another failure domain; 0 in the same domain.
     duration cross_domain_penalty(worker_state const& worker) const;
-    /// Until a slot for one more adapter is free.
+    /// Time until a slot for one more adapter is free.
     duration slot_delay(worker_state const& worker) const;
-    /// Until an adapter that is not there has been loaded.
+    /// Time until an adapter that is not resident would be loaded.
     duration load_delay(worker_state const& worker,
                         model_target const& target) const;
-    /// Until a load that has begun is over.
+    /// Time until a load in progress is done.
     duration remaining_load_time(worker_state const& worker,
                                  model_target const& target,
                                  time_point now) const;
-    /// Until the request would begin there, and what that costs others.
+    /// Cost of placing the request on the worker: the time until the request
+    /// would start, plus penalties for a load's cost to other requests, a
+    /// missed service-level objective and another failure domain, minus the
+    /// prefill time that a cached prefix saves.
     duration placement_cost(worker_state const& worker, work_item const& item,
                             worker_state const* prefix_home,
                             time_point now) const;
+    /// Whether the worker may be sent the request now: not draining, excluded,
+    /// in backoff, full or unreachable (except for one probe).
     bool accepts_request(worker_state const& worker, work_item const& item,
                          time_point now) const;
-    /// The worker asked this VM for rest, and it is not over.
+    /// Whether the worker asked this VM to back off and the time is not over.
     bool in_backoff(worker_state const& worker, time_point now) const;
+    /// Whether the worker accepts orders and requests of this VM.
     bool is_available(worker_state const& worker, time_point now) const;
     bool in_backoff_for(worker_state const& worker, work_item const& item,
                         time_point now) const;
     bool has_model(worker_state const& worker,
                    std::optional<model_target> const& target) const;
+    /// Returns when the first of the workers that the request may use ends its
+    /// backoff; nothing unless all of them are in backoff.
     std::optional<time_point> all_in_backoff_until(work_item const& item,
                                                    time_point now) const;
-    /// Waits for the end of a rest that is near, or is to be refused.
+    /// Lets a request wait for the end of a backoff if the end is near;
+    /// otherwise the request is unservable.
     decision wait_for_backoff(waiting_item& waiting, time_point until,
                               time_point now);
-    /// A worker of this VM that has the adapter and room.
+    /// Whether an owned worker has a usable copy and free capacity.
     bool can_run_now(worker_state const& worker, work_item const& item,
                      time_point now) const;
     bool is_failure_outlier(worker_state const& worker, time_point now) const;
@@ -429,58 +471,72 @@
     bool has_usable_copy(worker_state const& worker, model_target const& target,
                          time_point now) const;
     adapter_version newest_version(model_target const& target) const;
-    /// Of the copy at the worker, as far as is known; 0 where it is not.
+    /// Version of the adapter's copy at the worker, as far as this VM knows; 0
+    /// if unknown.
     adapter_version believed_version(worker_state const& worker,
                                      model_target const& target) const;
+    /// Describes the copy if its version is superseded, otherwise nothing.
     std::optional<superseded_copy>
     find_superseded(std::optional<model_target> const& target,
                     adapter_version copy) const;
+    /// Returns the version that the request must name to the worker; 0 for any.
+    /// `copy`: the assumed version of the worker's copy.
     adapter_version required_version(std::optional<model_target> const& target,
                                      adapter_version copy,
                                      time_point now) const;
+    /// Returns the best worker of any owner that lists the request's model or
+    /// adapter; null if there is none.
     worker_state* best_holder(waiting_item const& waiting, time_point now);
-    /// Until so many requests more have found one of the slots free.
+    /// Expected time until `ahead` more requests have each got one of the
+    /// slots.
     duration slot_wait(std::size_t ahead, std::size_t slots) const;
     bool should_keep_waiting(worker_state const& worker,
                              waiting_item const& waiting, time_point now) const;
+    /// Whether the expected wait for batch and adapter slots of the worker is
+    /// short enough.
     bool worth_waiting(worker_state const& worker, work_item const& item,
                        time_point now) const;
-    /// Whether an owner that said no may say yes a moment later.
+    /// Whether an owner that refused a grant may be asked again soon.
     bool may_retry_owner(waiting_item const& waiting, time_point now) const;
-    /// Whether some worker that it may go to has no owner now.
+    /// Whether some worker that the request may use has no owner now and may
+    /// soon have one.
     bool may_gain_owner(waiting_item const& waiting, time_point now) const;
     bool owner_refused(worker_id const& worker, waiting_item const& waiting,
                        time_point now) const;
-    /// Whether some VM can be asked for room at the worker.
+    /// Whether a grant for the worker can be requested from its owner.
     bool has_reachable_owner(worker_state const& worker, time_point now) const;
-    /// Whether a request may be sent there without asking: the worker lists
-    /// its adapter, and nobody can be asked.
+    /// Whether a request may be sent to the worker without a grant: the worker
+    /// lists the adapter, and no owner can be asked.
     bool may_send_without_grant(worker_state const& worker,
                                 work_item const& item, time_point now) const;
+    /// Whether the request may wait for a load at the worker, ordered by this
+    /// VM or by the worker's reachable owner.
     bool may_load_at(worker_state const& worker, waiting_item const& waiting,
                      time_point now) const;
     bool has_or_loads_adapter(worker_state const& worker,
                               model_target const& target, time_point now) const;
-    /// Where a request for an adapter would begin first, and where next.
+    /// The best worker for a request for an adapter.
     struct placement_choice
     {
         worker_state* worker = nullptr;
-        /// Sent there without asking its owner.
+        /// The request is sent without a grant of the worker's owner.
         bool without_grant = false;
         duration delay = duration::max();
-        /// At the next best worker of another VM.
+        /// The delay at the next best worker.
         duration next_delay = duration::max();
     };
-    /// Rank of a worker among those that requests with the same beginning of a
-    /// prompt go to; nothing for one that they do not go to.
+    /// Rank of a worker by rendezvous hashing among the workers for requests
+    /// with the same prompt prefix; nothing if the worker is not a candidate.
     std::optional<std::uint64_t> prefix_rank(work_item const& item,
                                              worker_state const& worker,
                                              time_point now) const;
-    /// The holder of the request's adapter that requests with the same
-    /// beginning of a prompt go to first; null if there is none.
+    /// Returns the worker with the request's adapter that requests with the
+    /// same prompt prefix prefer; null if there is none.
     worker_state const* prefix_home(work_item const& item,
                                     time_point now) const;
-    /// `named`: the version that the request names; 0 where it names none.
+    /// Returns the worker that `on` should copy the prompt's prefix from, if
+    /// any, and counts the decision. `requested_version`: the version that the
+    /// request names; 0 if it names none.
     std::optional<backend_entry>
     prefix_source(work_item const& item, worker_state const& on,
                   adapter_version requested_version, time_point now);
@@ -504,14 +560,18 @@
                                  bool own_workers_only,
                                  worker_state const* except, time_point now);
     double mean_outstanding_requests() const;
-    bool is_overloaded(worker_state const& worker, bool asked_often,
+    bool is_overloaded(worker_state const& worker, bool frequently_requested,
                        time_point now) const;
-    /// Asked for often by all that come to this VM's workers.
+    /// Whether the adapter is requested often from this VM, by callers and
+    /// other VMs together.
     bool is_hot(model_target const& target, time_point now) const;
-    /// Goes on waiting for a load that has begun, or begins at a holder that is
-    /// sooner; nothing if the request waits for no load.
+    /// Continues to wait for a load in progress, or places the request at an
+    /// owned holder that is at least as good by now. Returns nothing if the
+    /// request waits for no load, or no longer.
     std::optional<decision> continue_waiting(waiting_item& waiting,
                                              time_point now);
+    /// Places the request at a worker with the adapter, and orders a second
+    /// copy if that worker is overloaded or its copy outdated.
     decision place_at_holder(waiting_item& waiting, worker_state& holder,
                              time_point now);
     worker_state* own_holder(waiting_item const& waiting, time_point now);
@@ -527,14 +587,15 @@
     void replicate_adapter(worker_state const& busy,
                            waiting_item const& waiting, time_point now);
     void place(waiting_item& waiting, worker_state& on, time_point now);
-    void refuse(waiting_item const& waiting, error_kind kind,
+    void reject(waiting_item const& waiting, error_kind kind,
                 duration retry_after, std::string_view reason, time_point now);
-    void refuse_unservable(waiting_item const& waiting, time_point now);
+    void reject_unservable(waiting_item const& waiting, time_point now);
     void stop_waiting_for_load(waiting_item& waiting);
     duration expected_wait(std::size_t ahead, time_point now) const;
     bool too_late(waiting_item const& waiting, std::size_t ahead,
                   time_point now) const;
-    /// A newer version than the request's was heard of then.
+    /// Sets the deadline by which a request on a superseded version must start.
+    /// `learned_at`: when this VM learned of the newer version.
     void limit_start(sent_item& sent, time_point learned_at);
     void withdraw_overdue(time_point now);
     void run_queue(time_point now);
@@ -556,19 +617,19 @@
     adapter_releases version_history_;
     std::map<base_model_id, weights_version> declared_weights_;
     registry_moment known_as_of_;
-    /// Of this VM's callers and of the VMs that ask it.
+    /// Requests of this VM's callers and of other VMs that ask for grants.
     adapter_demand demand_;
     adapter_sightings adapter_locations_;
     std::vector<placement_action> actions_;
     std::vector<time_point> weight_loads_;
     std::uint64_t last_number_ = 0;
-    /// When run() was called last.
+    /// Time of the last call of run().
     time_point decided_at_{};
-    /// The first moment by which a request that was sent has to begin.
+    /// The earliest `start_deadline` of all sent requests.
     time_point next_start_deadline_ = never;
     std::size_t vm_count_ = 1;
     reading_pace prefill_rate_;
-    duration mean_service_ = std::chrono::milliseconds(500);
+    duration mean_service_time_ = std::chrono::milliseconds(500);
     scheduler_counts counts_;
 };
 
--- a/src/service_versions.cpp
+++ b/src/service_versions.cpp
@@ -1,4 +1,4 @@
-// Which versions of adapters and weights requests may begin on; see
+// Versions of adapters and weights that requests may start on; see
 // service_scheduler.hpp.
 #include "service_scheduler.hpp"
 
@@ -13,7 +13,8 @@
     return version_history_.newest(target);
 }
 
-/// Declared, or listed by a worker that loaded it before this VM heard.
+/// The newest version that was declared or that a worker lists. A worker may
+/// load a version before this VM learns of the declaration.
 weights_version
 service_scheduler::newest_weights(base_model_id const& model) const
 {
@@ -39,7 +40,7 @@
     return {};
 }
 
-/// Where no version of the adapter was declared there is only the first.
+/// If no version of the adapter was declared, only version 1 exists.
 served_versions service_scheduler::versions_at(worker_state const& worker,
                                                model_target const& target) const
 {
@@ -53,10 +54,10 @@
     return known;
 }
 
-/// Failure: a copy is believed to be newer than it is, after orders whose
-/// answers were lost or came late, and a request begins on the old version long
-/// after the new one was declared. Whatever is believed here, the worker
-/// compares the version itself and refuses a request that names another.
+/// A copy may be assumed to be newer than it is, after orders whose answers
+/// were lost or late, and a request would start on the old version long after
+/// the new one was declared. Therefore the request names a version, and the
+/// worker rejects the request if its copy has another one.
 adapter_version
 service_scheduler::required_version(std::optional<model_target> const& target,
                                     adapter_version copy, time_point now) const
@@ -86,10 +87,10 @@
                            version_history_.newest_heard_at(*target)};
 }
 
-/// Failure: a version of a model's weights counts as an adapter's. Every worker
-/// keeps the weights that it loaded, so that none serves a request which names
-/// the new version, and callers of the model itself are turned away. Weights
-/// come into use as workers load the model; no request waits for them.
+/// A version of a model's weights is recorded separately from adapter versions,
+/// and requests never name it. Workers keep the weights that they loaded until
+/// they load the model again, so that all of them would reject requests that
+/// name the new version.
 void service_scheduler::on_release(model_target const& target,
                                    adapter_version version,
                                    time_point learned_at)
@@ -120,9 +121,10 @@
     next_start_deadline_ = std::min(next_start_deadline_, sent.start_deadline);
 }
 
-/// Failure: a request is sent to an old copy in time, or before the new version
-/// was heard of, and waits at a worker that is silent or full for longer than
-/// was expected; it begins on the old version after the bound.
+/// Withdraws sent streams that have not started by their deadline. A request
+/// that was sent to a superseded copy in time may wait longer than expected at
+/// a silent or full worker, and would then start on the old version after the
+/// bound.
 void service_scheduler::withdraw_overdue(time_point now)
 {
     if (now < next_start_deadline_)
--- a/src/service_workers.cpp
+++ b/src/service_workers.cpp
@@ -1,4 +1,4 @@
-// What is known of the workers of a service and of their lives; see
+// Tracking of a service's workers and their incarnations; see
 // service_scheduler.hpp.
 #include "service_scheduler.hpp"
 
@@ -12,8 +12,8 @@
 
 using std::chrono::milliseconds;
 
-/// By then the entry of a worker that does not write it is gone: it lapses
-/// after three heartbeats.
+/// Upper bound of the time until an entry expires that its worker no longer
+/// writes; entries expire after three missed heartbeats.
 constexpr milliseconds entry_lifetime{5000};
 } // namespace
 
@@ -48,8 +48,8 @@
     record_listed_adapters(added);
 }
 
-/// An entry that does not say when the worker started is of the life that is
-/// known. One of an earlier life came late and says nothing of this one.
+/// An entry without a start time belongs to the known incarnation. A late entry
+/// of an earlier incarnation is ignored.
 void service_scheduler::update_worker(worker_state& known,
                                       backend_entry const& entry)
 {
@@ -76,10 +76,10 @@
     worker.old_entry_expires_at = never;
 }
 
-/// Failure: a worker crashes and starts again under its id. What it held, its
-/// count of orders, its health and its queue are believed of it on, so that
-/// requests go to copies that are gone and every order conflicts. Nothing of
-/// the life before is kept; its owner asks what it holds before the next order.
+/// Discards all state of the previous incarnation when a worker restarts under
+/// the same id. Kept state (adapters, order sequence, health, queue) would send
+/// requests to copies that are gone and make every order conflict. The owner
+/// requests a report before the next order.
 void service_scheduler::start_incarnation(worker_state& known,
                                           backend_entry const& entry)
 {
@@ -100,9 +100,9 @@
             waiting.loading_worker = {};
 }
 
-/// Load it answers: more adapters are asked for than slots hold, and each comes
-/// and goes. One that is asked for again loads in a tenth of the time where it
-/// was before, wherever that was.
+/// Records which adapters the worker had, whose copies on disk load in a tenth
+/// of the time. This matters when more adapters are in use than there are
+/// slots, so that adapters are evicted and loaded again.
 void service_scheduler::record_listed_adapters(worker_state& worker)
 {
     for (held_model const& held : worker.entry.models)
@@ -141,10 +141,11 @@
     worker_start const listed = known->entry.started;
     if (report && report->started > listed && listed != worker_start())
     {
-        // Its entry in the registry still tells of the life before.
+        // The worker's registry entry still describes the previous incarnation.
         backend_entry entry = known->entry;
         entry.started = report->started;
-        // What the life before said of its leaving is not this one's.
+        // A shutdown announced by the previous incarnation does not apply to
+        // the new one.
         entry.draining = known->listed_draining;
         std::vector<held_model> previous_models =
             std::exchange(entry.models, {});
@@ -167,12 +168,16 @@
         { known->adapters.outdate(target, declared.version); });
 }
 
-/// Failure: a worker starts again where it cannot reach the registry, and loads
-/// newer weights while its entry tells of the life before. Other VMs take it
-/// for a holder of the weights that it had, and have prompts copied from it
-/// that newer ones read. So unless those of its entry are known to be the
-/// newest, it loads none before the entry is written anew or has lapsed: from
-/// then on a VM whose knowledge is recent knows of the start.
+/// Whether the worker must not load a model until its registry entry is
+/// current.
+///
+/// A worker that restarts without reaching the registry may load newer weights
+/// while its entry still describes the previous incarnation. Other VMs would
+/// assume the old weights there and have prompt caches copied from the worker
+/// that the newer weights made. Unless the weights in the old entry are known
+/// to be the newest, the worker therefore loads no model before the entry is
+/// rewritten or has expired; VMs with recent registry data then know of the
+/// restart.
 bool service_scheduler::must_wait_for_entry(worker_state const& worker,
                                             time_point now) const
 {
