--- a/src/relay.cmake
+++ b/src/relay.cmake
@@ -15,7 +15,7 @@
           pooled_allotment_test.cpp prompt_copy_test.cpp relay_request_test.cpp
           remote_clock_test.cpp retry_allowance_test.cpp route_table_test.cpp
           row_copy_test.cpp scheduler_world.cpp
-          service_leaving_test.cpp service_load_test.cpp service_rest_test.cpp service_scheduler_test.cpp service_version_test.cpp start_hold_test.cpp team_directory_test.cpp token_bucket_test.cpp
+          service_leaving_test.cpp service_load_test.cpp service_backoff_test.cpp service_scheduler_test.cpp service_version_test.cpp start_hold_test.cpp team_directory_test.cpp token_bucket_test.cpp
           worker_adapters_test.cpp worker_health_test.cpp worker_notices_test.cpp
           worker_reading_test.cpp
   LINK mulberry_scheduling)
--- a/src/service_scheduler.cpp
+++ b/src/service_scheduler.cpp
@@ -338,7 +338,7 @@
             reject(waiting, error_kind::overloaded,
                    std::clamp<duration>(expected_wait(ahead, now),
                                         min_retry_after, max_retry_after),
-                   "the queue is too long for its deadline", now);
+                   "the queue is too long for the request's deadline", now);
             done.push_back(key);
         }
     }
--- a/tests/scheduler_world.cpp
+++ b/tests/scheduler_world.cpp
@@ -13,7 +13,7 @@
 constexpr milliseconds run_time{120};
 constexpr milliseconds step{5};
 constexpr std::size_t max_loading = 4;
-/// When an order without an answer counts as unknown.
+/// An order without an answer counts as unknown after this time.
 constexpr milliseconds unanswered_after{80};
 char const* const model = "base";
 
@@ -69,7 +69,8 @@
                       resident_.erase(each.first);
                       return true;
                   });
-    // As the engines do: a load under way is confirmed whatever its number.
+    // As engines do: a load in progress is confirmed whatever the sequence
+    // number.
     if (order.kind == order_kind::load && loading_.count(adapter) > 0)
         return order_outcome::accepted;
     if (order.expected_sequence != sequence_)
@@ -218,7 +219,7 @@
             scheduler.on_order(order, order_outcome::unknown, now);
         scheduler.set_registry_timestamps(
             {now - declarations_age, now - workers_age});
-        // A worker's answers may let the next order follow at once.
+        // A worker's answer may allow the next order at once.
         for (int again = 0; again < 4; ++again)
             for (placement_action const& action : scheduler.run(now))
                 carry_out(action);
--- a/tests/scheduler_world.hpp
+++ b/tests/scheduler_world.hpp
@@ -1,4 +1,4 @@
-/// A service scheduler with workers that answer its orders, in virtual time.
+/// Test harness: a service scheduler with simulated workers in virtual time.
 #ifndef MULBERRY_TESTS_SCHEDULER_WORLD_HPP
 #define MULBERRY_TESTS_SCHEDULER_WORLD_HPP
 
@@ -13,8 +13,8 @@
 namespace mulberry::test
 {
 
-/// An engine's worker as orders see it. A load is done when its time is over
-/// and the load is asked about again.
+/// Simulated worker that executes orders. A load is completed by the first
+/// order after its load time is over.
 class scripted_worker
 {
 public:
@@ -24,8 +24,8 @@
     std::size_t held() const { return resident_.size() + loading_.size(); }
     std::size_t max_held() const { return max_held_; }
     std::uint64_t sequence() const { return sequence_; }
-    /// A request that the scheduler does not know of uses the adapter: an
-    /// unload waits for its end.
+    /// Simulates a request unknown to the scheduler that uses the adapter; an
+    /// unload waits for the end of that request.
     void mark_in_use(std::string const& adapter) { used_.insert(adapter); }
     bool holds(std::string const& adapter) const
     {
@@ -64,14 +64,15 @@
     explicit scheduler_world(std::size_t workers, std::size_t adapter_slots = 4,
                              std::size_t batch_slots = 8);
 
-    /// A request for an adapter; empty: for the model itself.
+    /// Submits a request for an adapter, or for the model if `adapter` is
+    /// empty.
     ticket_id ask(std::string const& adapter, int priority = 0,
                   duration time_left = std::chrono::seconds(5),
                   std::uint32_t prompt_tokens = 0);
-    /// Another VM's request for room at a worker.
+    /// Submits another VM's request for a grant at a worker.
     ticket_id ask_for_peer(std::string const& adapter, std::size_t worker,
                            std::set<worker_id> excluded = {});
-    /// A request as it is; target, ticket and times are filled in.
+    /// Submits `item` after setting its target, ticket and times.
     ticket_id submit(work_item item, std::string const& adapter,
                      duration time_left = std::chrono::seconds(5));
     /// Runs the scheduler and answers orders and reports until `span` is over.
@@ -119,21 +120,20 @@
     void own_all();
 
     time_point now{std::chrono::hours(1)};
-    /// Whether a request that is placed begins its answer in the same moment.
+    /// Whether a placed request starts its answer at once.
     bool begins_at_once = true;
-    /// Whether workers answer questions for their reports.
+    /// Whether workers answer report requests.
     bool reports = true;
     service_config config;
     std::map<worker_id, scripted_worker> workers;
     std::set<worker_id> draining;
-    /// When workers started, of those that say it.
+    /// Start times of the workers that list one.
     std::map<worker_id, worker_start> start_times;
-    /// The versions of the weights that workers list; the first where none is
-    /// given.
+    /// Versions of the weights that workers list; 1 if none is given.
     std::map<worker_id, weights_version> weights;
     /// All workers list one address.
     bool same_address = false;
-    /// How old what is known of the registry is.
+    /// Age of the registry data known to the scheduler.
     duration declarations_age{};
     duration workers_age{};
     std::map<worker_id, order_grant> grants;
@@ -145,7 +145,7 @@
     std::size_t batch_slots_;
     std::uint64_t last_ticket_ = 0;
     std::map<ticket_id, worker_id> placed_;
-    /// Of other VMs' requests.
+    /// Grants of other VMs' requests.
     std::map<ticket_id, granted_copy> granted_;
     std::map<ticket_id, time_point> times_;
     std::map<ticket_id, adapter_version> versions_;
--- a/tests/service_rest_test.cpp
+++ b/tests/service_backoff_test.cpp
@@ -1,4 +1,4 @@
-// Workers that turn requests away and ask this VM for rest.
+// Workers that reject requests and ask this VM to back off.
 #include "scheduler_world.hpp"
 
 #include <catch2/catch.hpp>
@@ -25,7 +25,7 @@
     return world.placed(ticket);
 }
 
-/// Its two workers are another VM's.
+/// Two workers that another VM owns.
 struct other_owner_pair
 {
     other_owner_pair()
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("a request does not go to a worker that rests", "[scheduler][rest]")
+TEST_CASE("a request is not sent to a worker in backoff", "[scheduler][rest]")
 {
     scheduler_world world(2);
     ticket_id const before = world.ask("a1");
@@ -54,8 +54,9 @@
     CHECK(world.worker_of(during) != home);
 }
 
-// Guards against a rest that is forgotten as a worker's entry lapses.
-TEST_CASE("a worker that is listed anew still rests", "[scheduler][rest]")
+// Guards against losing a backoff when the worker's registry entry expires.
+TEST_CASE("a worker that is listed again is still in backoff",
+          "[scheduler][rest]")
 {
     scheduler_world world(1);
     request_backoff(world, first, 3s);
@@ -67,8 +68,8 @@
     CHECK_FALSE(world.placed(during));
 }
 
-// Guards against callers that wait for their deadline, or come back too early.
-TEST_CASE("a caller is told when the first worker takes requests again",
+// Guards against callers that wait until their deadline or retry too early.
+TEST_CASE("Retry-After is the time until the first worker's backoff ends",
           "[scheduler][rest]")
 {
     scheduler_world world(2);
@@ -84,7 +85,7 @@
     }
 }
 
-TEST_CASE("the end of a short rest is waited for", "[scheduler][rest]")
+TEST_CASE("a request waits for the end of a short backoff", "[scheduler][rest]")
 {
     scheduler_world world(1);
     ticket_id const before = world.ask("a1");
@@ -98,8 +99,8 @@
     CHECK(world.placed(during));
 }
 
-// Guards against a loop that decides again and again while a worker rests.
-TEST_CASE("nothing is due before the end of a rest", "[scheduler][rest]")
+// Guards against a busy loop of decisions while a worker is in backoff.
+TEST_CASE("no wakeup is due before the end of a backoff", "[scheduler][rest]")
 {
     scheduler_world world(1);
     world.ask("a1");
@@ -109,8 +110,8 @@
     CHECK(world.scheduler.next_due() >= world.now + 1s);
 }
 
-// Guards against orders and questions to a worker that wants nothing.
-TEST_CASE("a worker that rests is given no order", "[scheduler][rest]")
+// Guards against orders and report requests to a worker in backoff.
+TEST_CASE("a worker in backoff gets no orders", "[scheduler][rest]")
 {
     scheduler_world world(1);
     request_backoff(world, first, 3s);
@@ -119,8 +120,8 @@
     CHECK(world.workers.at(first).loads_of("a1") == 0);
 }
 
-// Guards against a grant by an owner whom the worker did not ask for rest.
-TEST_CASE("a grant for a worker that rests is not used", "[scheduler][rest]")
+// Guards against a grant by an owner that the worker did not ask to back off.
+TEST_CASE("a grant for a worker in backoff is not used", "[scheduler][rest]")
 {
     other_owner_pair pair;
     ticket_id const asked = pair.world.ask("a1");
@@ -131,7 +132,7 @@
         asked, grant_outcome::granted, {first, {}}, pair.world.now));
 }
 
-TEST_CASE("an owner is told which workers asked this VM for rest",
+TEST_CASE("a grant request excludes the workers that asked this VM to back off",
           "[scheduler][rest]")
 {
     other_owner_pair pair;
@@ -144,8 +145,8 @@
           std::set<worker_id>{second});
 }
 
-// Guards against a VM that keeps its own rest for the requests of others.
-TEST_CASE("another VM may use a copy at a worker that rests",
+// Guards against a VM that applies its own backoff to other VMs' requests.
+TEST_CASE("another VM is granted a copy at a worker in backoff",
           "[scheduler][rest]")
 {
     scheduler_world world(1);
@@ -158,9 +159,10 @@
     CHECK(world.granted(theirs));
 }
 
-// Guards against a loop that decides every millisecond until a slot is free.
-TEST_CASE("nothing is due at once after a rest that was waited for",
-          "[scheduler][rest]")
+// Guards against decisions every millisecond until a slot is free.
+TEST_CASE(
+    "no immediate wakeup is due after a backoff that a request waited for",
+    "[scheduler][rest]")
 {
     scheduler_world world(1, 4, 1);
     request_backoff(world, first, 200ms);
@@ -173,7 +175,8 @@
     CHECK(world.scheduler.next_due() > world.now);
 }
 
-TEST_CASE("an owner's no that is over is not due while all workers rest",
+TEST_CASE("an expired refusal of an owner causes no wakeup while all workers "
+          "are in backoff",
           "[scheduler][rest]")
 {
     other_owner_pair pair;
@@ -191,8 +194,8 @@
     CHECK(world.scheduler.next_due() > world.now);
 }
 
-// Guards against a refusal with a time that has nothing to do with the rest.
-TEST_CASE("a request with little time left waits for a short rest",
+// Guards against a rejection with a Retry-After unrelated to the backoff.
+TEST_CASE("a request with little time left waits for a short backoff",
           "[scheduler][rest]")
 {
     scheduler_world world(1);
@@ -207,8 +210,9 @@
     CHECK(world.placed(during));
 }
 
-// Guards against waiting because a worker of another model does not rest.
-TEST_CASE("only workers with the request's model count", "[scheduler][rest]")
+// Guards against waiting because a worker of another model is not in backoff.
+TEST_CASE("only workers with the request's model delay its rejection",
+          "[scheduler][rest]")
 {
     scheduler_world world(2);
     world.scheduler.set_grants({});
@@ -222,10 +226,10 @@
     CHECK(world.refusal(during).retry_after == 3s);
 }
 
-// Guards against a time to come back at which nobody can serve.
-TEST_CASE("a worker that cannot be reached does not end the wait for one that "
-          "rests",
-          "[scheduler][rest]")
+// Guards against a Retry-After after which no worker can serve the request.
+TEST_CASE(
+    "an unreachable worker is ignored when the end of backoffs is computed",
+    "[scheduler][rest]")
 {
     scheduler_world world(2);
     ticket_id const lost = world.ask("");
--- a/tests/service_leaving_test.cpp
+++ b/tests/service_leaving_test.cpp
@@ -1,4 +1,4 @@
-// Workers that say in an answer that they leave.
+// Workers that announce their shutdown in an answer.
 #include "scheduler_world.hpp"
 
 #include <catch2/catch.hpp>
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("a worker that says it leaves gets nothing more",
+TEST_CASE("a worker that announces its shutdown gets no more requests",
           "[scheduler][leaving]")
 {
     scheduler_world world(1);
@@ -31,9 +31,10 @@
     CHECK_FALSE(placed(world));
 }
 
-// Guards against a list that is behind the worker's own word.
-TEST_CASE("a worker that leaves is not used because it is listed",
-          "[scheduler][leaving]")
+// Guards against a stale registry that lists the worker after its announcement.
+TEST_CASE(
+    "a worker that announced its shutdown is not used although it is listed",
+    "[scheduler][leaving]")
 {
     scheduler_world world(1);
     REQUIRE(placed(world));
@@ -46,7 +47,7 @@
     CHECK_FALSE(placed(world));
 }
 
-TEST_CASE("a worker's next life has not said that it leaves",
+TEST_CASE("an announced shutdown does not apply to the next incarnation",
           "[scheduler][leaving]")
 {
     scheduler_world world(1);
@@ -63,8 +64,8 @@
     CHECK(placed(world));
 }
 
-// Guards against an answer of an earlier life that comes late.
-TEST_CASE("what an earlier life said does not count for the next",
+// Guards against a late answer of an earlier incarnation.
+TEST_CASE("a late announcement of an earlier incarnation is ignored",
           "[scheduler][leaving]")
 {
     scheduler_world world(1);
@@ -76,8 +77,8 @@
     CHECK(placed(world));
 }
 
-// Guards against a departure that a worker's next life inherits.
-TEST_CASE("a report of the next life ends the departure",
+// Guards against applying an announced shutdown to the next incarnation.
+TEST_CASE("a report of the next incarnation ends the announced shutdown",
           "[scheduler][leaving]")
 {
     scheduler_world world(1);
@@ -93,7 +94,8 @@
     CHECK(placed(world));
 }
 
-TEST_CASE("a departure of an unknown life is forgotten", "[scheduler][leaving]")
+TEST_CASE("an announced shutdown of an unknown incarnation expires",
+          "[scheduler][leaving]")
 {
     scheduler_world world(1);
     world.scheduler.on_leaving(world.entry(0), world.now);
@@ -106,8 +108,9 @@
     CHECK(placed(world));
 }
 
-TEST_CASE("nothing is due at a worker that leaves in the middle of a load",
-          "[scheduler][leaving]")
+TEST_CASE(
+    "a worker that shuts down during a load does not cause immediate wakeups",
+    "[scheduler][leaving]")
 {
     scheduler_world world(2);
     ticket_id const asked = world.ask("a1");
--- a/tests/service_load_test.cpp
+++ b/tests/service_load_test.cpp
@@ -1,4 +1,5 @@
-// The scheduler under the loads that its decisions answer, replayed.
+// Placement decisions under load: prefill backlogs, grants, lost owners and
+// shared prompt prefixes.
 #include "scheduler_world.hpp"
 
 #include <catch2/catch.hpp>
@@ -10,7 +11,7 @@
 namespace
 {
 
-/// Takes a worker two seconds at the pace that is assumed at first.
+/// Takes two seconds of prefill at the initially assumed rate.
 constexpr std::uint32_t long_prompt = 20'000;
 constexpr std::uint32_t short_prompt = 500;
 
@@ -21,7 +22,7 @@
     return item;
 }
 
-/// Two workers of this VM hold the adapter.
+/// Two workers of this VM that both have the adapter `a1`.
 struct two_holders : scheduler_world
 {
     two_holders() : scheduler_world(2)
@@ -40,7 +41,7 @@
     }
 };
 
-/// The first worker is this VM's, the second another's.
+/// Two workers: this VM owns the first, another VM the second.
 struct shared_world : scheduler_world
 {
     shared_world() : scheduler_world(2)
@@ -50,7 +51,7 @@
     }
 };
 
-/// An adapter whose home by hashing is that worker, of so many.
+/// Returns an adapter whose home among `workers` workers is `worker`.
 std::string adapter_at_home(std::size_t worker, std::size_t workers)
 {
     for (int number = 0;; ++number)
@@ -66,9 +67,8 @@
 
 } // namespace
 
-// A prompt of two seconds is being read at one worker. Counted as requests the
-// two workers look the same; a short prompt sent behind the long one would
-// begin two seconds late, and begins at once at the other.
+// Guards against head-of-line blocking: by request count both workers look the
+// same, but a short prompt behind a long one starts two seconds late.
 TEST_CASE("a short prompt is not sent behind a long one", "[load]")
 {
     scheduler_world world(2);
@@ -86,10 +86,10 @@
     CHECK(world.worker_of(third) != world.worker_of(heavy));
 }
 
-// The only holder of an adapter has seconds of prompts to read. A request that
-// waited behind them would be late; a copy is fetched at an idle worker, which
-// takes a quarter of a second.
-TEST_CASE("an adapter is fetched where its holder would begin too late",
+// Guards against head-of-line blocking at the only holder of an adapter, which
+// has a prefill backlog of seconds. A fetch at an idle worker takes a quarter
+// of a second.
+TEST_CASE("an adapter is fetched elsewhere if its holder would start too late",
           "[load]")
 {
     scheduler_world world(2);
@@ -107,9 +107,11 @@
     CHECK(world.worker_of(quick) != holder);
 }
 
-// This VM's own worker has seconds to read, another VM's has nothing that is
-// known of. The other is asked.
-TEST_CASE("a request does not wait behind this VM's own queue", "[load]")
+// Guards against preferring this VM's own worker although it has a prefill
+// backlog of seconds and another VM's worker has no known backlog.
+TEST_CASE(
+    "another VM's worker is asked instead of waiting behind a long own backlog",
+    "[load]")
 {
     shared_world world;
     world.begins_at_once = false;
@@ -123,10 +125,11 @@
     CHECK(world.grant_requests().front().worker == scheduler_world::name(1));
 }
 
-// Each VM believes that some other one is sooner, from what it heard a while
-// ago. The first owner may say no for the sake of the next best; after that the
-// request goes wherever there is room, and is not sent round for ever.
-TEST_CASE("only the first owner may point to another worker", "[load]")
+// Guards against a request that is passed from owner to owner: from stale data,
+// each owner may assume that another worker starts the request sooner. Only the
+// first owner may refuse for that reason.
+TEST_CASE("only the first owner may refuse in favour of another worker",
+          "[load]")
 {
     scheduler_world world(3);
     world.scheduler.set_grants({});
@@ -146,7 +149,8 @@
     CHECK(world.grant_requests().back().begins_elsewhere_at == never);
 }
 
-TEST_CASE("an owner says no to what begins sooner elsewhere", "[load]")
+TEST_CASE("an owner refuses a request that would start sooner elsewhere",
+          "[load]")
 {
     scheduler_world world(1);
     ticket_id const first = world.ask("a1");
@@ -166,9 +170,9 @@
     CHECK(world.granted(nowhere));
 }
 
-// An owner has no room at any of its workers. Asked for each of them in turn it
-// would say no four times over, and other owners would never be asked.
-TEST_CASE("an owner that said no is not asked for its other workers", "[load]")
+// Guards against asking one owner for each of its full workers in turn. That
+// would use up the limit of refusals before other owners are asked.
+TEST_CASE("an owner that refused is not asked for its other workers", "[load]")
 {
     scheduler_world world(4);
     world.scheduler.set_grants({});
@@ -190,8 +194,10 @@
     CHECK(world.grant_requests().size() == 2);
 }
 
-// The worker that is asked for fails; the owner has another one.
-TEST_CASE("an owner grants another of its workers", "[load]")
+// Guards against a refusal because the requested worker fails although the
+// owner has another worker.
+TEST_CASE("an owner grants another of its workers if the requested one fails",
+          "[load]")
 {
     scheduler_world world(2);
     world.run(50ms);
@@ -207,10 +213,10 @@
     CHECK(world.granted_worker(asked) != home);
 }
 
-// A VM orders no worker: it has just taken the place of another. All owners are
-// busy for a moment. Its requests wait for that moment and are asked for again,
-// instead of being rejected one after the other for seconds.
-TEST_CASE("what busy owners refused is asked for again", "[load]")
+// Guards against rejections for seconds at a VM that owns no worker, for
+// example after replacing another VM, while all owners are busy only for a
+// moment.
+TEST_CASE("grants refused by busy owners are requested again", "[load]")
 {
     scheduler_world world(2);
     world.scheduler.set_grants({});
@@ -230,9 +236,10 @@
     CHECK(world.grant_requests().size() == 3);
 }
 
-// The VM that orders a worker is gone for good, and nobody else may order it
-// for many seconds. What the worker lists as loaded is used all the same.
-TEST_CASE("a worker whose owner is gone is used for what it holds", "[load]")
+// Guards against an idle worker after the permanent loss of its owner: no other
+// VM may own the worker for many seconds, but listed adapters can be used.
+TEST_CASE("a worker whose owner is gone is used for its resident adapters",
+          "[load]")
 {
     scheduler_world world(1);
     world.scheduler.set_grants({});
@@ -245,10 +252,11 @@
     CHECK(world.placed(ticket));
 }
 
-// A worker was dark for a second. What it held has been loaded elsewhere since,
-// so that no request comes to try it again. Its owner asks it for a report, and
-// uses it from then on.
-TEST_CASE("an avoided worker is asked how it is and used again", "[load]")
+// Guards against a worker that stays unused after an outage of a second: its
+// adapters were loaded elsewhere, so that no request tries the worker again.
+// Its owner probes the worker with a report request.
+TEST_CASE("an avoided worker is probed with a report request and used again",
+          "[load]")
 {
     scheduler_world world(2);
     std::string const adapter = adapter_at_home(0, 2);
@@ -273,10 +281,11 @@
     CHECK(used.size() == 2);
 }
 
-// More adapters are asked for than the slots hold, and each comes and goes. One
-// that was loaded away from its home returns to where the worker has kept a
-// copy of it, which loads in a tenth of the time.
-TEST_CASE("an adapter returns to where a copy of it was kept", "[load]")
+// Guards against slow reloads when more adapters are in use than there are
+// slots: a worker that has kept a copy on disk loads an adapter in a tenth of
+// the time, also if that worker is not the home.
+TEST_CASE("an adapter is reloaded at the worker that kept a copy on disk",
+          "[load]")
 {
     scheduler_world world(2, 1);
     std::string const adapter = adapter_at_home(0, 2);
@@ -298,10 +307,10 @@
     CHECK(world.worker_of(again) == scheduler_world::name(1));
 }
 
-// Many requests of one adapter begin with the same long text. They go to one of
-// its two holders, which has read it; one that begins sooner at the other
-// holder copies it from there.
-TEST_CASE("prompts with the same beginning go to the same holder", "[load]")
+// Guards against repeated prefill of a long prefix that many requests share.
+// They go to one of the two holders of the adapter; a request that starts
+// sooner at the other holder copies the prefix from the first.
+TEST_CASE("prompts with the same prefix go to the same holder", "[load]")
 {
     two_holders world;
     auto const ask_with = [&](std::uint64_t key)
@@ -317,7 +326,7 @@
     CHECK(world.prefix_source(first).id.empty());
     ticket_id const second = ask_with(7);
     REQUIRE(world.placed(second));
-    // The holder of the beginning is busy with the first by now.
+    // The holder of the prefix is busy with the first request by now.
     if (world.worker_of(second) != world.worker_of(first))
         CHECK(world.prefix_source(second).id == world.worker_of(first));
     world.end(first);
@@ -335,10 +344,10 @@
     CHECK(homes.size() == 2);
 }
 
-// All VMs restart at once: for a moment no worker has an owner, and adapters
-// that are not loaded cannot be asked for. Requests wait for the owners to come
-// back; where none comes they are told so while there is time to try again.
-TEST_CASE("requests wait a moment for workers to have owners again",
+// Guards against rejections when all VMs restart at once and no worker has an
+// owner for a moment. Requests wait for owners, but not so long that their
+// callers have no time left for a retry.
+TEST_CASE("requests wait briefly for workers to have owners again",
           "[service_load]")
 {
     scheduler_world world(2);
--- a/tests/service_scheduler_test.cpp
+++ b/tests/service_scheduler_test.cpp
@@ -21,7 +21,7 @@
     CHECK(world.workers.at(world.worker_of(first)).loads_of("a1") == 1);
 }
 
-TEST_CASE("an adapter that is there is used at once", "[scheduler]")
+TEST_CASE("a request for a resident adapter is placed at once", "[scheduler]")
 {
     scheduler_world world(2);
     ticket_id const first = world.ask("a1");
@@ -33,9 +33,8 @@
     CHECK(world.worker_of(second) == world.worker_of(first));
 }
 
-// Callers ask for far more adapters than a worker has slots. Each is loaded as
-// another makes way; a load that is ordered before an unload took effect would
-// be one too many, and the worker would crash under all its requests.
+// Guards against a load that is ordered before an unload took effect: the
+// worker would hold one adapter too many and crash with all its requests.
 TEST_CASE("a worker never holds more adapters than it has slots", "[scheduler]")
 {
     scheduler_world world(1, 3);
@@ -52,10 +51,10 @@
         CHECK(world.placed(ticket));
 }
 
-// An order's answer is lost and the order is carried out all the same, or much
-// later. It is given again under the same sequence number until the worker
-// answers, so that it takes effect once and the adapter is loaded once.
-TEST_CASE("an order without an answer is given again and takes effect once",
+// Guards against executing an order twice when the answer is lost although the
+// worker executes the order. The order is sent again with the same sequence
+// number until the worker answers, so that the adapter is loaded once.
+TEST_CASE("an order without an answer is resent and takes effect once",
           "[scheduler]")
 {
     scheduler_world world(1);
@@ -70,8 +69,8 @@
     CHECK(worker.sequence() == 1);
 }
 
-// A worker will not unload an adapter at once, since a request that this VM
-// does not know of uses it. Its slot counts as taken until the unload is done.
+// Guards against reusing a slot too early: an unload is delayed by a request
+// that this VM does not know of.
 TEST_CASE("a slot is free only when its unload is done", "[scheduler]")
 {
     scheduler_world world(1, 1);
@@ -101,10 +100,10 @@
     CHECK_FALSE(world.placed(late));
 }
 
-// Load: a burst brings far more requests than the batch holds. Those that can
-// still be served in time wait; the others are turned away at once, with a
-// time to come back, instead of waiting out their deadlines.
-TEST_CASE("a request that cannot be served in time is refused at once",
+// Guards against a burst of far more requests than the batch holds: requests
+// that cannot be served in time must not wait until their deadlines, but are
+// rejected at once with a Retry-After.
+TEST_CASE("a request that cannot be served in time is rejected at once",
           "[scheduler]")
 {
     scheduler_world world(1, 4, 2);
@@ -120,14 +119,14 @@
         refused += world.refused(ticket);
     CHECK(refused > 40);
     CHECK(refused < 60);
-    // The first to come waits, the last is told to go.
+    // The oldest request waits, the newest is rejected.
     CHECK_FALSE(world.refused(burst[1]));
     REQUIRE(world.refused(burst.back()));
     CHECK(world.refusal(burst.back()).kind == error_kind::overloaded);
     CHECK(world.refusal(burst.back()).retry_after >= 100ms);
 }
 
-TEST_CASE("nothing is refused while there is room", "[scheduler]")
+TEST_CASE("nothing is rejected while there is capacity", "[scheduler]")
 {
     scheduler_world world(2, 4, 8);
     std::vector<ticket_id> tickets;
@@ -138,12 +137,10 @@
         CHECK(world.placed(ticket));
 }
 
-// A burst of rare adapters: more of them have their home at one worker than it
-// has slots, and all its slots are in use by requests that last. The first few
-// wait there for a slot; the rest are loaded at the other worker at once. One
-// that waited for all of them at its home would be answered seconds late while
-// the other worker stands idle.
-TEST_CASE("a long queue at a home goes elsewhere, a short one is waited for",
+// Guards against load imbalance in a burst of rare adapters whose home has too
+// few slots, all used by long requests. The first few wait for a slot there;
+// the rest would be seconds late, and are loaded at the idle worker at once.
+TEST_CASE("requests wait for a short queue at a home and avoid a long one",
           "[scheduler]")
 {
     scheduler_world world(2, 4, 32);
@@ -183,10 +180,11 @@
     CHECK(world.worker_of(burst.front()) == home);
 }
 
-// One adapter is asked for by more than a batch holds, by callers of other VMs.
-// Those for whom room is near wait; the rest are told no at once, so that their
-// VMs load a second copy at the next home.
-TEST_CASE("a full batch says no to other VMs at once", "[scheduler]")
+// Guards against long waits when more requests of other VMs ask for one adapter
+// than the batch holds. Only requests that will soon have a batch slot wait;
+// the rest are refused at once, so that their VMs load a second copy elsewhere.
+TEST_CASE("other VMs' requests are refused at once when the batch is full",
+          "[scheduler]")
 {
     scheduler_world world(1, 4, 8);
     ticket_id const first = world.ask("a1");
@@ -201,7 +199,7 @@
         refused += world.refused(ticket) && world.refusal(ticket).load == 1;
     CHECK(world.scheduler.counts().granted == 7);
     CHECK(refused >= 8);
-    // The rest wait, and get room as it comes free.
+    // The rest wait and are granted when slots become free.
     std::size_t const waiting = world.scheduler.counts().waiting;
     CHECK(waiting == peer_requests.size() - refused - 7);
     REQUIRE(waiting > 0);
@@ -210,12 +208,9 @@
     CHECK(world.scheduler.counts().granted == 8);
 }
 
-// A worker fails most of its requests for some seconds; its adapter is served
-// elsewhere. Its share of failures fades while it is left alone: without that
-// it would never be tried again, and requests that wait for an adapter there
-// would wait for ever.
-TEST_CASE("a worker that was left alone for failures is used again",
-          "[scheduler]")
+// Guards against avoiding a failing worker for ever after it has recovered. The
+// failure share decays while the worker gets no requests.
+TEST_CASE("a worker that was avoided for failures is used again", "[scheduler]")
 {
     scheduler_world world(4);
     ticket_id const first = world.ask("a1");
@@ -240,7 +235,8 @@
     CHECK(world.worker_of(during) != home);
     world.end(during);
     world.run(10s);
-    // A base request goes to whichever worker is emptiest, the home included.
+    // A request for the base model goes to the least loaded worker, which may
+    // be the home.
     std::set<worker_id> used;
     for (int number = 0; number < 8; ++number)
     {
@@ -252,10 +248,11 @@
     CHECK(used.count(home) == 1);
 }
 
-// All workers of a service fail nearly half of their requests. None is better
-// than another: leaving some for chance differences would fetch their adapters
-// anew elsewhere and saturate the weight store, long after the fault is over.
-TEST_CASE("a service that fails as a whole keeps its homes", "[scheduler]")
+// Guards against avoiding workers for random differences while all workers fail
+// nearly half of their requests. Their adapters would be fetched again
+// elsewhere and saturate the weight store long after the fault.
+TEST_CASE("adapters keep their homes when all workers fail alike",
+          "[scheduler]")
 {
     scheduler_world world(4);
     std::map<std::string, worker_id> homes;
@@ -281,10 +278,9 @@
     }
 }
 
-// An adapter is asked for by a large share of all callers. Its home reads
-// prompts one after the other while others idle, so a second copy is loaded
-// and the requests are shared.
-TEST_CASE("a hot adapter spreads to a second worker", "[scheduler]")
+// Guards against a hot key: a large share of all requests asks for one adapter,
+// whose home prefills prompts one after the other while other workers are idle.
+TEST_CASE("a hot adapter gets a second copy at another worker", "[scheduler]")
 {
     scheduler_world world(3, 4, 32);
     std::vector<ticket_id> tickets;
@@ -305,7 +301,7 @@
     scheduler_world world(3, 4, 32);
     ticket_id const hot = world.ask("hot");
     world.run(300ms);
-    worker_id const crowd = world.worker_of(hot);
+    worker_id const hot_home = world.worker_of(hot);
     // A rare adapter with the same home.
     std::string rare;
     for (int number = 0; rare.empty() && number < 50; ++number)
@@ -313,7 +309,7 @@
         std::string const name = "r" + std::to_string(number);
         ticket_id const ticket = world.ask(name);
         world.run(300ms);
-        if (world.worker_of(ticket) == crowd)
+        if (world.worker_of(ticket) == hot_home)
             rare = name;
         world.end(ticket);
     }
@@ -324,10 +320,10 @@
     ticket_id const again = world.ask(rare);
     world.run(5ms);
     REQUIRE(world.placed(again));
-    CHECK(world.worker_of(again) == crowd);
+    CHECK(world.worker_of(again) == hot_home);
 }
 
-TEST_CASE("a worker that drains or is gone gets nothing more", "[scheduler]")
+TEST_CASE("a draining worker gets no more requests", "[scheduler]")
 {
     scheduler_world world(2);
     ticket_id const first = world.ask("a1");
@@ -341,9 +337,8 @@
     CHECK(world.worker_of(second) != home);
 }
 
-// Requests wait for a load at a worker when the worker vanishes: they go to
-// another instead of waiting for an order that nobody carries out.
-TEST_CASE("requests leave a worker that vanishes during their load",
+// Guards against requests that wait for a load at a worker that is gone.
+TEST_CASE("requests move away from a worker that disappears during their load",
           "[scheduler]")
 {
     scheduler_world world(2);
@@ -364,9 +359,9 @@
     CHECK(world.worker_of(ticket) != loading);
 }
 
-// The grant was lost between the decision and now: no order goes out without
-// it, and what is resident is used as listed.
-TEST_CASE("without a grant no order is given", "[scheduler]")
+// Guards against orders to a worker whose ownership this VM has lost.
+TEST_CASE("no order is sent to a worker that this VM does not own",
+          "[scheduler]")
 {
     scheduler_world world(1);
     world.scheduler.set_grants({});
@@ -377,9 +372,10 @@
     CHECK(world.refusal(ticket).retry_after <= 100ms);
 }
 
-// The VM is cut from the store and its lease lapses; nobody else has the
-// worker yet. What the worker holds is used, and nothing is loaded.
-TEST_CASE("without a lease what is loaded is used and nothing ordered",
+// Guards against orders after the VM's lease has expired because it is cut off
+// from the store. Resident adapters are still used, since no other VM owns the
+// worker yet.
+TEST_CASE("without a lease resident adapters are used and no orders are sent",
           "[scheduler]")
 {
     scheduler_world world(1);
@@ -404,7 +400,7 @@
     CHECK(world.placed(again));
 }
 
-TEST_CASE("orders wait until the grant allows them", "[scheduler]")
+TEST_CASE("no order is sent before ownership takes effect", "[scheduler]")
 {
     scheduler_world world(1);
     world.grants[scheduler_world::name(0)] = {fencing_number(2),
@@ -423,7 +419,7 @@
 namespace
 {
 
-/// A world whose one worker is another VM's.
+/// A single worker that another VM owns.
 struct other_owner_world : scheduler_world
 {
     other_owner_world() : scheduler_world(1)
@@ -450,9 +446,8 @@
     CHECK(world.placed(ticket));
 }
 
-// The owner of a worker has not heard yet that it drains and grants a request.
-// This VM has heard: it does not send the request there, gives the grant back
-// and uses another worker.
+// Guards against sending a request to a draining worker because its owner has
+// not learned of the drain yet and granted the request.
 TEST_CASE("a grant for a worker that drains is not used", "[scheduler]")
 {
     other_owner_world world;
@@ -469,9 +464,10 @@
     CHECK(world.refused(ticket));
 }
 
-// The owner of a worker is frozen: it takes questions and answers none. A slow
-// load looks the same, except that an owner begins its answer at once.
-TEST_CASE("an owner that begins to answer is given longer", "[scheduler]")
+// Guards against long waits for a frozen owner, which accepts grant requests
+// but never answers. A slow load differs in that the owner starts its answer at
+// once.
+TEST_CASE("an owner that starts to answer has a longer timeout", "[scheduler]")
 {
     other_owner_world world;
     ticket_id const silent = world.ask("a1");
@@ -483,9 +479,9 @@
     CHECK(world.scheduler.grant_deadline(heard) >= world.now + 1s);
 }
 
-// A peer is gone. One question finds that out; until it answers one, the rest
-// do not wait for it, each for the whole of its patience.
-TEST_CASE("a peer that did not answer is asked one question at a time",
+// Guards against many requests that each wait for the whole timeout of a dead
+// peer. One grant request at a time probes the peer until it answers.
+TEST_CASE("a peer that did not answer gets one grant request at a time",
           "[scheduler]")
 {
     other_owner_world world;
@@ -501,9 +497,9 @@
     CHECK(world.grant_requests().size() == before + 1);
 }
 
-// A caller leaves while the owner has not yet begun to answer. The question is
-// dropped; the owner is not taken for silent because of it, and is asked again.
-TEST_CASE("a question that was dropped says nothing of the owner",
+// Guards against taking an owner for silent when a caller disconnects before
+// the owner started to answer and the grant request is dropped.
+TEST_CASE("a dropped grant request does not count against the owner",
           "[scheduler]")
 {
     other_owner_world world;
@@ -518,24 +514,25 @@
     CHECK_FALSE(world.refused(second));
 }
 
-TEST_CASE("another VM's request is granted when its adapter is there",
+TEST_CASE("another VM's request is granted once its adapter is resident",
           "[scheduler]")
 {
     scheduler_world world(1);
     ticket_id const ticket = world.ask_for_peer("a1", 0);
     world.run(300ms);
     CHECK(world.scheduler.counts().granted == 1);
-    // Its room counts as taken until it is over.
+    // The granted request occupies a batch slot until it ends.
     CHECK(world.scheduler.counts().sent == 1);
     world.end(ticket);
     CHECK(world.scheduler.counts().sent == 0);
 }
 
-// A worker goes dark. Its owner sends it nothing of its own, so it hears of
-// that from the VMs that it granted room: after the second it grants none, but
-// for one at a time that finds out whether the worker is back.
-TEST_CASE("a worker that other VMs cannot reach is granted to none",
-          "[scheduler]")
+// Guards against grants for an unreachable worker whose owner sends no requests
+// of its own and learns of the outage from other VMs only. After two failures
+// the owner grants one request at a time as a probe.
+TEST_CASE(
+    "a worker that other VMs cannot reach is granted for one probe at a time",
+    "[scheduler]")
 {
     scheduler_world world(1);
     ticket_id const first = world.ask_for_peer("a1", 0);
@@ -562,10 +559,8 @@
     CHECK(world.scheduler.counts().granted == 5);
 }
 
-// A request was sent to one worker and failed there. Its VM asks the owner for
-// another; it is not given the first again.
-TEST_CASE("a worker that a request was sent to is not granted again",
-          "[scheduler]")
+// Guards against granting the worker at which the request has already failed.
+TEST_CASE("an excluded worker is not granted", "[scheduler]")
 {
     scheduler_world world(2);
     ticket_id const first = world.ask("a1");
@@ -579,10 +574,11 @@
     CHECK(world.granted_worker(ticket) == scheduler_world::name(other));
 }
 
-// A worker goes dark while adapters are to be loaded there. Its orders have no
-// answer. Other VMs' requests are refused within half a second, not after half
-// of the time that they have, so that they go to the next home.
-TEST_CASE("nothing waits for a worker that leaves orders unanswered",
+// Guards against long waits for loads at a worker that became unreachable and
+// leaves orders unanswered. Other VMs' requests are refused within half a
+// second instead of half of their remaining time, so that they go to another
+// worker.
+TEST_CASE("requests do not wait for a worker that leaves orders unanswered",
           "[scheduler]")
 {
     scheduler_world world(1);
@@ -598,10 +594,10 @@
     CHECK(world.granted(later));
 }
 
-// Many VMs ask the owner of an adapter's home, so the owner sees all of its
-// requests. Its own callers ask seldom: they are sent to that home, and no copy
-// is fetched for the owner's failure domain.
-TEST_CASE("what others ask for does not make an adapter popular here",
+// Guards against fetching a copy into the owner's failure domain because of the
+// requests of other VMs, which all ask the owner of the adapter's home. The
+// owner's own callers request the adapter rarely and are sent to the home.
+TEST_CASE("requests of other VMs cause no copy in the owner's failure domain",
           "[scheduler]")
 {
     scheduler_world world(2);
@@ -626,7 +622,7 @@
         world.run(20ms);
         world.scheduler.ended(item.ticket, send_outcome::served, world.now);
     }
-    // The home forgets the adapter; it is loaded there again, not elsewhere.
+    // The home loses the adapter, which is loaded there again, not elsewhere.
     world.scheduler.set_grants({});
     world.grants[home] = {fencing_number(2), world.now};
     world.workers[home] = scripted_worker();
@@ -638,7 +634,8 @@
     CHECK(world.worker_of(again) == home);
 }
 
-TEST_CASE("a withdrawn request frees what it waited for", "[scheduler]")
+TEST_CASE("a withdrawn request releases the slot that it waited for",
+          "[scheduler]")
 {
     scheduler_world world(1, 1);
     ticket_id const first = world.ask("a1");
@@ -650,12 +647,12 @@
     CHECK(world.placed(second));
 }
 
-// A worker crashes and starts again under the id that it had, empty, with its
-// count of orders at zero. Its entry says when it started. Believed to be the
-// one before, it would be sent requests for what it lost, and every order to it
-// would conflict.
-TEST_CASE("a worker's next life under its id begins with nothing",
-          "[scheduler]")
+// Guards against keeping the state of a worker that crashed and restarted under
+// the same id. Requests would be sent for adapters that are gone, and every
+// order would conflict, since the worker's order count restarts at zero.
+TEST_CASE(
+    "a restarted worker starts without the state of its earlier incarnation",
+    "[scheduler]")
 {
     scheduler_world world(1);
     worker_id const id = scheduler_world::name(0);
@@ -667,7 +664,7 @@
     world.workers[id] = scripted_worker();
     world.start_times[id] = worker_start(2000);
     world.list_all();
-    // The end of a request of the life before takes nothing from this one.
+    // The end of an earlier incarnation's request does not affect this one.
     world.end(before, send_outcome::unreachable);
     ticket_id const after = world.ask("a1");
     world.run(20ms);
@@ -677,9 +674,9 @@
     CHECK(world.workers.at(id).loads_of("a1") == 1);
 }
 
-// The order that was under way when the worker crashed is answered after its
-// next life was listed; the answer is not taken for one of this life's orders.
-TEST_CASE("an order's outcome counts for the life that it was given to",
+// Guards against a late answer to an order of the previous incarnation that is
+// taken for the outcome of a current order.
+TEST_CASE("an outcome of an order to an earlier incarnation is ignored",
           "[scheduler]")
 {
     scheduler_world world(1);
@@ -703,10 +700,10 @@
     CHECK(world.workers.at(id).loads_of("a1") == 1);
 }
 
-// A VM hears of the next life from the worker's own report first; the entry of
-// the life before is read once more after that.
-TEST_CASE("a report of a later life ends the earlier one, an entry of an "
-          "earlier life changes nothing",
+// Guards against returning to the previous incarnation: a worker's report
+// announces the new one first, and the stale registry entry is read after that.
+TEST_CASE("a report of a later incarnation resets the worker, a stale registry "
+          "entry is ignored",
           "[scheduler]")
 {
     scheduler_world world(1);
@@ -728,8 +725,11 @@
     CHECK(world.placed(after));
 }
 
-// Guards against a worker that starts twice before its entry tells of a start.
-TEST_CASE("a second start waits for the entry as the first did", "[scheduler]")
+// Guards against a worker that restarts twice before its registry entry shows a
+// restart.
+TEST_CASE(
+    "weights are not loaded after a second restart before the entry is current",
+    "[scheduler]")
 {
     scheduler_world world(1);
     worker_id const worker = scheduler_world::name(0);
--- a/tests/service_version_test.cpp
+++ b/tests/service_version_test.cpp
@@ -1,5 +1,5 @@
-// Which versions of an adapter requests may begin on while newer ones are
-// declared one after the other.
+// Versions of an adapter that requests may start on while newer ones are
+// declared.
 #include "scheduler_world.hpp"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,8 @@
 
 model_target const target{base_model_id("base"), adapter_id("a1")};
 
-/// A worker whose copy of the first version is in use, and so is not replaced.
+/// A single worker whose copy of the first version is in use and therefore not
+/// replaced.
 struct superseded_copy_in_use
 {
     superseded_copy_in_use()
@@ -39,10 +40,10 @@
 
 } // namespace
 
-// A new version is declared while a copy of the old one is in use. Requests go
-// on at the old copy while the new one is loaded elsewhere; once it is there,
-// or the grace is over, none begins on the old one.
-TEST_CASE("a new version is loaded beside the old one without a dip",
+// Guards against an interruption when a new version is declared while a copy of
+// the old one is in use. Requests use the old copy until the new one is loaded
+// elsewhere or the grace period is over.
+TEST_CASE("a new version is loaded while the old copy serves requests",
           "[scheduler]")
 {
     scheduler_world world(2);
@@ -62,7 +63,8 @@
     CHECK(world.worker_of(after) != old_home);
 }
 
-TEST_CASE("no request begins on an old version after the grace", "[scheduler]")
+TEST_CASE("no request starts on an old version after the grace period",
+          "[scheduler]")
 {
     scheduler_world world(1);
     model_target const target{base_model_id("base"), adapter_id("a1")};
@@ -73,19 +75,17 @@
     ticket_id const late = world.ask("a1", 0, 10s);
     world.run(100ms);
     CHECK_FALSE(world.placed(late));
-    // The old copy makes way as soon as nothing uses it.
+    // The old copy is evicted as soon as no request uses it.
     world.end(old);
     world.run(400ms);
     CHECK(world.placed(late));
     CHECK(world.workers.at(scheduler_world::name(0)).loads_of("a1") == 2);
 }
 
-// A version is declared, and the orders that replace the old copy are lost on
-// the way or answered "already there" for a copy that never went. What is
-// believed of the worker is wrong then; the load and the request both name the
-// version, so that the worker does not take the old one for it.
-TEST_CASE("loads and requests name the version that was declared",
-          "[scheduler]")
+// Guards against a wrong assumption about the worker's copy, after orders that
+// were lost or answered "already loaded" for the old copy. The load and the
+// request name the version, so that the worker does not use the old one.
+TEST_CASE("loads and requests name the declared version", "[scheduler]")
 {
     scheduler_world world(1);
     model_target const target{base_model_id("base"), adapter_id("a1")};
@@ -108,15 +108,14 @@
     CHECK(world.version_of(late) == adapter_version(2));
 }
 
-// A caller of the model itself is told that no worker can serve it, for as long
-// as the workers live. A version of the weights is named; workers load it when
-// they load the model next. Requests name it at once, as if it were an
-// adapter's, and every worker that holds the version before refuses them. In a
-// day with 75 VMs: `tries again ... reason=rejected by the worker status=421`
-// of requests without an adapter: none before the version, 675 in 27 s after
-// it.
-TEST_CASE("a version of the weights does not keep requests from the model",
-          "[scheduler]")
+// Guards against rejecting all requests for the base model after a version of
+// its weights is declared. Workers load the new weights only with their next
+// load of the model; requests that named the version were rejected by every
+// worker with older weights (675 rejections with status 421 in 27 s on 75 VMs,
+// none before the declaration).
+TEST_CASE(
+    "a declared version of the weights does not block requests for the model",
+    "[scheduler]")
 {
     scheduler_world world(1);
     ticket_id const before = world.ask("");
@@ -132,10 +131,11 @@
     CHECK(world.version_of(after) == adapter_version());
 }
 
-// An old copy may be used for two seconds. A worker has seconds of prompts to
-// read when a request comes near the end of them: the request would begin long
-// after, on the old version, and so is not sent there.
-TEST_CASE("an old version is not used by what would begin after the grace",
+// Guards against sending a request to an old copy near the end of the grace
+// period of two seconds at a worker with a prefill backlog of seconds. The
+// request would start on the old version long after the grace period.
+TEST_CASE("a request that would start after the grace period is not sent to an "
+          "old copy",
           "[scheduler]")
 {
     scheduler_world world(1);
@@ -154,9 +154,11 @@
     CHECK_FALSE(world.placed(late));
 }
 
-// Guards against a further version that gives replaced copies another grace.
-TEST_CASE("a copy is not used again when the next version is declared",
-          "[scheduler]")
+// Guards against a further version that restarts the grace period of superseded
+// copies.
+TEST_CASE(
+    "a superseded copy is not used again when the next version is declared",
+    "[scheduler]")
 {
     superseded_copy_in_use old;
     old.declare(2);
@@ -167,7 +169,8 @@
     CHECK_FALSE(old.placed_now());
 }
 
-// Guards against a grace that never ends while versions follow each other.
+// Guards against a grace period that never ends while versions follow each
+// other.
 TEST_CASE("versions in quick succession do not prolong the use of an old one",
           "[scheduler]")
 {
@@ -180,10 +183,10 @@
     CHECK_FALSE(old.placed_now());
 }
 
-// Guards against a request that runs on whatever copy its worker has: what is
-// believed of the worker may be wrong.
+// Guards against a request that runs on any copy that its worker has, when the
+// assumed version of that copy is wrong.
 TEST_CASE(
-    "a request names a version that is in force though a newer one is not",
+    "a request names the current version while a newer one is not loaded yet",
     "[scheduler]")
 {
     scheduler_world world(1);
@@ -202,8 +205,8 @@
     CHECK(world.version_of(third) == adapter_version(2));
 }
 
-// Guards against a copy that is wrongly believed to be the newest.
-TEST_CASE("a request to the newest copy names it from the first moment",
+// Guards against a copy that is wrongly assumed to be the newest.
+TEST_CASE("a request to the newest copy names its version at once",
           "[scheduler]")
 {
     scheduler_world world(1);
@@ -214,7 +217,7 @@
     CHECK(world.version_of(asked) == adapter_version(2));
 }
 
-TEST_CASE("a grant tells the version of the copy", "[scheduler]")
+TEST_CASE("a grant states the version of the copy", "[scheduler]")
 {
     scheduler_world world(1);
     world.scheduler.on_release(target, adapter_version(2), world.now);
@@ -224,8 +227,8 @@
     CHECK(world.granted_version(asked) == adapter_version(2));
 }
 
-// Guards against a grant by a VM that hears of versions later than this one.
-TEST_CASE("a grant for a copy that was replaced is not used", "[scheduler]")
+// Guards against a grant by a VM that learns of versions later than this one.
+TEST_CASE("a grant for a superseded copy is not used", "[scheduler]")
 {
     scheduler_world world(1);
     world.grants.clear();
@@ -247,8 +250,8 @@
     CHECK(used(3));
 }
 
-// Guards against memory of a newer version's that an older one goes on from.
-TEST_CASE("a granted older copy does not read a newer one's prompt",
+// Guards against using a prompt cache of a newer version for an older version.
+TEST_CASE("a granted older copy does not use a newer version's prompt cache",
           "[scheduler]")
 {
     for (std::uint64_t key = 1; key < 9; ++key)
@@ -282,7 +285,7 @@
     }
 }
 
-/// A stream that was sent to the first version and has not begun.
+/// A stream that was sent to the first version and has not started.
 struct unstarted_stream
 {
     explicit unstarted_stream(bool streams = true)
@@ -298,9 +301,10 @@
     ticket_id ticket;
 };
 
-// Guards against a request that begins long after it was sent.
-TEST_CASE("a stream that has not begun is withdrawn from a replaced version",
-          "[scheduler]")
+// Guards against a request that starts long after it was sent.
+TEST_CASE(
+    "a stream that has not started is withdrawn from a superseded version",
+    "[scheduler]")
 {
     unstarted_stream late;
     scheduler_world& world = late.old.world;
@@ -312,8 +316,8 @@
     CHECK(world.withdrawn(late.ticket));
 }
 
-// Guards against a deadline that moves on with each further version.
-TEST_CASE("a further version gives a stream no more time to begin",
+// Guards against a deadline that each further version extends.
+TEST_CASE("a further version gives a stream no more time to start",
           "[scheduler]")
 {
     unstarted_stream late;
@@ -324,7 +328,7 @@
     CHECK(late.old.world.withdrawn(late.ticket));
 }
 
-TEST_CASE("only what has not begun is withdrawn", "[scheduler]")
+TEST_CASE("only streams that have not started are withdrawn", "[scheduler]")
 {
     bool const streams = GENERATE(true, false);
     unstarted_stream late(streams);
