--- a/bench/trial_fleet.cpp
+++ b/bench/trial_fleet.cpp
@@ -110,7 +110,7 @@
     void carry_out(std::size_t index, placement_action const& action);
     void send(std::size_t index, place_request const& placed);
     void on_sent(ticket_id ticket, std::size_t to, admission outcome);
-    void refuse(std::size_t index, refuse_request const& refused);
+    void refuse(std::size_t index, reject_request const& refused);
     void ask(std::size_t index, request_owner_grant const& question);
     void watch_ask(std::size_t index, ticket_id ticket, ticket_id at_owner,
                    std::size_t owner);
@@ -223,7 +223,7 @@
         entries.push_back(each.entry);
     for (std::size_t index = 0; index < vms_.size(); ++index)
     {
-        std::map<worker_id, order_grant> grants;
+        std::map<worker_id, owned_worker> grants;
         std::map<worker_id, vm_id> others;
         for (worker const& each : workers_)
             if (each.owner == index)
@@ -232,7 +232,7 @@
                 others[each.entry.id] = vms_.at(each.owner).name;
         service_scheduler& scheduler = *vms_.at(index).scheduler;
         scheduler.set_backends(entries);
-        scheduler.set_grants(grants);
+        scheduler.set_owned_workers(grants);
         scheduler.set_owners(std::move(others));
         post_run(index);
     }
@@ -349,7 +349,7 @@
 {
     if (auto const* placed = std::get_if<place_request>(&action))
         return send(index, *placed);
-    if (auto const* refused = std::get_if<refuse_request>(&action))
+    if (auto const* refused = std::get_if<reject_request>(&action))
         return refuse(index, *refused);
     if (auto const* question = std::get_if<request_owner_grant>(&action))
         return ask(index, *question);
@@ -419,7 +419,7 @@
     submit(ticket);
 }
 
-void fleet::refuse(std::size_t index, refuse_request const& refused)
+void fleet::refuse(std::size_t index, reject_request const& refused)
 {
     auto const found = open_.find(refused.ticket);
     if (found == open_.end())
--- a/src/ownership_runner.cpp
+++ b/src/ownership_runner.cpp
@@ -195,7 +195,7 @@
     {
         if (auto const* gained = std::get_if<worker_gained>(&event))
         {
-            order_grant const grant{
+            owned_worker const grant{
                 gained->grant.fence,
                 orders_from(gained->worker, gained->grant.fence, now)};
             grants_[gained->worker] = grant;
@@ -236,7 +236,7 @@
 /// orders. So it keeps the workers that nobody else has, without orders.
 void ownership_runner::tell_grants(bool lease_holds)
 {
-    std::map<worker_id, order_grant> grants = grants_;
+    std::map<worker_id, owned_worker> grants = grants_;
     if (!lease_holds)
         for (auto& [worker, grant] : grants)
             grant.orders_from = never;
--- a/src/ownership_runner.hpp
+++ b/src/ownership_runner.hpp
@@ -36,7 +36,7 @@
 /// Told about what changed. Called on the runner's thread.
 struct ownership_listener
 {
-    std::function<void(std::map<worker_id, order_grant>)> on_grants;
+    std::function<void(std::map<worker_id, owned_worker>)> on_grants;
     std::function<void(std::vector<member_view>)> on_members;
     /// Of the workers that other VMs own.
     std::function<void(std::map<worker_id, vm_id>)> on_owners;
@@ -102,7 +102,7 @@
     };
     /// By fencing number.
     std::map<worker_id, std::map<fencing_number, seen_owner>> seen_owners_;
-    std::map<worker_id, order_grant> grants_;
+    std::map<worker_id, owned_worker> grants_;
     std::vector<member_view> members_;
     std::map<worker_id, vm_id> others_;
     bool begun_ = false;
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -243,7 +243,7 @@
     for (auto& [name, service] : services_)
     {
         service.scheduler.set_backends(by_service[name]);
-        service.scheduler.set_grants(grants_);
+        service.scheduler.set_owned_workers(grants_);
         service.scheduler.set_owners(owners_);
     }
     run_soon();
@@ -267,11 +267,11 @@
     run_soon();
 }
 
-void relay::set_grants(std::map<worker_id, order_grant> grants)
+void relay::set_grants(std::map<worker_id, owned_worker> grants)
 {
     grants_ = std::move(grants);
     for (auto& [name, service] : services_)
-        service.scheduler.set_grants(grants_);
+        service.scheduler.set_owned_workers(grants_);
     run_soon();
 }
 
@@ -539,7 +539,7 @@
 {
     if (auto const* placed = std::get_if<place_request>(&action))
         return place(service, *placed);
-    if (auto const* refused = std::get_if<refuse_request>(&action))
+    if (auto const* refused = std::get_if<reject_request>(&action))
     {
         auto const found = exchanges_.find(refused->ticket);
         if (found == exchanges_.end())
--- a/src/relay.hpp
+++ b/src/relay.hpp
@@ -102,7 +102,7 @@
     void set_config(std::shared_ptr<routing_config const> config);
     void set_backends(std::vector<backend_entry> entries);
     void on_release(adapter_release const& release);
-    void set_grants(std::map<worker_id, order_grant> grants);
+    void set_grants(std::map<worker_id, owned_worker> grants);
     /// The VMs there are, this one among them. `registered`: this process has
     /// written its own row; one that is there before is an earlier process's.
     void set_members(std::vector<member_view> members, bool registered);
@@ -287,7 +287,7 @@
     bool backends_known_ = false;
     start_hold const start_;
     std::vector<early_request> early_;
-    std::map<worker_id, order_grant> grants_;
+    std::map<worker_id, owned_worker> grants_;
     adapter_releases releases_;
     std::size_t members_ = 1;
     std::unique_ptr<team_directory> teams_;
--- a/src/relay_daemon.cpp
+++ b/src/relay_daemon.cpp
@@ -462,7 +462,7 @@
         ownership_options(settings_, bound_text(settings_.peers, *peers_),
                           seed_),
         log_,
-        ownership_listener{[this](std::map<worker_id, order_grant> grants)
+        ownership_listener{[this](std::map<worker_id, owned_worker> grants)
                            { relay_.set_grants(std::move(grants)); },
                            [this](std::vector<member_view> members)
                            {
--- a/src/service_scheduler.cpp
+++ b/src/service_scheduler.cpp
@@ -161,7 +161,7 @@
     worker_state* const asked = waiting.item.requested_worker
                                     ? find(*waiting.item.requested_worker)
                                     : nullptr;
-    actions_.push_back(refuse_request{waiting.item.ticket, kind, retry_after,
+    actions_.push_back(reject_request{waiting.item.ticket, kind, retry_after,
                                       reason,
                                       asked ? batch_utilization(*asked) : 1});
 }
--- a/src/service_scheduler.hpp
+++ b/src/service_scheduler.hpp
@@ -133,7 +133,7 @@
 };
 
 /// Action: reject the request without running it.
-struct refuse_request
+struct reject_request
 {
     ticket_id ticket;
     error_kind kind = error_kind::overloaded;
@@ -167,7 +167,7 @@
 
 using placement_action =
     std::variant<place_request, request_owner_grant, grant_peer_request,
-                 refuse_request, withdraw_request, issue_order, request_report>;
+                 reject_request, withdraw_request, issue_order, request_report>;
 
 /// How a grant request to another VM ended.
 enum class grant_outcome
@@ -179,13 +179,13 @@
     silent
 };
 
-/// Ownership of a worker by this VM: the right to send the worker orders with
-/// this fencing number, from `orders_from` on. Value.
-struct order_grant
+/// A worker that this VM owns, and so may send orders with this fencing number
+/// from `orders_from` on. Value.
+struct owned_worker
 {
     fencing_number fence;
     time_point orders_from{};
-    friend bool operator==(order_grant const&, order_grant const&) = default;
+    friend bool operator==(owned_worker const&, owned_worker const&) = default;
 };
 
 struct scheduler_settings
@@ -205,20 +205,30 @@
 /// Counters of the scheduler's decisions and current sizes, for metrics. Value.
 struct scheduler_counts
 {
+    /// Requests placed at an owned worker that had the adapter.
     std::uint64_t placed_resident = 0;
+    /// Requests placed at an owned worker after waiting for a load.
     std::uint64_t placed_after_load = 0;
+    /// Requests placed without a grant at a worker that this VM does not own.
     std::uint64_t placed_elsewhere = 0;
+    /// Requests placed with a grant of another VM.
     std::uint64_t placed_granted = 0;
+    /// Requests of other VMs that this VM granted.
     std::uint64_t granted = 0;
+    /// Rejected requests of callers and refused grants.
     std::uint64_t refused = 0;
+    /// Loads from the weight store, and from a copy kept at the worker.
     std::uint64_t cold_loads = 0;
     std::uint64_t warm_loads = 0;
     std::uint64_t evictions = 0;
     /// Requests whose prompt prefix another worker may have cached, by the
     /// decision on copying the prefix from there.
     std::array<std::uint64_t, all_copy_verdicts.size()> prompt_copies{};
+    /// Requests in the queue.
     std::size_t waiting = 0;
+    /// Requests at workers, including granted requests of other VMs.
     std::size_t sent = 0;
+    /// Pending grant requests to other VMs.
     std::size_t asked = 0;
     friend bool operator==(scheduler_counts const&,
                            scheduler_counts const&) = default;
@@ -246,7 +256,8 @@
     /// missing in the list are removed.
     void set_backends(std::vector<backend_entry> const& entries);
     /// Sets the workers that this VM owns.
-    void set_grants(std::map<worker_id, order_grant> const& grants);
+    void
+    set_owned_workers(std::map<worker_id, owned_worker> const& owned_workers);
     /// Sets the owners of workers that other VMs own.
     void set_owners(std::map<worker_id, vm_id> owners);
     /// Handles the answer of an owner to a grant request, or its absence.
@@ -275,6 +286,7 @@
     void on_release(model_target const& target, adapter_version version,
                     time_point learned_at);
 
+    /// Adds a request to the queue; run() decides on it.
     void submit(work_item item, time_point now);
     /// Removes a waiting request, or one whose grant is pending, because the
     /// caller is gone or has been answered. Does nothing if the request has
@@ -300,13 +312,16 @@
     /// ignored.
     bool on_order(worker_order const& order, order_outcome outcome,
                   time_point now);
+    /// Handles a worker's report; `report` is empty if the worker did not
+    /// answer.
     void on_report(worker_id const& worker,
                    std::optional<worker_report> const& report, time_point now);
 
     /// Makes all decisions that are possible now and returns the actions that
     /// follow from events and decisions since the last call.
     std::vector<placement_action> run(time_point now);
-    /// Returns when run() must be called next if no event comes first.
+    /// Returns when run() must be called next if no event comes first; `never`
+    /// if no time is due.
     time_point next_due() const;
 
     scheduler_counts counts() const;
@@ -611,7 +626,7 @@
     std::map<ticket_id, sent_item> sent_;
     std::map<ticket_id, pending_grant> pending_grants_;
     std::map<worker_id, vm_id> owners_;
-    std::map<worker_id, order_grant> grants_;
+    std::map<worker_id, owned_worker> owned_workers_;
     std::map<vm_id, worker_health> peers_;
     worker_notices notices_;
     adapter_releases version_history_;
--- a/src/service_workers.cpp
+++ b/src/service_workers.cpp
@@ -89,8 +89,8 @@
     adapter_locations_.forget(id);
     workers_.erase(id);
     add_worker(entry);
-    if (owned && grants_.count(id) > 0)
-        set_grants(grants_);
+    if (owned && owned_workers_.count(id) > 0)
+        set_owned_workers(owned_workers_);
 }
 
 void service_scheduler::clear_load_waits(worker_id const& worker)
@@ -110,24 +110,24 @@
             worker.adapters.remember({held.model, adapter});
 }
 
-void service_scheduler::set_grants(
-    std::map<worker_id, order_grant> const& grants)
+void service_scheduler::set_owned_workers(
+    std::map<worker_id, owned_worker> const& owned_workers)
 {
-    if (&grants != &grants_)
-        grants_ = grants;
+    if (&owned_workers != &owned_workers_)
+        owned_workers_ = owned_workers;
     for (auto& [id, worker] : workers_)
     {
-        auto const grant = grants.find(id);
-        bool const granted = grant != grants.end();
-        if (granted)
-            worker->adapters.grant(settings_.vm, grant->second.fence,
-                                   grant->second.orders_from);
+        auto const found = owned_workers.find(id);
+        bool const is_owned = found != owned_workers.end();
+        if (is_owned)
+            worker->adapters.grant(settings_.vm, found->second.fence,
+                                   found->second.orders_from);
         else if (worker->adapters.granted())
         {
             worker->adapters.revoke();
             clear_load_waits(id);
         }
-        worker->owned = granted;
+        worker->owned = is_owned;
     }
 }
 
--- a/tests/ownership_runner_test.cpp
+++ b/tests/ownership_runner_test.cpp
@@ -118,7 +118,7 @@
                      {[](row_set, std::vector<stored_row> const&) {}}),
               runner(io, world.store, mirror,
                      options(world.name_, seed, world.start_wait_), log,
-                     {[&world](std::map<worker_id, order_grant> const& grants)
+                     {[&world](std::map<worker_id, owned_worker> const& grants)
                       { world.on_grants(grants); },
                       [](std::vector<member_view> const&) {},
                       [](std::map<worker_id, vm_id> const&) {}})
@@ -143,7 +143,7 @@
         return options;
     }
 
-    void on_grants(std::map<worker_id, order_grant> const& grants)
+    void on_grants(std::map<worker_id, owned_worker> const& grants)
     {
         auto const found = grants.find(worker);
         if (found == grants.end() || grant_)
@@ -164,7 +164,7 @@
     std::unique_ptr<vm_process> vm_;
     std::uint64_t starts_ = 0;
     duration start_wait_{};
-    std::optional<order_grant> grant_;
+    std::optional<owned_worker> grant_;
     time_point gained_at_{};
 };
 
--- a/tests/scheduler_world.cpp
+++ b/tests/scheduler_world.cpp
@@ -161,8 +161,8 @@
 void scheduler_world::own_all()
 {
     for (auto const& [id, worker] : workers)
-        grants[id] = {fencing_number(1), now};
-    scheduler.set_grants(grants);
+        owned_workers[id] = {fencing_number(1), now};
+    scheduler.set_owned_workers(owned_workers);
 }
 
 ticket_id scheduler_world::ask(std::string const& adapter, int priority,
@@ -243,7 +243,7 @@
     }
     else if (auto const* granted = std::get_if<grant_peer_request>(&action))
         granted_.emplace(granted->ticket, granted->copy);
-    else if (auto const* refused = std::get_if<refuse_request>(&action))
+    else if (auto const* refused = std::get_if<reject_request>(&action))
         refused_.emplace(refused->ticket, *refused);
     else if (auto const* late = std::get_if<withdraw_request>(&action))
         withdrawn_.insert(late->ticket);
--- a/tests/scheduler_world.hpp
+++ b/tests/scheduler_world.hpp
@@ -95,7 +95,7 @@
         return granted_.at(ticket).version;
     }
     worker_id worker_of(ticket_id ticket) const { return placed_.at(ticket); }
-    refuse_request const& refusal(ticket_id ticket) const
+    reject_request const& refusal(ticket_id ticket) const
     {
         return refused_.at(ticket);
     }
@@ -136,7 +136,7 @@
     /// Age of the registry data known to the scheduler.
     duration declarations_age{};
     duration workers_age{};
-    std::map<worker_id, order_grant> grants;
+    std::map<worker_id, owned_worker> owned_workers;
     service_scheduler scheduler;
 
 private:
@@ -150,7 +150,7 @@
     std::map<ticket_id, time_point> times_;
     std::map<ticket_id, adapter_version> versions_;
     std::map<ticket_id, std::optional<backend_entry>> sources_;
-    std::map<ticket_id, refuse_request> refused_;
+    std::map<ticket_id, reject_request> refused_;
     std::set<ticket_id> withdrawn_;
     std::vector<ticket_id> order_;
     std::vector<request_owner_grant> grant_requests_;
--- a/tests/service_backoff_test.cpp
+++ b/tests/service_backoff_test.cpp
@@ -30,8 +30,8 @@
 {
     other_owner_pair()
     {
-        world.grants.clear();
-        world.scheduler.set_grants({});
+        world.owned_workers.clear();
+        world.scheduler.set_owned_workers({});
         world.scheduler.set_owners(
             {{first, vm_id("vm-2")}, {second, vm_id("vm-2")}});
     }
@@ -215,7 +215,7 @@
           "[scheduler][rest]")
 {
     scheduler_world world(2);
-    world.scheduler.set_grants({});
+    world.scheduler.set_owned_workers({});
     backend_entry other = world.entry(1);
     other.models.front().model = base_model_id("other");
     world.scheduler.set_backends({world.entry(0), other});
--- a/tests/service_load_test.cpp
+++ b/tests/service_load_test.cpp
@@ -46,7 +46,7 @@
 {
     shared_world() : scheduler_world(2)
     {
-        scheduler.set_grants({{name(0), grants.at(name(0))}});
+        scheduler.set_owned_workers({{name(0), owned_workers.at(name(0))}});
         scheduler.set_owners({{name(1), vm_id("vm-2")}});
     }
 };
@@ -132,7 +132,7 @@
           "[load]")
 {
     scheduler_world world(3);
-    world.scheduler.set_grants({});
+    world.scheduler.set_owned_workers({});
     world.scheduler.set_owners({{scheduler_world::name(0), vm_id("vm-2")},
                                 {scheduler_world::name(1), vm_id("vm-3")},
                                 {scheduler_world::name(2), vm_id("vm-4")}});
@@ -175,7 +175,7 @@
 TEST_CASE("an owner that refused is not asked for its other workers", "[load]")
 {
     scheduler_world world(4);
-    world.scheduler.set_grants({});
+    world.scheduler.set_owned_workers({});
     world.scheduler.set_owners({{scheduler_world::name(0), vm_id("vm-2")},
                                 {scheduler_world::name(1), vm_id("vm-2")},
                                 {scheduler_world::name(2), vm_id("vm-2")},
@@ -219,7 +219,7 @@
 TEST_CASE("grants refused by busy owners are requested again", "[load]")
 {
     scheduler_world world(2);
-    world.scheduler.set_grants({});
+    world.scheduler.set_owned_workers({});
     world.scheduler.set_owners({{scheduler_world::name(0), vm_id("vm-2")},
                                 {scheduler_world::name(1), vm_id("vm-3")}});
     ticket_id const ticket = world.ask("a1");
@@ -242,7 +242,7 @@
           "[load]")
 {
     scheduler_world world(1);
-    world.scheduler.set_grants({});
+    world.scheduler.set_owned_workers({});
     world.scheduler.set_owners({});
     backend_entry entry = world.entry(0);
     entry.models.front().adapters.emplace(adapter_id("a1"), adapter_version(1));
@@ -351,8 +351,8 @@
           "[service_load]")
 {
     scheduler_world world(2);
-    world.grants.clear();
-    world.scheduler.set_grants({});
+    world.owned_workers.clear();
+    world.scheduler.set_owned_workers({});
     ticket_id const early = world.ask("a1");
     world.run(200ms);
     CHECK_FALSE(world.refused(early));
@@ -361,8 +361,8 @@
     CHECK(world.placed(early));
 
     scheduler_world without(2);
-    without.grants.clear();
-    without.scheduler.set_grants({});
+    without.owned_workers.clear();
+    without.scheduler.set_owned_workers({});
     ticket_id const lost = without.ask("a1");
     without.run(200ms);
     CHECK_FALSE(without.refused(lost));
--- a/tests/service_scheduler_test.cpp
+++ b/tests/service_scheduler_test.cpp
@@ -364,7 +364,7 @@
           "[scheduler]")
 {
     scheduler_world world(1);
-    world.scheduler.set_grants({});
+    world.scheduler.set_owned_workers({});
     ticket_id const ticket = world.ask("a1");
     world.run(300ms);
     CHECK(world.workers.at(scheduler_world::name(0)).sequence() == 0);
@@ -385,16 +385,17 @@
     world.run(50ms);
     std::uint64_t const sequence =
         world.workers.at(scheduler_world::name(0)).sequence();
-    world.grants[scheduler_world::name(0)] = {fencing_number(1), never};
-    world.scheduler.set_grants(world.grants);
+    world.owned_workers[scheduler_world::name(0)] = {fencing_number(1), never};
+    world.scheduler.set_owned_workers(world.owned_workers);
     ticket_id const there = world.ask("a1");
     ticket_id const absent = world.ask("a2");
     world.run(300ms);
     CHECK(world.placed(there));
     CHECK(world.refused(absent));
     CHECK(world.workers.at(scheduler_world::name(0)).sequence() == sequence);
-    world.grants[scheduler_world::name(0)] = {fencing_number(1), world.now};
-    world.scheduler.set_grants(world.grants);
+    world.owned_workers[scheduler_world::name(0)] = {fencing_number(1),
+                                                     world.now};
+    world.scheduler.set_owned_workers(world.owned_workers);
     ticket_id const again = world.ask("a2");
     world.run(300ms);
     CHECK(world.placed(again));
@@ -403,9 +404,9 @@
 TEST_CASE("no order is sent before ownership takes effect", "[scheduler]")
 {
     scheduler_world world(1);
-    world.grants[scheduler_world::name(0)] = {fencing_number(2),
-                                              world.now + 3s};
-    world.scheduler.set_grants(world.grants);
+    world.owned_workers[scheduler_world::name(0)] = {fencing_number(2),
+                                                     world.now + 3s};
+    world.scheduler.set_owned_workers(world.owned_workers);
     ticket_id const early = world.ask("a1");
     world.run(1s);
     CHECK_FALSE(world.placed(early));
@@ -424,7 +425,7 @@
 {
     other_owner_world() : scheduler_world(1)
     {
-        scheduler.set_grants({});
+        scheduler.set_owned_workers({});
         scheduler.set_owners({{scheduler_world::name(0), vm_id("vm-2")}});
     }
 };
@@ -623,10 +624,10 @@
         world.scheduler.ended(item.ticket, send_outcome::served, world.now);
     }
     // The home loses the adapter, which is loaded there again, not elsewhere.
-    world.scheduler.set_grants({});
-    world.grants[home] = {fencing_number(2), world.now};
+    world.scheduler.set_owned_workers({});
+    world.owned_workers[home] = {fencing_number(2), world.now};
     world.workers[home] = scripted_worker();
-    world.scheduler.set_grants(world.grants);
+    world.scheduler.set_owned_workers(world.owned_workers);
     world.run(50ms);
     ticket_id const again = world.ask("a1");
     world.run(400ms);
--- a/tests/service_version_test.cpp
+++ b/tests/service_version_test.cpp
@@ -231,8 +231,8 @@
 TEST_CASE("a grant for a superseded copy is not used", "[scheduler]")
 {
     scheduler_world world(1);
-    world.grants.clear();
-    world.scheduler.set_grants({});
+    world.owned_workers.clear();
+    world.scheduler.set_owned_workers({});
     world.scheduler.set_owners({{scheduler_world::name(0), vm_id("vm-2")}});
     world.scheduler.on_release(target, adapter_version(2), world.now);
     world.scheduler.on_release(target, adapter_version(3), world.now + 1s);
@@ -259,8 +259,8 @@
         scheduler_world world(2);
         worker_id const theirs = scheduler_world::name(0);
         worker_id const ours = scheduler_world::name(1);
-        world.grants.erase(theirs);
-        world.scheduler.set_grants(world.grants);
+        world.owned_workers.erase(theirs);
+        world.scheduler.set_owned_workers(world.owned_workers);
         world.scheduler.set_owners({{theirs, vm_id("vm-2")}});
         world.scheduler.on_release(target, adapter_version(2), world.now);
         world.run(3s);
