--- a/src/service_scheduler.cpp
+++ b/src/service_scheduler.cpp
@@ -471,7 +471,7 @@
     return counts;
 }
 
-duration service_scheduler::patience(worker_id const& worker) const
+duration service_scheduler::first_byte_timeout(worker_id const& worker) const
 {
     auto const known = workers_.find(worker);
     return known == workers_.end() ? std::chrono::seconds(1)
