--- a/src/service_scheduler.cpp
+++ b/src/service_scheduler.cpp
@@ -271,17 +271,17 @@
 duration service_scheduler::expected_wait(std::size_t ahead,
                                           time_point now) const
 {
-    std::size_t room = 0;
+    std::size_t capacity = 0;
     for (auto const& [id, worker] : workers_)
         if (!worker->entry.draining && !in_backoff(*worker, now))
-            room += request_limit(*worker);
-    if (room == 0)
+            capacity += request_limit(*worker);
+    if (capacity == 0)
     {
         duration const backoff = remaining_backoff(std::nullopt, now);
         return backoff > duration(0) ? backoff : max_retry_after;
     }
     return duration(static_cast<duration::rep>(
-        double(mean_service_time_.count()) * double(ahead) / double(room)));
+        double(mean_service_time_.count()) * double(ahead) / double(capacity)));
 }
 
 bool service_scheduler::too_late(waiting_item const& waiting, std::size_t ahead,
--- a/tests/scheduler_world.cpp
+++ b/tests/scheduler_world.cpp
@@ -140,8 +140,9 @@
     made.domain = domain_id("a");
     made.slots = batch_slots_;
     made.draining = draining.count(made.id) > 0;
-    if (auto const life = start_times.find(made.id); life != start_times.end())
-        made.started = life->second;
+    if (auto const start_time = start_times.find(made.id);
+        start_time != start_times.end())
+        made.started = start_time->second;
     auto const held = weights.find(made.id);
     made.models.push_back(
         {base_model_id(model),
@@ -247,8 +248,8 @@
         refused_.emplace(refused->ticket, *refused);
     else if (auto const* late = std::get_if<withdraw_request>(&action))
         withdrawn_.insert(late->ticket);
-    else if (auto const* ask = std::get_if<request_owner_grant>(&action))
-        grant_requests_.push_back(*ask);
+    else if (auto const* grant_request = std::get_if<request_owner_grant>(&action))
+        grant_requests_.push_back(*grant_request);
     else if (auto const* report = std::get_if<request_report>(&action))
         scheduler.on_report(
             report->worker,
--- a/tests/service_backoff_test.cpp
+++ b/tests/service_backoff_test.cpp
@@ -14,9 +14,9 @@
 worker_id const second = scheduler_world::name(1);
 
 void request_backoff(scheduler_world& world, worker_id const& worker,
-                     duration rest)
+                     duration backoff)
 {
-    world.scheduler.on_backoff_request(worker, world.now + rest, world.now);
+    world.scheduler.on_backoff_request(worker, world.now + backoff, world.now);
 }
 
 bool placed_now(scheduler_world& world, ticket_id ticket)
--- a/tests/service_scheduler_test.cpp
+++ b/tests/service_scheduler_test.cpp
@@ -472,12 +472,12 @@
 {
     other_owner_world world;
     ticket_id const silent = world.ask("a1");
-    ticket_id const heard = world.ask("a2");
+    ticket_id const answering = world.ask("a2");
     world.run(5ms);
-    world.scheduler.on_grant_answer_started(heard, world.now);
+    world.scheduler.on_grant_answer_started(answering, world.now);
     CHECK(world.scheduler.grant_deadline(silent) <
-          world.scheduler.grant_deadline(heard));
-    CHECK(world.scheduler.grant_deadline(heard) >= world.now + 1s);
+          world.scheduler.grant_deadline(answering));
+    CHECK(world.scheduler.grant_deadline(answering) >= world.now + 1s);
 }
 
 // Guards against many requests that each wait for the whole timeout of a dead
