--- a/tests/prompt_copy_test.cpp
+++ b/tests/prompt_copy_test.cpp
@@ -39,7 +39,7 @@
             if (each != worker)
                 draining.insert(name(each));
         list_all();
-        ticket_id const ticket = ask("a1");
+        ticket_id const ticket = submit_request("a1");
         run(400ms);
         REQUIRE(placed(ticket));
         scheduler.first_byte(ticket, now);
--- a/tests/scheduler_world.cpp
+++ b/tests/scheduler_world.cpp
@@ -166,8 +166,9 @@
     scheduler.set_owned_workers(owned_workers);
 }
 
-ticket_id scheduler_world::ask(std::string const& adapter, int priority,
-                               duration time_left, std::uint32_t prompt_tokens)
+ticket_id scheduler_world::submit_request(std::string const& adapter,
+                                          int priority, duration time_left,
+                                          std::uint32_t prompt_tokens)
 {
     work_item item;
     item.prompt_tokens = prompt_tokens;
@@ -175,9 +176,9 @@
     return submit(std::move(item), adapter, time_left);
 }
 
-ticket_id scheduler_world::ask_for_peer(std::string const& adapter,
-                                        std::size_t worker,
-                                        std::set<worker_id> excluded)
+ticket_id scheduler_world::submit_peer_request(std::string const& adapter,
+                                               std::size_t worker,
+                                               std::set<worker_id> excluded)
 {
     work_item item;
     item.requested_worker = name(worker);
@@ -248,7 +249,8 @@
         refused_.emplace(refused->ticket, *refused);
     else if (auto const* late = std::get_if<withdraw_request>(&action))
         withdrawn_.insert(late->ticket);
-    else if (auto const* grant_request = std::get_if<request_owner_grant>(&action))
+    else if (auto const* grant_request =
+                 std::get_if<request_owner_grant>(&action))
         grant_requests_.push_back(*grant_request);
     else if (auto const* report = std::get_if<request_report>(&action))
         scheduler.on_report(
--- a/tests/scheduler_world.hpp
+++ b/tests/scheduler_world.hpp
@@ -66,12 +66,13 @@
 
     /// Submits a request for an adapter, or for the model if `adapter` is
     /// empty.
-    ticket_id ask(std::string const& adapter, int priority = 0,
-                  duration time_left = std::chrono::seconds(5),
-                  std::uint32_t prompt_tokens = 0);
+    ticket_id submit_request(std::string const& adapter, int priority = 0,
+                             duration time_left = std::chrono::seconds(5),
+                             std::uint32_t prompt_tokens = 0);
     /// Submits another VM's request for a grant at a worker.
-    ticket_id ask_for_peer(std::string const& adapter, std::size_t worker,
-                           std::set<worker_id> excluded = {});
+    ticket_id submit_peer_request(std::string const& adapter,
+                                  std::size_t worker,
+                                  std::set<worker_id> excluded = {});
     /// Submits `item` after setting its target, ticket and times.
     ticket_id submit(work_item item, std::string const& adapter,
                      duration time_left = std::chrono::seconds(5));
--- a/tests/service_backoff_test.cpp
+++ b/tests/service_backoff_test.cpp
@@ -43,12 +43,12 @@
 TEST_CASE("a request is not sent to a worker in backoff", "[scheduler][rest]")
 {
     scheduler_world world(2);
-    ticket_id const before = world.ask("a1");
+    ticket_id const before = world.submit_request("a1");
     world.run(300ms);
     REQUIRE(world.placed(before));
     worker_id const home = world.worker_of(before);
     request_backoff(world, home, 3s);
-    ticket_id const during = world.ask("a1");
+    ticket_id const during = world.submit_request("a1");
     world.run(600ms);
     REQUIRE(world.placed(during));
     CHECK(world.worker_of(during) != home);
@@ -63,7 +63,7 @@
     world.scheduler.set_backends({});
     world.list_all();
     world.own_all();
-    ticket_id const during = world.ask("a1");
+    ticket_id const during = world.submit_request("a1");
     world.run(100ms);
     CHECK_FALSE(world.placed(during));
 }
@@ -77,7 +77,7 @@
     request_backoff(world, second, 2s);
     for (char const* adapter : {"a1", ""})
     {
-        ticket_id const during = world.ask(adapter);
+        ticket_id const during = world.submit_request(adapter);
         world.run(0ms);
         REQUIRE(world.refused(during));
         CHECK(world.refusal(during).kind == error_kind::overloaded);
@@ -88,11 +88,11 @@
 TEST_CASE("a request waits for the end of a short backoff", "[scheduler][rest]")
 {
     scheduler_world world(1);
-    ticket_id const before = world.ask("a1");
+    ticket_id const before = world.submit_request("a1");
     world.run(300ms);
     REQUIRE(world.placed(before));
     request_backoff(world, first, 200ms);
-    ticket_id const during = world.ask("a1");
+    ticket_id const during = world.submit_request("a1");
     REQUIRE_FALSE(placed_now(world, during));
     CHECK(world.scheduler.next_due() <= world.now + 200ms);
     world.run(200ms);
@@ -103,7 +103,7 @@
 TEST_CASE("no wakeup is due before the end of a backoff", "[scheduler][rest]")
 {
     scheduler_world world(1);
-    world.ask("a1");
+    world.submit_request("a1");
     world.run(20ms);
     request_backoff(world, first, 3s);
     world.run(600ms);
@@ -115,7 +115,7 @@
 {
     scheduler_world world(1);
     request_backoff(world, first, 3s);
-    world.ask_for_peer("a1", 0);
+    world.submit_peer_request("a1", 0);
     world.run(1s);
     CHECK(world.workers.at(first).loads_of("a1") == 0);
 }
@@ -124,7 +124,7 @@
 TEST_CASE("a grant for a worker in backoff is not used", "[scheduler][rest]")
 {
     other_owner_pair pair;
-    ticket_id const asked = pair.world.ask("a1");
+    ticket_id const asked = pair.world.submit_request("a1");
     pair.world.run(5ms);
     REQUIRE(pair.world.grant_requests().size() == 1);
     request_backoff(pair.world, first, 3s);
@@ -137,7 +137,7 @@
 {
     other_owner_pair pair;
     request_backoff(pair.world, second, 3s);
-    pair.world.ask("a1");
+    pair.world.submit_request("a1");
     pair.world.run(5ms);
     REQUIRE(pair.world.grant_requests().size() == 1);
     CHECK(pair.world.grant_requests().front().worker == first);
@@ -150,11 +150,11 @@
           "[scheduler][rest]")
 {
     scheduler_world world(1);
-    ticket_id const before = world.ask("a1");
+    ticket_id const before = world.submit_request("a1");
     world.run(300ms);
     REQUIRE(world.placed(before));
     request_backoff(world, first, 3s);
-    ticket_id const theirs = world.ask_for_peer("a1", 0);
+    ticket_id const theirs = world.submit_peer_request("a1", 0);
     world.run(5ms);
     CHECK(world.granted(theirs));
 }
@@ -166,8 +166,8 @@
 {
     scheduler_world world(1, 4, 1);
     request_backoff(world, first, 200ms);
-    ticket_id const served = world.ask("");
-    ticket_id const waits = world.ask("");
+    ticket_id const served = world.submit_request("");
+    ticket_id const waits = world.submit_request("");
     world.run(300ms);
     REQUIRE(world.placed(served));
     REQUIRE_FALSE(world.placed(waits));
@@ -181,7 +181,7 @@
 {
     other_owner_pair pair;
     scheduler_world& world = pair.world;
-    ticket_id const asked = world.ask("a1");
+    ticket_id const asked = world.submit_request("a1");
     world.run(5ms);
     REQUIRE(world.grant_requests().size() == 1);
     world.scheduler.on_grant_answer(asked, grant_outcome::refused, {},
@@ -199,11 +199,11 @@
           "[scheduler][rest]")
 {
     scheduler_world world(1);
-    ticket_id const before = world.ask("a1");
+    ticket_id const before = world.submit_request("a1");
     world.run(300ms);
     REQUIRE(world.placed(before));
     request_backoff(world, first, 100ms);
-    ticket_id const during = world.ask("a1", 0, 2s);
+    ticket_id const during = world.submit_request("a1", 0, 2s);
     world.run(5ms);
     CHECK_FALSE(world.refused(during));
     world.run(200ms);
@@ -220,7 +220,7 @@
     other.models.front().model = base_model_id("other");
     world.scheduler.set_backends({world.entry(0), other});
     request_backoff(world, first, 3s);
-    ticket_id const during = world.ask("");
+    ticket_id const during = world.submit_request("");
     world.run(0ms);
     REQUIRE(world.refused(during));
     CHECK(world.refusal(during).retry_after == 3s);
@@ -232,12 +232,12 @@
     "[scheduler][rest]")
 {
     scheduler_world world(2);
-    ticket_id const lost = world.ask("");
+    ticket_id const lost = world.submit_request("");
     world.run(5ms);
     worker_id const dead = world.worker_of(lost);
     world.end(lost, send_outcome::unreachable);
     request_backoff(world, dead == first ? second : first, 3s);
-    ticket_id const during = world.ask("");
+    ticket_id const during = world.submit_request("");
     world.run(0ms);
     REQUIRE(world.refused(during));
     CHECK(world.refusal(during).retry_after == 3s);
--- a/tests/service_leaving_test.cpp
+++ b/tests/service_leaving_test.cpp
@@ -14,7 +14,7 @@
 
 bool placed(scheduler_world& world)
 {
-    ticket_id const asked = world.ask("a1");
+    ticket_id const asked = world.submit_request("a1");
     world.run(400ms);
     return world.placed(asked);
 }
@@ -113,7 +113,7 @@
     "[scheduler][leaving]")
 {
     scheduler_world world(2);
-    ticket_id const asked = world.ask("a1");
+    ticket_id const asked = world.submit_request("a1");
     world.run(20ms);
     std::size_t const home = world.workers.at(first).held() > 0 ? 0 : 1;
     world.scheduler.on_leaving(world.entry(home), world.now);
--- a/tests/service_load_test.cpp
+++ b/tests/service_load_test.cpp
@@ -31,7 +31,7 @@
         {
             draining = {name(other)};
             list_all();
-            ticket_id const ticket = ask("a1");
+            ticket_id const ticket = submit_request("a1");
             run(400ms);
             end(ticket);
         }
@@ -58,7 +58,7 @@
     {
         std::string const adapter = "h" + std::to_string(number);
         scheduler_world world(workers);
-        ticket_id const ticket = world.ask(adapter);
+        ticket_id const ticket = world.submit_request(adapter);
         world.run(300ms);
         if (world.worker_of(ticket) == scheduler_world::name(worker))
             return adapter;
@@ -72,7 +72,7 @@
 TEST_CASE("a short prompt is not sent behind a long one", "[load]")
 {
     scheduler_world world(2);
-    ticket_id const one = world.ask("", 0, 5s);
+    ticket_id const one = world.submit_request("", 0, 5s);
     world.run(5ms);
     world.end(one);
     world.begins_at_once = false;
@@ -93,7 +93,7 @@
           "[load]")
 {
     scheduler_world world(2);
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(300ms);
     worker_id const holder = world.worker_of(first);
     world.begins_at_once = false;
@@ -136,7 +136,7 @@
     world.scheduler.set_owners({{scheduler_world::name(0), vm_id("vm-2")},
                                 {scheduler_world::name(1), vm_id("vm-3")},
                                 {scheduler_world::name(2), vm_id("vm-4")}});
-    ticket_id const ticket = world.ask("a1");
+    ticket_id const ticket = world.submit_request("a1");
     world.run(5ms);
     REQUIRE(world.grant_requests().size() == 1);
     CHECK(world.grant_requests().front().begins_elsewhere_at != never);
@@ -153,7 +153,7 @@
           "[load]")
 {
     scheduler_world world(1);
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(300ms);
     REQUIRE(world.placed(first));
     world.begins_at_once = false;
@@ -180,7 +180,7 @@
                                 {scheduler_world::name(1), vm_id("vm-2")},
                                 {scheduler_world::name(2), vm_id("vm-2")},
                                 {scheduler_world::name(3), vm_id("vm-3")}});
-    ticket_id const ticket = world.ask("a1");
+    ticket_id const ticket = world.submit_request("a1");
     for (std::size_t asked = 1; asked <= 2; ++asked)
     {
         world.run(5ms);
@@ -201,13 +201,13 @@
 {
     scheduler_world world(2);
     world.run(50ms);
-    ticket_id const before = world.ask("a1");
+    ticket_id const before = world.submit_request("a1");
     world.run(300ms);
     REQUIRE(world.placed(before));
     worker_id const home = world.worker_of(before);
     world.end(before, send_outcome::unreachable);
     std::size_t const number = home == scheduler_world::name(0) ? 0 : 1;
-    ticket_id const asked = world.ask_for_peer("a2", number);
+    ticket_id const asked = world.submit_peer_request("a2", number);
     world.run(400ms);
     REQUIRE(world.granted(asked));
     CHECK(world.granted_worker(asked) != home);
@@ -222,7 +222,7 @@
     world.scheduler.set_owned_workers({});
     world.scheduler.set_owners({{scheduler_world::name(0), vm_id("vm-2")},
                                 {scheduler_world::name(1), vm_id("vm-3")}});
-    ticket_id const ticket = world.ask("a1");
+    ticket_id const ticket = world.submit_request("a1");
     for (std::size_t asked = 1; asked <= 2; ++asked)
     {
         world.run(5ms);
@@ -247,7 +247,7 @@
     backend_entry entry = world.entry(0);
     entry.models.front().adapters.emplace(adapter_id("a1"), adapter_version(1));
     world.scheduler.set_backends({entry});
-    ticket_id const ticket = world.ask("a1");
+    ticket_id const ticket = world.submit_request("a1");
     world.run(5ms);
     CHECK(world.placed(ticket));
 }
@@ -260,12 +260,13 @@
 {
     scheduler_world world(2);
     std::string const adapter = adapter_at_home(0, 2);
-    ticket_id const first = world.ask(adapter);
+    ticket_id const first = world.submit_request(adapter);
     world.run(300ms);
     REQUIRE(world.worker_of(first) == scheduler_world::name(0));
     world.reports = false;
     world.end(first, send_outcome::unreachable);
-    ticket_id const meanwhile = world.ask(adapter_at_home(0, 2) + "x");
+    ticket_id const meanwhile =
+        world.submit_request(adapter_at_home(0, 2) + "x");
     world.run(2s);
     CHECK(world.worker_of(meanwhile) == scheduler_world::name(1));
     world.reports = true;
@@ -273,7 +274,8 @@
     std::set<worker_id> used;
     for (int number = 0; number < 12; ++number)
     {
-        ticket_id const ticket = world.ask("n" + std::to_string(number));
+        ticket_id const ticket =
+            world.submit_request("n" + std::to_string(number));
         world.run(300ms);
         used.insert(world.worker_of(ticket));
         world.end(ticket);
@@ -291,17 +293,17 @@
     std::string const adapter = adapter_at_home(0, 2);
     world.draining.insert(scheduler_world::name(0));
     world.list_all();
-    ticket_id const away = world.ask(adapter);
+    ticket_id const away = world.submit_request(adapter);
     world.run(400ms);
     REQUIRE(world.worker_of(away) == scheduler_world::name(1));
     world.end(away);
     world.draining.clear();
     world.list_all();
-    ticket_id const other = world.ask("b1");
+    ticket_id const other = world.submit_request("b1");
     world.run(800ms);
     REQUIRE(world.placed(other));
     world.end(other);
-    ticket_id const again = world.ask(adapter);
+    ticket_id const again = world.submit_request(adapter);
     world.run(400ms);
     REQUIRE(world.placed(again));
     CHECK(world.worker_of(again) == scheduler_world::name(1));
@@ -353,7 +355,7 @@
     scheduler_world world(2);
     world.owned_workers.clear();
     world.scheduler.set_owned_workers({});
-    ticket_id const early = world.ask("a1");
+    ticket_id const early = world.submit_request("a1");
     world.run(200ms);
     CHECK_FALSE(world.refused(early));
     world.own_all();
@@ -363,7 +365,7 @@
     scheduler_world without(2);
     without.owned_workers.clear();
     without.scheduler.set_owned_workers({});
-    ticket_id const lost = without.ask("a1");
+    ticket_id const lost = without.submit_request("a1");
     without.run(200ms);
     CHECK_FALSE(without.refused(lost));
     without.run(100ms);
--- a/tests/service_scheduler_test.cpp
+++ b/tests/service_scheduler_test.cpp
@@ -10,8 +10,8 @@
           "[scheduler]")
 {
     scheduler_world world(2);
-    ticket_id const first = world.ask("a1");
-    ticket_id const second = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
+    ticket_id const second = world.submit_request("a1");
     world.run(200ms);
     CHECK_FALSE(world.placed(first));
     world.run(100ms);
@@ -24,10 +24,10 @@
 TEST_CASE("a request for a resident adapter is placed at once", "[scheduler]")
 {
     scheduler_world world(2);
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(300ms);
     world.end(first);
-    ticket_id const second = world.ask("a1");
+    ticket_id const second = world.submit_request("a1");
     world.run(0ms);
     CHECK(world.placed(second));
     CHECK(world.worker_of(second) == world.worker_of(first));
@@ -41,7 +41,8 @@
     std::vector<ticket_id> tickets;
     for (int number = 0; number < 12; ++number)
     {
-        tickets.push_back(world.ask("a" + std::to_string(number), 0, 20s));
+        tickets.push_back(
+            world.submit_request("a" + std::to_string(number), 0, 20s));
         world.run(300ms);
         if (world.placed(tickets.back()))
             world.end(tickets.back());
@@ -60,7 +61,7 @@
     scheduler_world world(1);
     scripted_worker& worker = world.workers.at(scheduler_world::name(0));
     worker.lose_answers(true);
-    ticket_id const ticket = world.ask("a1");
+    ticket_id const ticket = world.submit_request("a1");
     world.run(200ms);
     worker.lose_answers(false);
     world.run(300ms);
@@ -75,11 +76,11 @@
 {
     scheduler_world world(1, 1);
     scripted_worker& worker = world.workers.at(scheduler_world::name(0));
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(300ms);
     world.end(first);
     worker.mark_in_use("a1");
-    ticket_id const second = world.ask("a2");
+    ticket_id const second = world.submit_request("a2");
     world.run(600ms);
     CHECK(world.placed(second));
     CHECK(worker.max_held() == 1);
@@ -88,10 +89,10 @@
 TEST_CASE("the more urgent request is placed first", "[scheduler]")
 {
     scheduler_world world(1, 4, 1);
-    ticket_id const running = world.ask("a1");
+    ticket_id const running = world.submit_request("a1");
     world.run(300ms);
-    ticket_id const late = world.ask("a1", 2);
-    ticket_id const urgent = world.ask("a1", 0);
+    ticket_id const late = world.submit_request("a1", 2);
+    ticket_id const urgent = world.submit_request("a1", 0);
     world.run(10ms);
     CHECK_FALSE(world.placed(urgent));
     world.end(running);
@@ -107,12 +108,12 @@
           "[scheduler]")
 {
     scheduler_world world(1, 4, 2);
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(300ms);
     CHECK(world.placed(first));
     std::vector<ticket_id> burst;
     for (int number = 0; number < 60; ++number)
-        burst.push_back(world.ask("a1", 0, 2s));
+        burst.push_back(world.submit_request("a1", 0, 2s));
     world.run(5ms);
     int refused = 0;
     for (ticket_id const ticket : burst)
@@ -131,7 +132,8 @@
     scheduler_world world(2, 4, 8);
     std::vector<ticket_id> tickets;
     for (int number = 0; number < 8; ++number)
-        tickets.push_back(world.ask("a" + std::to_string(number % 4)));
+        tickets.push_back(
+            world.submit_request("a" + std::to_string(number % 4)));
     world.run(600ms);
     for (ticket_id const ticket : tickets)
         CHECK(world.placed(ticket));
@@ -150,7 +152,7 @@
     for (int number = 0; at_home.size() < 10; ++number)
     {
         std::string const adapter = "b" + std::to_string(number);
-        ticket_id const probe = world.ask(adapter);
+        ticket_id const probe = world.submit_request(adapter);
         world.run(400ms);
         REQUIRE(world.placed(probe));
         if (home.empty())
@@ -161,13 +163,13 @@
         world.run(20ms);
     }
     for (int number = 0; number < 4; ++number)
-        running.push_back(world.ask(at_home[std::size_t(number)]));
+        running.push_back(world.submit_request(at_home[std::size_t(number)]));
     world.run(400ms);
     for (ticket_id const ticket : running)
         REQUIRE(world.worker_of(ticket) == home);
     std::vector<ticket_id> burst;
     for (std::size_t number = 4; number < 8; ++number)
-        burst.push_back(world.ask(at_home[number]));
+        burst.push_back(world.submit_request(at_home[number]));
     world.run(400ms);
     std::size_t elsewhere = 0;
     for (ticket_id const ticket : burst)
@@ -187,12 +189,12 @@
           "[scheduler]")
 {
     scheduler_world world(1, 4, 8);
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(400ms);
     REQUIRE(world.placed(first));
     std::vector<ticket_id> peer_requests;
     for (int number = 0; number < 20; ++number)
-        peer_requests.push_back(world.ask_for_peer("a1", 0));
+        peer_requests.push_back(world.submit_peer_request("a1", 0));
     world.run(5ms);
     std::size_t refused = 0;
     for (ticket_id const ticket : peer_requests)
@@ -213,13 +215,13 @@
 TEST_CASE("a worker that was avoided for failures is used again", "[scheduler]")
 {
     scheduler_world world(4);
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(300ms);
     worker_id const home = world.worker_of(first);
     world.end(first, send_outcome::failed);
     for (int number = 0; number < 40; ++number)
     {
-        ticket_id const ticket = world.ask("a1");
+        ticket_id const ticket = world.submit_request("a1");
         world.run(300ms);
         if (!world.placed(ticket))
             continue;
@@ -229,7 +231,7 @@
         if (!at_home)
             break;
     }
-    ticket_id const during = world.ask("a1");
+    ticket_id const during = world.submit_request("a1");
     world.run(300ms);
     REQUIRE(world.placed(during));
     CHECK(world.worker_of(during) != home);
@@ -240,7 +242,7 @@
     std::set<worker_id> used;
     for (int number = 0; number < 8; ++number)
     {
-        ticket_id const ticket = world.ask("");
+        ticket_id const ticket = world.submit_request("");
         world.run(5ms);
         REQUIRE(world.placed(ticket));
         used.insert(world.worker_of(ticket));
@@ -259,7 +261,7 @@
     for (int number = 0; number < 8; ++number)
     {
         std::string const adapter = "a" + std::to_string(number);
-        ticket_id const ticket = world.ask(adapter);
+        ticket_id const ticket = world.submit_request(adapter);
         world.run(300ms);
         homes[adapter] = world.worker_of(ticket);
         world.end(ticket);
@@ -269,7 +271,7 @@
     {
         draw = draw * 1664525U + 1013904223U;
         std::string const adapter = "a" + std::to_string(round % 8);
-        ticket_id const ticket = world.ask(adapter);
+        ticket_id const ticket = world.submit_request(adapter);
         world.run(10ms);
         REQUIRE(world.placed(ticket));
         bool const fails = (draw >> 16) % 100 < 45;
@@ -286,7 +288,7 @@
     std::vector<ticket_id> tickets;
     for (int round = 0; round < 60; ++round)
     {
-        tickets.push_back(world.ask("hot", 0, 20s));
+        tickets.push_back(world.submit_request("hot", 0, 20s));
         world.run(30ms);
     }
     std::set<worker_id> used;
@@ -299,7 +301,7 @@
 TEST_CASE("a rare adapter stays at its home beside a hot one", "[scheduler]")
 {
     scheduler_world world(3, 4, 32);
-    ticket_id const hot = world.ask("hot");
+    ticket_id const hot = world.submit_request("hot");
     world.run(300ms);
     worker_id const hot_home = world.worker_of(hot);
     // A rare adapter with the same home.
@@ -307,7 +309,7 @@
     for (int number = 0; rare.empty() && number < 50; ++number)
     {
         std::string const name = "r" + std::to_string(number);
-        ticket_id const ticket = world.ask(name);
+        ticket_id const ticket = world.submit_request(name);
         world.run(300ms);
         if (world.worker_of(ticket) == hot_home)
             rare = name;
@@ -315,9 +317,9 @@
     }
     REQUIRE_FALSE(rare.empty());
     for (int number = 0; number < 10; ++number)
-        world.ask("hot", 0, 60s);
+        world.submit_request("hot", 0, 60s);
     world.run(5ms);
-    ticket_id const again = world.ask(rare);
+    ticket_id const again = world.submit_request(rare);
     world.run(5ms);
     REQUIRE(world.placed(again));
     CHECK(world.worker_of(again) == hot_home);
@@ -326,12 +328,12 @@
 TEST_CASE("a draining worker gets no more requests", "[scheduler]")
 {
     scheduler_world world(2);
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(300ms);
     worker_id const home = world.worker_of(first);
     world.draining.insert(home);
     world.list_all();
-    ticket_id const second = world.ask("a1");
+    ticket_id const second = world.submit_request("a1");
     world.run(400ms);
     REQUIRE(world.placed(second));
     CHECK(world.worker_of(second) != home);
@@ -342,7 +344,7 @@
           "[scheduler]")
 {
     scheduler_world world(2);
-    ticket_id const ticket = world.ask("a1");
+    ticket_id const ticket = world.submit_request("a1");
     world.run(50ms);
     worker_id loading;
     for (auto const& [id, worker] : world.workers)
@@ -365,7 +367,7 @@
 {
     scheduler_world world(1);
     world.scheduler.set_owned_workers({});
-    ticket_id const ticket = world.ask("a1");
+    ticket_id const ticket = world.submit_request("a1");
     world.run(300ms);
     CHECK(world.workers.at(scheduler_world::name(0)).sequence() == 0);
     REQUIRE(world.refused(ticket));
@@ -379,7 +381,7 @@
           "[scheduler]")
 {
     scheduler_world world(1);
-    ticket_id const before = world.ask("a1");
+    ticket_id const before = world.submit_request("a1");
     world.run(300ms);
     world.end(before);
     world.run(50ms);
@@ -387,8 +389,8 @@
         world.workers.at(scheduler_world::name(0)).sequence();
     world.owned_workers[scheduler_world::name(0)] = {fencing_number(1), never};
     world.scheduler.set_owned_workers(world.owned_workers);
-    ticket_id const there = world.ask("a1");
-    ticket_id const absent = world.ask("a2");
+    ticket_id const there = world.submit_request("a1");
+    ticket_id const absent = world.submit_request("a2");
     world.run(300ms);
     CHECK(world.placed(there));
     CHECK(world.refused(absent));
@@ -396,7 +398,7 @@
     world.owned_workers[scheduler_world::name(0)] = {fencing_number(1),
                                                      world.now};
     world.scheduler.set_owned_workers(world.owned_workers);
-    ticket_id const again = world.ask("a2");
+    ticket_id const again = world.submit_request("a2");
     world.run(300ms);
     CHECK(world.placed(again));
 }
@@ -407,12 +409,12 @@
     world.owned_workers[scheduler_world::name(0)] = {fencing_number(2),
                                                      world.now + 3s};
     world.scheduler.set_owned_workers(world.owned_workers);
-    ticket_id const early = world.ask("a1");
+    ticket_id const early = world.submit_request("a1");
     world.run(1s);
     CHECK_FALSE(world.placed(early));
     CHECK(world.workers.at(scheduler_world::name(0)).sequence() == 0);
     world.run(2500ms);
-    ticket_id const ticket = world.ask("a1");
+    ticket_id const ticket = world.submit_request("a1");
     world.run(600ms);
     CHECK(world.placed(ticket));
 }
@@ -436,7 +438,7 @@
           "[scheduler]")
 {
     other_owner_world world;
-    ticket_id const ticket = world.ask("a1");
+    ticket_id const ticket = world.submit_request("a1");
     world.run(5ms);
     REQUIRE(world.grant_requests().size() == 1);
     CHECK(world.grant_requests().front().owner == vm_id("vm-2"));
@@ -452,7 +454,7 @@
 TEST_CASE("a grant for a worker that drains is not used", "[scheduler]")
 {
     other_owner_world world;
-    ticket_id const ticket = world.ask("a1");
+    ticket_id const ticket = world.submit_request("a1");
     world.run(5ms);
     REQUIRE(world.grant_requests().size() == 1);
     world.draining.insert(scheduler_world::name(0));
@@ -471,8 +473,8 @@
 TEST_CASE("an owner that starts to answer has a longer timeout", "[scheduler]")
 {
     other_owner_world world;
-    ticket_id const silent = world.ask("a1");
-    ticket_id const answering = world.ask("a2");
+    ticket_id const silent = world.submit_request("a1");
+    ticket_id const answering = world.submit_request("a2");
     world.run(5ms);
     world.scheduler.on_grant_answer_started(answering, world.now);
     CHECK(world.scheduler.grant_deadline(silent) <
@@ -486,14 +488,14 @@
           "[scheduler]")
 {
     other_owner_world world;
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(5ms);
     world.scheduler.on_grant_answer(first, grant_outcome::silent, {},
                                     world.now);
     world.run(3s);
     std::size_t const before = world.grant_requests().size();
     for (int number = 0; number < 10; ++number)
-        world.ask("b" + std::to_string(number));
+        world.submit_request("b" + std::to_string(number));
     world.run(5ms);
     CHECK(world.grant_requests().size() == before + 1);
 }
@@ -504,12 +506,12 @@
           "[scheduler]")
 {
     other_owner_world world;
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(5ms);
     REQUIRE(world.grant_requests().size() == 1);
     world.scheduler.withdraw(first, world.now);
     world.run(10s);
-    ticket_id const second = world.ask("a2");
+    ticket_id const second = world.submit_request("a2");
     world.run(5ms);
     CHECK(world.grant_requests().size() == 2);
     CHECK_FALSE(world.refused(second));
@@ -519,7 +521,7 @@
           "[scheduler]")
 {
     scheduler_world world(1);
-    ticket_id const ticket = world.ask_for_peer("a1", 0);
+    ticket_id const ticket = world.submit_peer_request("a1", 0);
     world.run(300ms);
     CHECK(world.scheduler.counts().granted == 1);
     // The granted request occupies a batch slot until it ends.
@@ -536,26 +538,26 @@
     "[scheduler]")
 {
     scheduler_world world(1);
-    ticket_id const first = world.ask_for_peer("a1", 0);
+    ticket_id const first = world.submit_peer_request("a1", 0);
     world.run(400ms);
     CHECK(world.scheduler.counts().granted == 1);
     world.end(first, send_outcome::unreachable);
-    ticket_id const second = world.ask_for_peer("a1", 0);
+    ticket_id const second = world.submit_peer_request("a1", 0);
     world.run(5ms);
     CHECK(world.scheduler.counts().granted == 2);
     world.end(second, send_outcome::unreachable);
-    ticket_id const third = world.ask_for_peer("a1", 0);
+    ticket_id const third = world.submit_peer_request("a1", 0);
     world.run(5ms);
     CHECK(world.refused(third));
     world.run(1s);
-    ticket_id const probe = world.ask_for_peer("a1", 0);
-    ticket_id const beside = world.ask_for_peer("a1", 0);
+    ticket_id const probe = world.submit_peer_request("a1", 0);
+    ticket_id const beside = world.submit_peer_request("a1", 0);
     world.run(5ms);
     CHECK(world.scheduler.counts().granted == 3);
     CHECK(world.refused(beside));
     world.end(probe);
-    world.ask_for_peer("a1", 0);
-    world.ask_for_peer("a1", 0);
+    world.submit_peer_request("a1", 0);
+    world.submit_peer_request("a1", 0);
     world.run(5ms);
     CHECK(world.scheduler.counts().granted == 5);
 }
@@ -564,12 +566,12 @@
 TEST_CASE("an excluded worker is not granted", "[scheduler]")
 {
     scheduler_world world(2);
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(400ms);
     worker_id const home = world.worker_of(first);
     world.end(first);
     std::size_t const other = home == scheduler_world::name(0) ? 1 : 0;
-    ticket_id const ticket = world.ask_for_peer("a1", other, {home});
+    ticket_id const ticket = world.submit_peer_request("a1", other, {home});
     world.run(400ms);
     REQUIRE(world.granted(ticket));
     CHECK(world.granted_worker(ticket) == scheduler_world::name(other));
@@ -585,12 +587,12 @@
     scheduler_world world(1);
     world.run(10ms);
     world.workers.at(scheduler_world::name(0)).lose_answers(true);
-    ticket_id const ticket = world.ask_for_peer("a1", 0);
+    ticket_id const ticket = world.submit_peer_request("a1", 0);
     world.run(600ms);
     CHECK(world.refused(ticket));
     world.workers.at(scheduler_world::name(0)).lose_answers(false);
     world.run(400ms);
-    ticket_id const later = world.ask_for_peer("a2", 0);
+    ticket_id const later = world.submit_peer_request("a2", 0);
     world.run(400ms);
     CHECK(world.granted(later));
 }
@@ -604,7 +606,7 @@
     scheduler_world world(2);
     // The home is in another failure domain than this VM.
     std::vector<backend_entry> entries{world.entry(0), world.entry(1)};
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(300ms);
     worker_id const home = world.worker_of(first);
     world.end(first);
@@ -629,7 +631,7 @@
     world.workers[home] = scripted_worker();
     world.scheduler.set_owned_workers(world.owned_workers);
     world.run(50ms);
-    ticket_id const again = world.ask("a1");
+    ticket_id const again = world.submit_request("a1");
     world.run(400ms);
     REQUIRE(world.placed(again));
     CHECK(world.worker_of(again) == home);
@@ -639,10 +641,10 @@
           "[scheduler]")
 {
     scheduler_world world(1, 1);
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(20ms);
     world.scheduler.withdraw(first, world.now);
-    ticket_id const second = world.ask("a2");
+    ticket_id const second = world.submit_request("a2");
     world.run(700ms);
     CHECK_FALSE(world.placed(first));
     CHECK(world.placed(second));
@@ -659,7 +661,7 @@
     worker_id const id = scheduler_world::name(0);
     world.start_times[id] = worker_start(1000);
     world.list_all();
-    ticket_id const before = world.ask("a1");
+    ticket_id const before = world.submit_request("a1");
     world.run(300ms);
     REQUIRE(world.placed(before));
     world.workers[id] = scripted_worker();
@@ -667,7 +669,7 @@
     world.list_all();
     // The end of an earlier incarnation's request does not affect this one.
     world.end(before, send_outcome::unreachable);
-    ticket_id const after = world.ask("a1");
+    ticket_id const after = world.submit_request("a1");
     world.run(20ms);
     CHECK_FALSE(world.placed(after));
     world.run(400ms);
@@ -684,7 +686,7 @@
     worker_id const id = scheduler_world::name(0);
     world.start_times[id] = worker_start(1000);
     world.list_all();
-    world.ask("a1");
+    world.submit_request("a1");
     std::optional<worker_order> old;
     for (placement_action const& action : world.scheduler.run(world.now))
         if (auto const* order = std::get_if<issue_order>(&action))
@@ -695,7 +697,7 @@
     world.list_all();
     CHECK_FALSE(world.scheduler.on_order(*old, order_outcome::already_applied,
                                          world.now));
-    ticket_id const after = world.ask("a1");
+    ticket_id const after = world.submit_request("a1");
     world.run(400ms);
     CHECK(world.placed(after));
     CHECK(world.workers.at(id).loads_of("a1") == 1);
@@ -711,7 +713,7 @@
     worker_id const id = scheduler_world::name(0);
     world.start_times[id] = worker_start(1000);
     world.list_all();
-    ticket_id const before = world.ask("a1");
+    ticket_id const before = world.submit_request("a1");
     world.run(300ms);
     REQUIRE(world.placed(before));
     world.workers[id] = scripted_worker();
@@ -719,7 +721,7 @@
     report.started = worker_start(2000);
     world.scheduler.on_report(id, report, world.now);
     world.list_all();
-    ticket_id const after = world.ask("a1");
+    ticket_id const after = world.submit_request("a1");
     world.run(20ms);
     CHECK_FALSE(world.placed(after));
     world.run(700ms);
--- a/tests/service_version_test.cpp
+++ b/tests/service_version_test.cpp
@@ -19,7 +19,7 @@
 {
     superseded_copy_in_use()
     {
-        world.ask("a1", 0, 60s);
+        world.submit_request("a1", 0, 60s);
         world.run(300ms);
     }
 
@@ -30,7 +30,7 @@
 
     bool placed_now()
     {
-        ticket_id const asked = world.ask("a1", 0, 10s);
+        ticket_id const asked = world.submit_request("a1", 0, 10s);
         world.run(5ms);
         return world.placed(asked);
     }
@@ -48,16 +48,16 @@
 {
     scheduler_world world(2);
     model_target const target{base_model_id("base"), adapter_id("a1")};
-    ticket_id const old = world.ask("a1");
+    ticket_id const old = world.submit_request("a1");
     world.run(300ms);
     worker_id const old_home = world.worker_of(old);
     world.scheduler.on_release(target, adapter_version(2), world.now);
-    ticket_id const during = world.ask("a1");
+    ticket_id const during = world.submit_request("a1");
     world.run(5ms);
     REQUIRE(world.placed(during));
     CHECK(world.worker_of(during) == old_home);
     world.run(300ms);
-    ticket_id const after = world.ask("a1");
+    ticket_id const after = world.submit_request("a1");
     world.run(5ms);
     REQUIRE(world.placed(after));
     CHECK(world.worker_of(after) != old_home);
@@ -68,11 +68,11 @@
 {
     scheduler_world world(1);
     model_target const target{base_model_id("base"), adapter_id("a1")};
-    ticket_id const old = world.ask("a1", 0, 60s);
+    ticket_id const old = world.submit_request("a1", 0, 60s);
     world.run(300ms);
     world.scheduler.on_release(target, adapter_version(2), world.now);
     world.run(3s);
-    ticket_id const late = world.ask("a1", 0, 10s);
+    ticket_id const late = world.submit_request("a1", 0, 10s);
     world.run(100ms);
     CHECK_FALSE(world.placed(late));
     // The old copy is evicted as soon as no request uses it.
@@ -89,20 +89,20 @@
 {
     scheduler_world world(1);
     model_target const target{base_model_id("base"), adapter_id("a1")};
-    ticket_id const before = world.ask("a1");
+    ticket_id const before = world.submit_request("a1");
     world.run(300ms);
     CHECK(world.version_of(before) == adapter_version());
     world.end(before);
     world.scheduler.on_release(target, adapter_version(2), world.now);
     world.run(600ms);
-    ticket_id const soon = world.ask("a1");
+    ticket_id const soon = world.submit_request("a1");
     world.run(600ms);
     REQUIRE(world.placed(soon));
     CHECK(world.workers.at(scheduler_world::name(0)).ordered_version("a1") ==
           adapter_version(2));
     world.end(soon);
     world.run(2s);
-    ticket_id const late = world.ask("a1");
+    ticket_id const late = world.submit_request("a1");
     world.run(100ms);
     REQUIRE(world.placed(late));
     CHECK(world.version_of(late) == adapter_version(2));
@@ -118,14 +118,14 @@
     "[scheduler]")
 {
     scheduler_world world(1);
-    ticket_id const before = world.ask("");
+    ticket_id const before = world.submit_request("");
     world.run(100ms);
     REQUIRE(world.placed(before));
     world.end(before);
     world.scheduler.on_release({base_model_id("base"), {}}, adapter_version(2),
                                world.now);
     world.run(3s);
-    ticket_id const after = world.ask("");
+    ticket_id const after = world.submit_request("");
     world.run(100ms);
     REQUIRE(world.placed(after));
     CHECK(world.version_of(after) == adapter_version());
@@ -140,16 +140,16 @@
 {
     scheduler_world world(1);
     model_target const target{base_model_id("base"), adapter_id("a1")};
-    ticket_id const first = world.ask("a1", 0, 60s);
+    ticket_id const first = world.submit_request("a1", 0, 60s);
     world.run(300ms);
     REQUIRE(world.placed(first));
     world.scheduler.on_release(target, adapter_version(2), world.now);
     world.run(1s);
     world.begins_at_once = false;
-    ticket_id const heavy = world.ask("a1", 0, 60s, 20'000);
+    ticket_id const heavy = world.submit_request("a1", 0, 60s, 20'000);
     world.run(5ms);
     REQUIRE(world.placed(heavy));
-    ticket_id const late = world.ask("a1", 0, 60s);
+    ticket_id const late = world.submit_request("a1", 0, 60s);
     world.run(5ms);
     CHECK_FALSE(world.placed(late));
 }
@@ -190,16 +190,16 @@
     "[scheduler]")
 {
     scheduler_world world(1);
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(300ms);
     world.end(first);
     world.scheduler.on_release(target, adapter_version(2), world.now);
     world.run(100ms);
-    ticket_id const second = world.ask("a1", 0, 60s);
+    ticket_id const second = world.submit_request("a1", 0, 60s);
     world.run(3s);
     REQUIRE(world.placed(second));
     world.scheduler.on_release(target, adapter_version(3), world.now);
-    ticket_id const third = world.ask("a1");
+    ticket_id const third = world.submit_request("a1");
     world.run(5ms);
     REQUIRE(world.placed(third));
     CHECK(world.version_of(third) == adapter_version(2));
@@ -211,7 +211,7 @@
 {
     scheduler_world world(1);
     world.scheduler.on_release(target, adapter_version(2), world.now);
-    ticket_id const asked = world.ask("a1");
+    ticket_id const asked = world.submit_request("a1");
     world.run(300ms);
     REQUIRE(world.placed(asked));
     CHECK(world.version_of(asked) == adapter_version(2));
@@ -221,7 +221,7 @@
 {
     scheduler_world world(1);
     world.scheduler.on_release(target, adapter_version(2), world.now);
-    ticket_id const asked = world.ask_for_peer("a1", 0);
+    ticket_id const asked = world.submit_peer_request("a1", 0);
     world.run(300ms);
     REQUIRE(world.granted(asked));
     CHECK(world.granted_version(asked) == adapter_version(2));
@@ -239,7 +239,7 @@
     world.run(2500ms);
     auto const used = [&world](std::uint64_t version)
     {
-        ticket_id const asked = world.ask("a1");
+        ticket_id const asked = world.submit_request("a1");
         world.run(5ms);
         return world.scheduler.on_grant_answer(
             asked, grant_outcome::granted,
