--- a/src/service_scheduler.hpp
+++ b/src/service_scheduler.hpp
@@ -239,10 +239,10 @@
 /// does no I/O and reads no clock. Thread safety: none.
 ///
 /// Owner: the VM that sends a worker orders (loads and unloads of adapters).
-/// Requests go to a worker of another owner only with that owner's grant,
-/// unless the owner is unreachable and the worker lists the adapter. Home: the
-/// worker chosen first for an adapter, or for a prompt prefix, by rendezvous
-/// hashing.
+/// Requests for an adapter go to a worker of another owner only with that
+/// owner's grant, unless no owner can be asked and the worker lists the
+/// adapter. Home: the worker chosen first for an adapter, or for a prompt
+/// prefix, by rendezvous hashing.
 class service_scheduler
 {
 public:
