--- a/src/adapter_releases.cpp
+++ b/src/adapter_releases.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// Versions of one adapter that are remembered.
+/// Maximum number of versions stored for one adapter.
 constexpr std::size_t most_remembered = 16;
 
 } // namespace
@@ -34,7 +34,8 @@
     return true;
 }
 
-/// Of the versions whose deadline has passed, only the newest decides anything.
+/// Of the versions whose deadline has passed, only the newest affects the
+/// result of oldest_allowed().
 void adapter_releases::drop_passed(history& known, time_point now)
 {
     while (known.size() > 1 && known[1].older_until <= now)
--- a/src/adapter_releases.hpp
+++ b/src/adapter_releases.hpp
@@ -1,5 +1,5 @@
-/// The versions of adapters that were declared, and until when each older one
-/// may be used.
+/// The declared versions of adapters, and until when each older version may be
+/// used.
 #ifndef MULBERRY_ADAPTER_RELEASES_HPP
 #define MULBERRY_ADAPTER_RELEASES_HPP
 
@@ -13,39 +13,44 @@
 namespace mulberry
 {
 
-/// A version as this VM knows it. Value.
+/// A declared version and when this VM learned of it. Value.
 struct declared_version
 {
     adapter_version version;
     time_point heard_at{};
-    /// Until then a request may begin on an older one.
+    /// Until this time a request may begin on an older version.
     time_point older_until{};
     friend bool operator==(declared_version const&,
                            declared_version const&) = default;
 };
 
-/// Each version has a deadline of its own for all that are older. Failure: with
-/// one deadline for each adapter, every further version gives copies that were
-/// replaced long ago more time. Thread safety: none. Pure: no I/O, no clock.
+/// Each version sets its own deadline for all older versions. Failure: with a
+/// single deadline for each adapter, every further version extends the time for
+/// copies that were replaced long ago.
+///
+/// Thread safety: none. Pure: no I/O, no clock.
 class adapter_releases
 {
 public:
-    /// False for a version that is no newer than the newest known one.
+    /// Records a declared version. Returns false if it is not newer than the
+    /// newest known version. The history is bounded: when it is full, a further
+    /// version replaces the newest one and takes over its earlier deadline.
     bool declare(model_target const& target, declared_version const& declared);
-    /// 0 where none was declared.
+    /// The newest declared version; 0 if none was declared.
     adapter_version newest(model_target const& target) const;
-    /// When the newest was heard of; `never` where none was declared.
+    /// When this VM learned of the newest version; `never` if none was
+    /// declared.
     time_point newest_heard_at(model_target const& target) const;
-    /// When the first version that is newer than `copy` was heard of; `never`
-    /// where there is none.
+    /// When this VM learned of the first version newer than `copy`; `never` if
+    /// there is none.
     time_point replaced_at(model_target const& target,
                            adapter_version copy) const;
-    /// The oldest version that a request may begin on at that moment; 0 where
-    /// any may be used.
+    /// The oldest version on which a request may begin at time `at`; 0 if any
+    /// version may be used.
     adapter_version oldest_allowed(model_target const& target,
                                    time_point at) const;
-    /// Calls `what` with all known versions, the older ones of an adapter
-    /// first.
+    /// Calls `what` for each known version, for each adapter in ascending
+    /// order.
     void for_each(
         std::function<void(model_target const&, declared_version const&)> const&
             what) const;
@@ -56,7 +61,7 @@
     history const* find(model_target const& target) const;
     static void drop_passed(history& known, time_point now);
 
-    /// Ascending versions, none empty.
+    /// Versions in ascending order; no history is empty.
     std::map<model_target, history> declared_;
 };
 
--- a/src/adapter_sightings.cpp
+++ b/src/adapter_sightings.cpp
@@ -5,7 +5,8 @@
 namespace
 {
 
-/// Two heartbeats and the way through the store: by then the list says it.
+/// Two heartbeats and the propagation through the store: by then the registry
+/// lists the adapter.
 constexpr std::chrono::milliseconds valid_for{3000};
 
 } // namespace
--- a/src/adapter_sightings.hpp
+++ b/src/adapter_sightings.hpp
@@ -1,4 +1,4 @@
-/// Where adapters were last used that other VMs' workers hold.
+/// Which worker of another VM was last seen to hold an adapter.
 #ifndef MULBERRY_ADAPTER_SIGHTINGS_HPP
 #define MULBERRY_ADAPTER_SIGHTINGS_HPP
 
@@ -11,17 +11,18 @@
 namespace mulberry
 {
 
-/// A worker lists what it holds with its heartbeat, seconds late; the VM that
-/// was granted room for an adapter there knows it at once. Bounded: what was
-/// seen long ago is forgotten first. Thread safety: none.
+/// A worker lists its adapters with its heartbeat, seconds late; a VM that was
+/// granted a slot for an adapter there knows the location at once. Entries
+/// expire after a few seconds, which bounds the size. Thread safety: none.
 class adapter_sightings
 {
 public:
     void seen(model_target const& target, worker_id const& worker,
               time_point now);
-    /// The worker turned out not to hold it.
+    /// Removes the entry if it names this worker, which turned out not to hold
+    /// the adapter.
     void missed(model_target const& target, worker_id const& worker);
-    /// The worker holds nothing any more.
+    /// Removes all entries of a worker that holds nothing any more.
     void forget(worker_id const& worker);
     bool at(model_target const& target, worker_id const& worker,
             time_point now) const;
--- a/src/prompt_copy.cpp
+++ b/src/prompt_copy.cpp
@@ -7,9 +7,9 @@
 namespace
 {
 
-/// Of the time that a load from the weight store takes: one from a copy on the
-/// worker's own disk, with the adapter and the prompt that follow it, is taken
-/// to need so much.
+/// The shortest load after a restart, from a copy of the weights on the
+/// worker's own disk together with the adapter and prompt that follow, is taken
+/// to need this fraction (one half) of a load from the weight store.
 constexpr int shortest_load_part = 2;
 
 } // namespace
--- a/src/prompt_copy.hpp
+++ b/src/prompt_copy.hpp
@@ -1,4 +1,5 @@
-/// Whether a worker may copy from another what that one keeps of a prompt.
+/// Decides whether a worker may copy the KV cache of a prompt from another
+/// worker.
 #ifndef MULBERRY_PROMPT_COPY_HPP
 #define MULBERRY_PROMPT_COPY_HPP
 
@@ -12,34 +13,34 @@
 namespace mulberry
 {
 
-/// What a worker serves a model or an adapter with. Memory of a prompt was made
-/// under these and is of use under no others. Value.
+/// The versions with which a worker serves a model or an adapter. The KV cache
+/// of a prompt is valid only under the versions that computed it. Value.
 struct served_versions
 {
-    /// 0 where it is not known.
+    /// 0 if unknown.
     weights_version weights;
-    /// At least this one; 0 where nothing is known.
+    /// A lower bound; 0 if unknown.
     adapter_version adapter;
     friend bool operator==(served_versions const&,
                            served_versions const&) = default;
 };
 
-/// The newest versions there are, and as of when they are known. Value.
+/// The newest known versions. Value.
 struct newest_versions
 {
-    /// 0: none was declared or seen; the same for the adapter.
+    /// 0 if none was declared or seen; the same holds for `adapter`.
     weights_version weights;
     adapter_version adapter;
     friend bool operator==(newest_versions const&,
                            newest_versions const&) = default;
 };
 
-/// As of when this VM knows what the registry says. Value.
+/// The times as of which this VM knows the registry's content. Value.
 struct registry_moment
 {
-    /// Declared versions.
+    /// Of the declared versions.
     time_point declarations{};
-    /// The workers' entries: which lives there are and what they hold.
+    /// Of the workers' entries: which process lives exist and what each holds.
     time_point workers{};
     friend bool operator==(registry_moment const&,
                            registry_moment const&) = default;
@@ -50,12 +51,12 @@
     allowed,
     weights_unknown,
     weights_differ,
-    /// One of the two may have another version of the adapter.
+    /// One of the two workers may have another version of the adapter.
     adapter_differs,
-    /// Another worker is listed at the source's address: one of the two is
-    /// gone, and what is kept there may be the other's.
+    /// Another worker is listed at the source's address: one of these two is
+    /// gone, and the KV cache at the address may be the other worker's.
     address_shared,
-    /// One of the two may have started again on newer weights by now.
+    /// One of the two workers may have restarted on newer weights by now.
     knowledge_too_old
 };
 
@@ -66,20 +67,23 @@
 
 std::string_view to_string(copy_verdict verdict);
 
-/// Failure: a worker goes on from memory that other weights made, and its
-/// caller gets an answer that neither version would give. Workers take the
-/// newest weights whenever they start again, so that two versions are in use
-/// side by side, and a name says nothing of which a worker has.
+/// Decides whether `reader` may copy the KV cache of a prompt from `source`.
+/// Failure: a worker continues from a KV cache that other weights computed, and
+/// the caller gets an answer that neither version would give. Workers load the
+/// newest weights whenever they restart, so that two versions are in use side
+/// by side, and the model's name does not show which version a worker has.
 ///
-/// Two workers with the newest weights have them through every start that
-/// follows, until newer ones are declared; two with the same older ones while
-/// their lives last. Either is known as of a moment only. A worker that has
-/// started again since has newer weights no sooner than a load of them takes,
-/// half of `load_time` where a copy is on its own disk; what is known holds for
-/// so long, and a copy that may begin later is not made.
+/// Two workers with the newest weights keep them through every restart until
+/// newer weights are declared; two workers with the same older weights keep
+/// them while their process lives last. Either fact is known only as of
+/// `known_as_of`. A worker that has restarted since then can serve newer
+/// weights only after loading them, which takes at least half of `load_time` if
+/// a copy is on its own disk. The known facts are therefore valid for that
+/// long, and a copy that may begin later is refused.
 ///
-/// `begins_at` is when the reader is expected to begin. Pure; thread safety:
-/// any thread.
+/// `load_time` is the time of a load from the weight store, `begins_at` the
+/// time at which the reader is expected to begin. Pure. Thread safety: any
+/// thread.
 copy_verdict judge_copy(served_versions const& source,
                         served_versions const& reader,
                         newest_versions const& newest,
--- a/src/reader_choice.cpp
+++ b/src/reader_choice.cpp
@@ -12,11 +12,11 @@
 
 using std::chrono::milliseconds;
 
-/// VMs that one reader serves at most. What a reader sends grows with them,
-/// and its link and processor are those of any other VM: some 10 KB a second
-/// for each at a hundred VMs, mostly their heartbeats.
+/// Maximum number of VMs per reader. A reader's outgoing traffic grows with
+/// this number, and its link and processor are those of any other VM: some 10
+/// KB/s per VM in a domain of a hundred VMs, mostly heartbeats.
 constexpr std::size_t vms_per_reader = 16;
-/// A reader that failed is passed over for so long, twice as long after each
+/// A reader that failed is skipped for this time, twice as long after each
 /// further failure: a restart takes one to some seconds.
 constexpr milliseconds first_avoid{1000};
 constexpr int most_doublings = 3;
@@ -40,7 +40,8 @@
     members.resize(std::min(members.size(), wanted));
     if (std::find(members.begin(), members.end(), self_) != members.end())
         return;
-    // Spread over the readers; the next ones follow when the first fails.
+    // Spread the VMs over the readers; if the first reader fails, the next ones
+    // in this order follow.
     auto const first =
         static_cast<std::ptrdiff_t>(stable_hash(self_.str()) % members.size());
     std::rotate(members.begin(), members.begin() + first, members.end());
--- a/src/reader_choice.hpp
+++ b/src/reader_choice.hpp
@@ -1,4 +1,5 @@
-/// Which VM reads the store for which others of its failure domain.
+/// Selects the VM that reads the store on behalf of others in its failure
+/// domain.
 #ifndef MULBERRY_READER_CHOICE_HPP
 #define MULBERRY_READER_CHOICE_HPP
 
@@ -13,27 +14,29 @@
 namespace mulberry
 {
 
-/// Load it answers: a hundred VMs that each ask the store for the same rows
-/// each second. Every VM names the same few readers of its failure domain by
-/// their rank, without messages; the others ask one of them. A reader that
-/// fails is passed over for a while, and when none is left a VM reads the store
-/// itself: nobody depends on another VM for longer than one question. Thread
-/// safety: none. Pure: no I/O, no clock.
+/// Load it answers: a hundred VMs that each poll the store for the same rows
+/// every second. Every VM selects the same few readers of its failure domain by
+/// rank, without messages; the other VMs ask one of these. A reader that fails
+/// is skipped for a while, and if none is left a VM reads the store itself: no
+/// VM depends on another for longer than one question.
+///
+/// Thread safety: none. Pure: no I/O, no clock.
 class reader_choice
 {
 public:
     explicit reader_choice(vm_id self) : self_(std::move(self)) {}
 
-    /// The VMs of this one's failure domain that may read for others, and how
-    /// many VMs the domain has, this one among them.
+    /// Sets the VMs of this failure domain that may read for others, and the
+    /// number of VMs in the domain including this one.
     void set_members(std::vector<ranked_vm> candidates, std::size_t vms);
-    /// The VM to ask now; empty: the store itself.
+    /// The VM to ask now; empty if this VM should read the store itself.
     vm_id choose(time_point now) const;
     void answered(vm_id const& reader);
     void failed(vm_id const& reader, time_point now);
-    /// What made readers fail is over: any may be asked again.
+    /// Forgets past failures once their cause is over, so that every reader may
+    /// be asked again.
     void forgive() { troubles_.clear(); }
-    /// Whether other VMs read the store for this one.
+    /// Whether other VMs read the store for this VM.
     bool follows() const { return !readers_.empty(); }
 
 private:
@@ -44,7 +47,8 @@
     };
 
     vm_id self_;
-    /// In the order in which this VM asks them; empty when it reads itself.
+    /// In the order in which this VM asks them; empty if it reads the store
+    /// itself.
     std::vector<vm_id> readers_;
     std::map<vm_id, trouble> troubles_;
 };
--- a/src/reading_pace.cpp
+++ b/src/reading_pace.cpp
@@ -7,11 +7,11 @@
 namespace
 {
 
-/// Below this the time to a first byte is the way there and a step of the
-/// batch rather than reading.
+/// Below this prompt length, network latency and a decoding step of the batch
+/// dominate the time to the first byte.
 constexpr std::uint32_t least_tokens = 512;
-/// By so much of itself the pace moves towards each observation; the first few
-/// move it further.
+/// Fraction by which the estimate moves towards each observation; the first few
+/// observations move it further.
 constexpr double step = 0.05;
 constexpr double first_step = 0.5;
 
--- a/src/reading_pace.hpp
+++ b/src/reading_pace.hpp
@@ -1,4 +1,4 @@
-/// How fast the engines of a service read prompts, learned from their answers.
+/// Estimates the prefill speed of a service's engines from their answers.
 #ifndef MULBERRY_READING_PACE_HPP
 #define MULBERRY_READING_PACE_HPP
 
@@ -9,24 +9,27 @@
 namespace mulberry
 {
 
-/// Follows the median of the time that a token took in prompts with nothing
-/// ahead of them. A median, since some prompts are read in part only (the
-/// engine still has their beginning) and others wait behind what this VM does
+/// Tracks the median prefill time per token. The prompts known to be queued
+/// ahead of a prompt count in its expected and in its actual time. A median,
+/// since some prompts are prefilled only in part (the engine still has their
+/// prefix in its KV cache), and others wait behind requests that this VM does
 /// not know of. Thread safety: none.
 class reading_pace
 {
 public:
-    /// A request with so many tokens of prompt, sent with nothing ahead of it,
-    /// began its answer after `took`. Short prompts say nothing of the pace
-    /// and are passed over.
+    /// Records that a prompt of `tokens` tokens, whose first byte was expected
+    /// `expected` after it was sent, began its answer after `took`. Short
+    /// prompts are ignored, since their times do not show the prefill speed.
     void observe(std::uint32_t tokens, duration expected, duration took);
-    /// How long that many tokens take to be read.
+    /// Whether there has been an observation. time_for() returns the expected
+    /// prefill time of a prompt, before the first observation by a conservative
+    /// default.
     bool known() const { return observed_ > 0; }
     duration time_for(std::uint32_t tokens) const;
 
 private:
-    /// Until the first answer: a third of what today's engines read, so that a
-    /// worker is not taken for silent before one is known.
+    /// Initial value: a third of the speed of current engines, so that a worker
+    /// is not taken for silent before the first observation.
     double microseconds_per_token_ = 100;
     std::uint32_t observed_ = 0;
 };
--- a/src/remote_clock.cpp
+++ b/src/remote_clock.cpp
@@ -12,8 +12,8 @@
         return asked_at;
     time_point const zero = asked_at - *remote;
     zero_ = std::max(zero_.value_or(zero), zero);
-    // An answer that was made after it came: the clocks do not run alike, or
-    // the other side's began anew.
+    // The answer would have been made after it arrived: the clocks run at
+    // different speeds, or the remote clock was reset.
     if (*zero_ + *remote > answered_at)
         zero_ = zero;
     return *zero_ + *remote;
--- a/src/remote_clock.hpp
+++ b/src/remote_clock.hpp
@@ -1,4 +1,4 @@
-/// Tells when an answer was made, by the clock of whoever made it.
+/// Converts a remote clock's timestamps of answers to local time.
 #ifndef MULBERRY_REMOTE_CLOCK_HPP
 #define MULBERRY_REMOTE_CLOCK_HPP
 
@@ -9,22 +9,22 @@
 namespace mulberry
 {
 
-/// Load it answers: a question waits for seconds for a change and is answered
-/// without one. That what is known was true when it was asked is certain; that
-/// it was true when it was answered shows only by the other side's clock. An
-/// answer is made after its question was asked, so each quick answer bounds how
-/// far the two clocks are apart. Thread safety: none. No clock of its own.
+/// Load it answers: a long poll waits for seconds for a change and is answered
+/// without one. The content is certain to be true as of the question; that it
+/// was still true as of the answer follows only from the remote clock. An
+/// answer is made after its question was asked, so each quick answer bounds the
+/// offset between the clocks. Thread safety: none. Reads no clock itself.
 class remote_clock
 {
 public:
-    /// A moment at or before the one at which an answer was made that bears
-    /// the time `remote`, and at or after its question. Without a time, when it
-    /// was asked.
+    /// Returns a lower bound on the time at which an answer with the remote
+    /// timestamp `remote` was made; never before its question was asked.
+    /// Without a timestamp, returns `asked_at`.
     time_point made_at(std::optional<duration> remote, time_point asked_at,
                        time_point answered_at);
 
 private:
-    /// When the remote clock showed 0, at the earliest.
+    /// Lower bound on the local time at which the remote clock showed 0.
     std::optional<time_point> zero_;
 };
 
--- a/src/row_copy.cpp
+++ b/src/row_copy.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-/// Dropped rows that are remembered, so that others learn of the drop from
-/// what changed. Some minutes of restarts; whoever asks for older changes gets
-/// everything.
+/// Maximum number of deleted rows that are remembered (tombstones), so that
+/// followers learn of deletions from the changes. They cover some minutes of
+/// restarts; a follower that asks for older changes gets all rows.
 constexpr std::size_t most_dropped = 1000;
 
 } // namespace
@@ -24,8 +24,8 @@
     std::set<std::string> present;
     for (stored_row const& row : rows)
         present.insert(row.key);
-    // What is gone was dropped at a version that is not known; the read's own
-    // is the first at which it is missing for certain.
+    // The version at which a missing row was deleted is unknown; the snapshot's
+    // version is the first at which the row is certain to be missing.
     for (auto const& [key, known] : entries_)
         if (!known.row.deleted && present.count(key) == 0)
             rows.push_back({known.row.kind, key, version, {}, true});
@@ -51,8 +51,8 @@
 }
 
 /// Failure: answers overtake each other, and a row read earlier replaces the
-/// one read later; a worker that drains looks well again. A row never gives
-/// way to an older version of itself.
+/// one read later; a draining worker looks healthy again. A row is therefore
+/// never replaced by an older version of itself.
 bool row_copy::take(stored_row row)
 {
     auto const known = entries_.find(row.key);
--- a/src/row_copy.hpp
+++ b/src/row_copy.hpp
@@ -1,4 +1,4 @@
-/// A copy of one set of rows, and what changed in it since a version.
+/// A local replica of one set of rows that serves the changes since a version.
 #ifndef MULBERRY_ROW_COPY_HPP
 #define MULBERRY_ROW_COPY_HPP
 
@@ -15,36 +15,38 @@
 {
 
 /// Answers "what changed after version V" for other VMs, as the store's feed
-/// does, but leaves out changes that nobody acts on: a worker's heartbeat
-/// changes its row every second, and what the row says of the worker seldom.
+/// does, but leaves out changes that no reader acts on: a worker's heartbeat
+/// changes its row every second, but rarely what the row says about the worker.
+///
 /// Thread safety: none. Pure: no I/O, no clock.
 class row_copy
 {
 public:
-    /// What of a row others act on; two rows of one key with the same essence
-    /// are the same to them. Empty: every change counts.
+    /// Returns the part of a row that readers act on; two rows of one key with
+    /// the same part are equivalent. If empty, every change counts.
     using essence = std::function<std::string(stored_row const&)>;
 
     explicit row_copy(essence essence_of = {});
 
     bool read() const { return read_; }
-    /// The newest version that the copy shows; it never goes back.
+    /// The newest version that the replica includes; never decreases.
     row_version version() const { return version_; }
 
-    /// Takes a whole read as of a version. Returns the rows that differ from
-    /// the copy; those that are gone are marked deleted.
+    /// Applies a snapshot of all rows as of `version`. Returns the rows that
+    /// differ from the replica; missing rows are returned marked as deleted.
     std::vector<stored_row> replace(std::vector<stored_row> rows,
                                     row_version version);
-    /// Takes changes up to a version. Returns those that were news.
+    /// Applies changes up to `version`. Returns the rows that were newer than
+    /// the replica's.
     std::vector<stored_row> apply(std::vector<stored_row> rows,
                                   row_version version);
 
-    /// The rows whose essence changed after a version, those that were dropped
-    /// among them; nothing when the copy does not reach back so far.
+    /// The rows whose relevant part changed after version `after`, deleted ones
+    /// included; nullopt if the replica does not reach back that far.
     std::optional<std::vector<stored_row>> since(row_version after) const;
-    /// Every row there is.
+    /// All rows that are not deleted.
     std::vector<stored_row> rows() const;
-    /// When a row's essence last changed.
+    /// The version at which the relevant part of any row last changed.
     row_version changed_at() const { return changed_at_; }
 
 private:
@@ -52,7 +54,7 @@
     {
         stored_row row;
         std::string essence;
-        /// The version at which the essence became what it is.
+        /// The version at which the relevant part last changed.
         row_version changed_at;
     };
 
@@ -63,7 +65,7 @@
     bool read_ = false;
     row_version version_;
     row_version changed_at_;
-    /// Changes after this version are all here.
+    /// All changes after this version are stored here.
     row_version reaches_back_to_;
     std::map<std::string, entry> entries_;
     std::size_t dropped_ = 0;
--- a/src/start_hold.cpp
+++ b/src/start_hold.cpp
@@ -7,8 +7,8 @@
 namespace
 {
 
-/// Of the time that a caller has left, so much is spent waiting here at most:
-/// three quarters are left for another VM and the answer itself.
+/// A request waits here for at most this fraction (a quarter) of its remaining
+/// time: three quarters are left for another VM and the answer itself.
 constexpr int held_part = 4;
 
 } // namespace
--- a/src/start_hold.hpp
+++ b/src/start_hold.hpp
@@ -1,4 +1,4 @@
-/// What becomes of requests that arrive before a VM knows its configuration.
+/// Holds requests that arrive before a starting VM knows its configuration.
 #ifndef MULBERRY_START_HOLD_HPP
 #define MULBERRY_START_HOLD_HPP
 
@@ -11,23 +11,24 @@
 
 struct start_limits
 {
-    /// How long after its start a VM keeps requests until it knows enough to
-    /// serve them: the store answers within milliseconds, and a VM that has not
-    /// heard from it by then is cut off or the store is away.
+    /// How long after its start a VM holds requests while it waits for its
+    /// configuration. The store answers within milliseconds; a VM that has no
+    /// answer by then is cut off, or the store is down.
     duration longest_hold = std::chrono::milliseconds(500);
-    /// When those that are turned away come back, at the earliest. Callers come
-    /// back once: sooner than the store they would be turned away for good.
+    /// Lower bound of the retry delay for rejected requests. Callers retry only
+    /// once: a retry before the store is back would fail for good.
     duration least_retry = std::chrono::milliseconds(800);
     duration longest_retry = std::chrono::seconds(3);
     friend bool operator==(start_limits const&, start_limits const&) = default;
 };
 
-/// Load it answers: all VMs are killed at once and come back within moments of
-/// each other, and their callers with them, all in the first half second.
-/// Turned away at once, each has used up the one time that it comes back before
-/// any VM serves. So a VM that has just started keeps requests for a moment;
-/// later it turns them away at once. Thread safety: const calls from any
-/// thread. Pure: no I/O, no clock.
+/// Load it answers: all VMs are killed at once and restart within moments of
+/// each other, and their callers come back with them, all in the first half
+/// second. If these requests were rejected at once, each caller would use up
+/// its only retry before any VM serves. A VM that has just started therefore
+/// holds requests for a moment; later it rejects them at once.
+///
+/// Thread safety: const calls from any thread. Pure: no I/O, no clock.
 class start_hold
 {
 public:
@@ -36,13 +37,13 @@
     {
     }
 
-    /// Until when a request that arrives now is kept; `now` if it is to be
-    /// turned away at once. A caller that has little time gets it back in time
-    /// to try elsewhere.
+    /// Until when a request that arrives now is held; `now` if it is to be
+    /// rejected at once. `time_left` is the caller's remaining time: a caller
+    /// with little time left gets its request back in time to try another VM.
     time_point keep_until(time_point now,
                           std::optional<duration> time_left) const;
-    /// When one that is turned away now is to come back: an absence that has
-    /// lasted so long is expected to last as long again.
+    /// After what delay a request rejected now should be retried: an outage
+    /// that has lasted for some time is expected to last as long again.
     duration retry_after(time_point now) const;
 
 private:
--- a/src/worker_adapters.cpp
+++ b/src/worker_adapters.cpp
@@ -9,31 +9,34 @@
 namespace
 {
 
-/// How many adapters a worker is assumed to keep copies of beside those that
-/// are loaded, in multiples of its slots. Only the first guess of a load's
-/// length rests on it.
+/// Number of unloaded adapters of which a worker is assumed to keep copies, in
+/// multiples of its slots. It affects only the initial estimate of a load's
+/// duration.
 constexpr std::size_t copies_per_slot = 4;
-/// After an order that the worker calls impossible, before it is tried again.
+/// Pause after an order that the worker refused as impossible.
 constexpr std::chrono::milliseconds refused_retry{1000};
 /// A request ends at its worker some milliseconds after this VM saw its end,
-/// and later where this VM gave it up: until then an unload is refused, and the
-/// refusal costs more than the wait.
+/// and later if this VM gave the request up. Until then the worker refuses an
+/// unload, and a refusal costs more than this wait.
 constexpr std::chrono::milliseconds end_of_use{10};
-/// An adapter that the worker would not unload is left alone for so long.
+/// Time for which an adapter is not unloaded after the worker refused to.
 constexpr std::chrono::milliseconds busy_pause{150};
-/// Orders in a row that conflict before what is believed counts as wrong.
+/// Conflicting orders in a row after which the known sequence counts as wrong.
 constexpr int most_conflicts = 2;
-/// A report shows a moment some hundred milliseconds ago, at most this.
+/// Upper bound on the age of a report when it is received; reports are
+/// typically some hundred milliseconds old.
 constexpr std::chrono::milliseconds longest_report_lag{1500};
 constexpr std::chrono::milliseconds report_again{100};
-/// A worker that loses a third of its answers loses so many in a row once in a
-/// hundred orders; one that is dark has lost them within half a second.
+/// Unanswered orders in a row after which a worker counts as unresponsive. A
+/// worker that loses a third of its answers reaches this once in a hundred
+/// orders; a dark worker within half a second.
 constexpr int unanswered_that_count = 4;
-/// The weight of the newest fetch in how long they take: the last few count,
-/// since a burst is over within seconds.
+/// Weight of the newest fetch in the moving average of fetch times. Only the
+/// last few fetches should count, since a burst is over within seconds.
 constexpr double newest_fetch_weight = 0.25;
-/// Waiting for so long counts as much as one more request that waits: what is
-/// wanted by many is fetched first, and nothing waits for ever.
+/// Time in the queue that counts as much as one more waiting request when loads
+/// are ranked: adapters with many waiting requests are fetched first, and no
+/// adapter starves.
 constexpr std::chrono::milliseconds waiting_worth{100};
 
 } // namespace
@@ -56,7 +59,7 @@
     fence_ = fence;
     unanswered_ = 0;
     orders_from_ = orders_from;
-    // Another VM may have given orders since this one last did.
+    // Another VM may have sent orders since this VM's last one.
     sequence_.reset();
     lost_sequence_.reset();
     report_asked_ = false;
@@ -120,7 +123,8 @@
     }
     for (model_target const& target : report->coming)
         adopt(target, adapter_stage::loading);
-    // Requests still wait for what is neither there nor coming.
+    // Keep adapters that requests wait for or use, although the worker neither
+    // holds nor loads them.
     for (auto const& [target, before] : known)
         if (adapters_.count(target) == 0 &&
             (before.waits > 0 || before.uses > 0))
@@ -130,11 +134,12 @@
         }
 }
 
-/// Failure: after a conflict the report shows the worker as it was before the
-/// last orders. Loads that are on their way are missing in it and are ordered
-/// again, each order counts once too often, and the next one conflicts: for
-/// seconds nothing is loaded there. The count of orders never falls during a
-/// worker's life, so a report with fewer than were known is an old one.
+/// Whether the report was made before the last known orders. Failure: after a
+/// conflict the report shows the worker as it was before those orders. Loads in
+/// progress are missing in the report and are ordered again, so that each order
+/// is counted twice and the next one conflicts: for seconds the worker loads
+/// nothing. The number of accepted orders never falls during a worker's life,
+/// so a report with a lower number than known is an old one.
 bool worker_adapters::too_old(worker_report const& report, time_point now) const
 {
     return lost_sequence_ && report.sequence < *lost_sequence_ &&
@@ -238,7 +243,8 @@
     if (known == adapters_.end() || known->second.waits == 0)
         return;
     --known->second.waits;
-    // Nobody waits for it any more, and it was not ordered: its slot is free.
+    // No request waits for the adapter any more, and no load was ordered: the
+    // slot is free.
     if (known->second.waits == 0 &&
         known->second.stage == adapter_stage::wanted &&
         known->second.uses == 0 &&
@@ -253,7 +259,8 @@
         known->second.stage != adapter_stage::resident)
         return;
     adapters_.erase(known);
-    // What is believed of the worker is wrong: look before the next order.
+    // The known state of the worker is wrong: read a report before the next
+    // order.
     lose_track(now);
     report_from_ = now;
 }
@@ -294,9 +301,9 @@
                       { return each.second.stage == adapter_stage::loading; }));
 }
 
-/// A load names the version that is wanted. Failure: the unload of an old copy
-/// is lost, the load that follows is answered "already there", and the old copy
-/// is taken for the new version.
+/// A load names the wanted version. Failure: the unload of an old copy is lost,
+/// the worker answers the load that follows with "already there", and the old
+/// copy is taken for the new version.
 worker_order worker_adapters::make(order_kind kind, model_target target) const
 {
     worker_order order{kind,       target.model, target.adapter, worker_,
@@ -338,11 +345,11 @@
     return next;
 }
 
-/// Failure: a request that another VM sent without asking uses an adapter that
-/// is unloaded. The unload is accepted and waits for that request's end, and
-/// the worker carries out no other order meanwhile: each one conflicts, and the
-/// count of orders looks wrong though it is right. Nothing but questions how
-/// far orders are goes out until it is done.
+/// Failure: a request that another VM sent without a grant uses an adapter that
+/// is unloaded. The worker accepts the unload but carries out no other order
+/// until that request ends: each other order conflicts, and the sequence looks
+/// wrong although it is right. Therefore only polls are sent until the unload
+/// is complete.
 bool worker_adapters::waits_for_unload() const
 {
     return std::any_of(adapters_.begin(), adapters_.end(),
@@ -351,9 +358,9 @@
                        });
 }
 
-/// The same load again asks whether it is done: a worker that has the adapter
-/// says so at once, one that is fetching it goes on, and neither counts it as
-/// another order.
+/// Polls an order in progress by sending it again. A worker that has carried
+/// the order out says so at once, one that is still loading continues, and
+/// neither counts the repetition as another order.
 std::optional<worker_order> worker_adapters::poll_order(time_point now)
 {
     if (loading_model_ && now >= model_check_at_)
@@ -377,11 +384,11 @@
     return make(order_kind::load, {*wanted_model_, {}});
 }
 
-/// Load it answers: more is fetched at once, over all workers, than the weight
-/// store sends at full speed; every fetch then takes several times longer, and
-/// holds its adapter slot for as long. The slower fetches are, the fewer this
-/// worker has on their way: those that begin first are there sooner, and the
-/// rest no later.
+/// Limit on concurrent loads, which falls as fetches slow down. Load it
+/// answers: all workers together fetch more than the weight store can send at
+/// full speed; every fetch then takes several times longer and occupies its
+/// adapter slot for as long. With fewer concurrent loads the first ones finish
+/// sooner and the others no later.
 std::size_t worker_adapters::coming_limit() const
 {
     auto const limit =
@@ -423,9 +430,10 @@
     return make(order_kind::load, first->first);
 }
 
-/// An idle adapter makes way: outdated copies first, then the one with the
-/// least demand. Only what no request uses is unloaded, so that an unload is
-/// carried out at once and never under a request.
+/// Selects an idle adapter to evict: outdated copies first, then, if the slots
+/// are full, the adapter with the lowest retention priority. Only adapters that
+/// no request uses are unloaded, so that an unload is carried out at once and
+/// never under a request.
 std::optional<worker_order> worker_adapters::evict_order(score const& keep,
                                                          time_point now)
 {
@@ -462,7 +470,7 @@
     worker_order const order = *order_;
     if (outcome == order_outcome::unknown)
     {
-        // Sent again as it was, until the worker says something.
+        // The order is sent again unchanged until the worker answers it.
         repeated_ = true;
         ++unanswered_;
         retry_at_ = now + settings_.poll_interval;
@@ -472,8 +480,8 @@
     order_.reset();
     if (!sequence_)
     {
-        // Track was lost while it was on its way; the report shows its effect,
-        // and one from before it must not be believed.
+        // Track was lost while the order was in flight. The next report must
+        // show the effect of this order; an older report must not be accepted.
         bool const counted = outcome == order_outcome::accepted ||
                              outcome == order_outcome::holds;
         if (lost_sequence_ && counted)
@@ -490,7 +498,7 @@
         held(order, now);
         return true;
     case order_outcome::conflict:
-        // An order repeated under a number that the worker is past was carried
+        // A repeated order whose sequence number the worker is past was carried
         // out the first time.
         if (repeated_ && order.expected_sequence == *sequence_)
             return accepted(order, now);
@@ -498,7 +506,7 @@
         return false;
     case order_outcome::refused:
         retry_at_ = now + refused_retry;
-        // An adapter that does not exist: nobody should wait for it.
+        // The adapter does not exist: no request should wait for it.
         if (!order.adapter.empty())
             adapters_.erase({order.model, order.adapter});
         return false;
@@ -533,13 +541,15 @@
     state.ordered_at = now;
     state.cold = !warm;
     state.due = now + (warm ? settings_.warm_load : fetch_time_);
-    // Not later: fetches may be fast again.
+    // Poll after the usual time even if recent fetches were slower: fetches may
+    // be fast again.
     state.check_at = now + (warm ? settings_.warm_load : settings_.cold_load);
     return true;
 }
 
-/// A request that this VM does not know of uses the adapter. Its slot is not
-/// free before that request is over: one more load would be one too many.
+/// A request that this VM does not know of may use the adapter. The slot is
+/// free only when that request has ended; a load before that would be one too
+/// many.
 bool worker_adapters::unload_begun(worker_order const& order, time_point now)
 {
     entry& state = adapters_[{order.model, order.adapter}];
@@ -588,7 +598,8 @@
             adapters_.erase(known);
             return;
         }
-        // Wanted again meanwhile, or an outdated copy that made way.
+        // The adapter was requested again meanwhile, or its outdated copy was
+        // unloaded to load a newer version.
         known->second.stage = adapter_stage::wanted;
         known->second.version = {};
         return;
@@ -604,8 +615,8 @@
     state.version = std::max(state.version, order.version);
 }
 
-/// One conflict may be a passing state of the worker; the sequence is wrong
-/// when the next order conflicts as well.
+/// A single conflict may be a transient state of the worker; if the next order
+/// conflicts as well, the known sequence is wrong.
 void worker_adapters::conflicted(worker_order const& order, time_point now)
 {
     if (++conflicts_ >= most_conflicts)
@@ -616,8 +627,8 @@
         known->second.busy_until = now + busy_pause;
 }
 
-/// What the worker holds is not known any more. No order goes out until a
-/// report that is younger than the last order says it.
+/// Marks the worker's state as unknown. No order is sent until a report that is
+/// younger than the last order shows the state.
 void worker_adapters::lose_track(time_point now)
 {
     conflicts_ = 0;
--- a/src/worker_adapters.hpp
+++ b/src/worker_adapters.hpp
@@ -1,5 +1,5 @@
-/// The adapters of one worker, and the orders that change them, as the one VM
-/// that may give it orders sees them.
+/// State of one worker's adapters and base models, and the load and unload
+/// orders that change them, as seen by the VM that holds the worker's lease.
 #ifndef MULBERRY_WORKER_ADAPTERS_HPP
 #define MULBERRY_WORKER_ADAPTERS_HPP
 
@@ -22,52 +22,58 @@
 struct worker_adapters_settings
 {
     std::size_t adapter_slots = 1;
-    /// The most adapters that may be on their way to a worker at a time; the
-    /// worker refuses more.
+    /// Limit on concurrent adapter loads at a worker; the worker refuses more.
     std::size_t max_coming = 4;
-    /// A load of an adapter that the worker has not held lately.
+    /// Expected time of a load from the weight store.
     duration cold_load = std::chrono::milliseconds(250);
-    /// A load of one that it has: a tenth of it.
+    /// Expected time of a load from the copy that the worker keeps of an
+    /// adapter it held recently: a tenth of a cold load.
     duration warm_load = std::chrono::milliseconds(25);
-    /// Time between two questions whether a load is done.
+    /// Interval at which a load or unload in progress is polled.
     duration poll_interval = std::chrono::milliseconds(25);
-    /// Once it is not known what the worker holds, before its report is
-    /// believed: the report lags by up to some hundred milliseconds.
+    /// Minimum time between losing track of the worker's state and reading its
+    /// report: reports lag by some hundred milliseconds.
     duration resync_delay = std::chrono::milliseconds(400);
-    /// After an order that conflicts, before the next. A request that ended
-    /// here may run at the worker for a moment yet, and keeps its adapter.
+    /// Pause after an order that conflicted. A request that ended at this VM
+    /// may run at the worker for a moment longer and keeps its adapter in use.
     duration conflict_pause = std::chrono::milliseconds(15);
 };
 
 enum class adapter_stage
 {
-    /// Wanted, not ordered yet.
+    /// A load is requested but not ordered yet.
     wanted,
     loading,
     resident,
-    /// Ordered away; its slot is free once the requests that use it are over.
+    /// An unload is ordered; the slot is free once the requests that use the
+    /// adapter have ended.
     unloading
 };
 
-/// Orders go out one at a time, each under the number of orders that the
-/// worker must have accepted before it. Failure: an order whose answer is lost
-/// is carried out seconds later, when its slot has been given to another
-/// adapter; the worker then holds one too many and crashes. With the expected
-/// sequence the late order is refused as soon as any later one was accepted,
-/// and the same order is sent again until it has an answer, so that one always
-/// is. Thread safety: none. Pure: no I/O, no clock.
+/// Sends one order at a time. Each order carries the number of orders that the
+/// worker must have accepted before it (the expected sequence). Failure: an
+/// order whose answer is lost is carried out seconds later, when its slot has
+/// been given to another adapter; the worker then holds one adapter too many
+/// and crashes. With the expected sequence, the worker refuses the late order
+/// as soon as it has accepted a later one. An unanswered order is sent again
+/// unchanged until it has an answer, so that a later order is always accepted.
+///
+/// Thread safety: none. Pure: no I/O, no clock.
 class worker_adapters
 {
 public:
-    /// Higher for adapters that should stay.
+    /// Retention priority of an adapter: the lowest is evicted first.
     using score = std::function<double(model_target const&)>;
 
     explicit worker_adapters(worker_adapters_settings settings);
 
-    /// Orders may be given from that moment on, under that token; `never`
-    /// while the holder's lease has lapsed and nobody else has the worker.
+    /// Allows orders from `orders_from` on, under fencing token `fence`.
+    /// `orders_from` is `never` while the holder's lease has lapsed and no
+    /// other VM holds the worker. A new token makes the worker's state unknown
+    /// until the next report.
     void grant(vm_id holder, fencing_number fence, time_point orders_from);
-    /// No more orders; what is resident may still be used.
+    /// Forbids further orders and forgets adapters whose load or unload is not
+    /// complete. Resident adapters may still be used.
     void revoke();
     bool granted() const { return holder_.has_value(); }
     bool may_order(time_point now) const
@@ -75,17 +81,19 @@
         return holder_ && now >= orders_from_;
     }
 
-    /// Whether a report is wanted, since it is not known what the worker holds.
+    /// Whether the worker's report has to be requested because its state is
+    /// unknown.
     bool wants_report(time_point now) const;
     void report_asked() { report_asked_ = true; }
     void on_report(std::optional<worker_report> const& report, time_point now);
     bool synced() const { return sequence_.has_value(); }
-    /// What the worker holds was reported once under this grant. It may be
-    /// used, also while orders have to wait for another report.
+    /// Whether a report was accepted under the current grant. What the worker
+    /// holds may then be used, also while orders wait for another report.
     bool known() const { return known_; }
 
     bool has_model(base_model_id const& model) const;
-    /// Wants a model's weights. Precondition: the worker holds no model.
+    /// Requests a load of a base model. Precondition: the worker holds no
+    /// model.
     void want_model(base_model_id const& model) { wanted_model_ = model; }
     bool holds_any_model() const { return !models_.empty(); }
     bool wants_model() const { return wanted_model_ || loading_model_; }
@@ -93,56 +101,69 @@
 
     std::optional<adapter_stage> stage(model_target const& target) const;
     adapter_version version(model_target const& target) const;
-    /// Whether a load of it could begin now or after evictions: a free slot or
-    /// an idle adapter.
+    /// Whether a load of the adapter could begin now or after an eviction: the
+    /// worker is in sync, holds the base model, and has a free slot or an idle
+    /// adapter. Also true for an adapter that is known here, unless its copy is
+    /// outdated and in use.
     bool can_take(model_target const& target) const;
-    /// Held lately: the worker keeps a copy, which loads in a tenth of the time
-    /// and without the weight store.
+    /// Whether the worker held the adapter recently. The worker then keeps a
+    /// copy, which loads in a tenth of the time and without the weight store.
     bool was_here_lately(model_target const& target) const;
-    /// The worker was seen to hold the adapter, whoever ordered it there.
+    /// Records that the worker holds the adapter, whichever VM ordered its
+    /// load.
     void remember(model_target const& target);
-    /// Whether some adapter that is not there could be loaded now.
+    /// Whether an adapter that is not at the worker could be loaded now, if
+    /// need be after an eviction.
     bool has_room() const;
-    /// How long a load of it takes, as far as is known.
+    /// Expected duration of a load of the adapter.
     duration load_time(model_target const& target) const
     {
         return was_here_lately(target) ? settings_.warm_load : fetch_time_;
     }
-    /// Wants the adapter loaded, in the version that was declared last (0 for
-    /// whichever is newest). Precondition: can_take().
+    /// Requests a load of the adapter in version `newest`, the last declared
+    /// one; 0 stands for whichever is newest. No effect if the adapter is known
+    /// here already. Precondition: the adapter can be loaded now or after an
+    /// eviction (see above).
     void want(model_target const& target, adapter_version newest,
               time_point now);
-    /// Requests in progress under the adapter.
+    /// Counts requests in progress that use the adapter. An adapter in use is
+    /// not evicted.
     void begin_use(model_target const& target);
     void end_use(model_target const& target, time_point now);
-    /// Requests that wait here for the adapter; it is not evicted meanwhile.
+    /// Counts requests that wait here for the adapter. It is not evicted while
+    /// a request waits, unless its copy is outdated.
     void begin_wait(model_target const& target);
     void end_wait(model_target const& target);
-    /// The worker said that it does not hold the adapter.
+    /// Handles an answer by which the worker does not hold the adapter: the
+    /// worker's state is unknown until its next report.
     void missing(model_target const& target, time_point now);
-    /// A newer version exists. The copy is evicted as soon as it is idle.
+    /// Records that version `newest` exists. An older copy is evicted as soon
+    /// as it is idle.
     void outdate(model_target const& target, adapter_version newest);
     bool outdated(model_target const& target) const;
-    /// When the load is expected to be done; `never` unless wanted or loading.
+    /// Expected completion of the load; `never` unless a load is requested or
+    /// in progress.
     time_point due(model_target const& target) const;
 
-    /// The next order, if one is due and none is on its way. Precondition:
-    /// may_order(now).
+    /// Returns the next order if one is due and no order is in flight. `keep`
+    /// ranks idle adapters for eviction. Precondition: may_order(now).
     std::optional<worker_order> next_order(worker_id const& worker,
                                            score const& keep, time_point now);
-    /// Whether what is believed of the worker changed: false for an order that
-    /// only asked how far another is, and for one without effect.
+    /// Handles the outcome of the order in flight. Returns whether the known
+    /// state of the worker changed: false for a poll of an order in progress
+    /// and for an order without effect.
     bool on_outcome(order_outcome outcome, time_point now);
     bool order_in_flight() const { return in_flight_; }
-    /// The order was sent and has no outcome yet.
+    /// Whether the order is in flight.
     bool awaits(worker_order const& order) const
     {
         return in_flight_ && order_ == order;
     }
-    /// The last orders all went without an answer: the worker is dark, or
-    /// cannot be reached, and loads nothing until it answers one.
+    /// Whether the last orders in a row had no answer. The worker is dark or
+    /// unreachable, and loads nothing until it answers an order.
     bool leaves_orders_unanswered() const;
-    /// The next moment at which next_order() may have something new.
+    /// The next time at which next_order() may return an order or a report may
+    /// be needed; `never` if only an event can change that.
     time_point next_due() const;
 
     std::size_t evictions() const { return evictions_; }
@@ -154,21 +175,21 @@
     {
         adapter_stage stage = adapter_stage::wanted;
         adapter_version version;
-        /// The newest version that was declared.
+        /// The newest declared version.
         adapter_version newest;
-        /// What `newest` was when the load was ordered: a load fetches the
-        /// newest version as of then.
+        /// Value of `newest` when the load was ordered: a load fetches the
+        /// version that is newest at that time.
         adapter_version ordered;
         std::size_t uses = 0;
         std::size_t waits = 0;
         time_point wanted_at{};
         time_point ordered_at{};
-        /// Fetched from the weight store, as far as is known.
+        /// Whether the load is taken to come from the weight store.
         bool cold = false;
         time_point check_at = never;
         time_point due = never;
-        /// It is not unloaded before: the worker may still be at the end of a
-        /// request, or would not unload it.
+        /// The adapter is not unloaded before this time: the worker may still
+        /// be finishing a request, or has just refused an unload.
         time_point busy_until{};
     };
 
@@ -185,7 +206,8 @@
     std::optional<worker_order> load_order(time_point now) const;
     std::optional<worker_order> evict_order(score const& keep, time_point now);
     worker_order make(order_kind kind, model_target target) const;
-    /// False when it was known before.
+    /// accepted(), unload_begun() and model_load_begun() return false if the
+    /// order was accepted earlier and this was a poll.
     bool accepted(worker_order const& order, time_point now);
     bool unload_begun(worker_order const& order, time_point now);
     bool model_load_begun(worker_order const& order, time_point now);
@@ -200,7 +222,8 @@
     fencing_number fence_;
     time_point orders_from_ = never;
     std::optional<std::uint64_t> sequence_;
-    /// What it was when track of it was lost, and when that was.
+    /// The sequence when track of the worker's state was lost, and the time of
+    /// the loss.
     std::optional<std::uint64_t> lost_sequence_;
     time_point lost_at_{};
     time_point report_from_{};
@@ -211,15 +234,16 @@
     std::optional<base_model_id> loading_model_;
     time_point model_check_at_ = never;
     std::map<model_target, entry> adapters_;
-    /// How long fetches from the weight store have taken lately.
+    /// Moving average of the time that fetches from the weight store take.
     duration fetch_time_;
-    /// Least recently loaded first; the worker keeps copies of about as many.
+    /// Adapters that were loaded here, least recent first; as many as the
+    /// worker is assumed to keep copies of.
     std::list<model_target> recent_;
     std::optional<worker_order> order_;
-    /// The order was sent and may yet be answered.
+    /// The order was sent and has no outcome yet.
     bool in_flight_ = false;
     bool repeated_ = false;
-    /// Orders in a row that had no answer.
+    /// Orders in a row without an answer.
     int unanswered_ = 0;
     /// Orders in a row that conflicted.
     int conflicts_ = 0;
--- a/src/worker_health.cpp
+++ b/src/worker_health.cpp
@@ -10,29 +10,31 @@
 
 using std::chrono::milliseconds;
 
-/// The weight of the newest answer: about the last twenty count.
+/// Weight of the newest answer in moving averages: about the last twenty
+/// answers count.
 constexpr double newest_weight = 0.05;
-/// A worker that cannot be reached is tried again after this, then after twice
-/// as long, up to the longest: a restart takes one to some seconds.
+/// An unreachable worker is probed again with exponential backoff between these
+/// limits: a restart takes one to some seconds.
 constexpr milliseconds first_avoid{250};
 constexpr milliseconds longest_avoid{2000};
 constexpr int most_doublings = 4;
 constexpr int told_failures_that_count = 2;
 constexpr milliseconds probe_interval{500};
-/// Without answers a share of failures falls to a third in this time: a worker
-/// left alone at 0.4 is tried again after some two seconds.
+/// Time constant of the decay of the share of failures without answers: a
+/// worker avoided at 0.4 is tried again after some two seconds.
 constexpr std::chrono::seconds fading_time{3};
-/// A worker with a full queue has room again after a few requests' time.
+/// A worker with a full queue has room again after the time of a few requests.
 constexpr milliseconds full_pause{60};
-/// Silence is judged by multiples of the usual time to a first byte, so that a
-/// service that is slow as a whole is not taken for dead.
+/// The silence timeout is a multiple of the usual time to the first byte, so
+/// that a service that is slow as a whole does not count as dead.
 constexpr int silence_multiple = 6;
 constexpr milliseconds least_patience{350};
 constexpr milliseconds most_patience{2000};
-/// What was expected may take so many times as long before it counts as
-/// silence: a worker reads the prompts of several VMs, and each VM knows its
-/// own. Load it answers: prompts that take a second to read. Taken for silence
-/// and read again by another worker, they are a sixth of all that is read.
+/// An expected time to the first byte may be exceeded by this factor before the
+/// worker counts as silent: a worker reads the prompts of several VMs, and each
+/// VM knows only its own. Load it answers: prompts that take a second to read.
+/// If these were taken for silence and read again by another worker, they would
+/// be a sixth of all prompts read.
 constexpr int expected_multiple = 2;
 
 } // namespace
@@ -80,11 +82,11 @@
     }
 }
 
-/// What other VMs tell counts for a while: without it nobody would ask for the
-/// worker again to find out. Failure: a worker goes dark, and the VM that
-/// orders it sends it nothing of its own. It grants one request after the
-/// other, each of which waits for a connection that is never made. One VM that
-/// cannot reach a worker proves little; the second in a row does.
+/// Reports of other VMs count for a limited time: without the limit no VM would
+/// try the worker again. Failure: a worker goes dark, and the VM that owns it
+/// sends it no requests of its own. The owner grants one request after another,
+/// each of which waits for a connection that is never made. A single VM that
+/// cannot reach a worker proves little; the second failure in a row counts.
 void worker_health::told(send_outcome outcome, time_point now)
 {
     switch (outcome)
@@ -135,9 +137,9 @@
                                  longest_avoid);
 }
 
-/// Failure: a worker that cannot be reached is given everything again when its
-/// pause is over, and all of that waits for it once more. So one request goes
-/// first, and the rest follow once it was answered.
+/// Failure: an unreachable worker is given all requests again when its backoff
+/// is over, and all of these wait for it once more. Therefore one probe is sent
+/// first, and the other requests follow once it was answered.
 bool worker_health::avoided(time_point now) const
 {
     return unreached(now) ||
--- a/src/worker_health.hpp
+++ b/src/worker_health.hpp
@@ -1,4 +1,4 @@
-/// How well one worker answers, judged by its answers alone.
+/// Health of one worker, judged by how it answers requests.
 #ifndef MULBERRY_WORKER_HEALTH_HPP
 #define MULBERRY_WORKER_HEALTH_HPP
 
@@ -10,71 +10,76 @@
 namespace mulberry
 {
 
-/// What a worker made of one request.
+/// How a worker handled one request.
 enum class send_outcome
 {
     served,
-    /// An answer that says failure, and that the request ran.
+    /// The answer reports a failure; the request ran.
     failed,
-    /// It refused for want of room.
+    /// The worker refused the request because its queue is full.
     full,
-    /// It does not hold the model or adapter, or not the version.
+    /// The worker does not hold the model, the adapter, or its version.
     not_held,
-    /// It could not be reached: nothing was sent.
+    /// The connection failed: nothing was sent.
     unreachable,
-    /// The connection broke, or the bytes were no answer.
+    /// The connection broke, or the bytes were not a valid answer.
     broken,
     /// No answer in time.
     silent,
-    /// This VM gave the request up; says nothing of the worker.
+    /// This VM gave the request up; says nothing about the worker.
     abandoned
 };
 
-/// Loads it answers: a worker that fails, hangs or cannot be reached while its
-/// status check is good. It has the fewest requests in progress and so would
-/// draw them all. One failure proves little, and a service whose every worker
-/// fails has no better one: the share of failures is compared with the
-/// others'. Thread safety: none.
+/// Load it answers: a worker fails, hangs or cannot be reached while its status
+/// check succeeds. Such a worker has the fewest requests in progress, so that
+/// least-loaded balancing would send it everything. A single failure proves
+/// little, and a service whose workers all fail has no better worker: callers
+/// compare the share of failures with that of the other workers.
+///
+/// Thread safety: none.
 class worker_health
 {
 public:
-    /// `first_byte_after`: how long it should take to begin its answer, as far
-    /// as that follows from the request and from what is ahead of it; beside
-    /// this the worker's usual time is allowed for.
+    /// Records that a request was sent. `first_byte_after` is the expected time
+    /// to the first byte, as far as the request and the queue ahead of it
+    /// determine it; the worker's usual time is allowed for in addition.
     void sent(time_point now, duration first_byte_after = duration(0));
     void first_byte(time_point sent_at, time_point now);
     void ended(send_outcome outcome, time_point sent_at, time_point now);
 
-    /// How a request ended that another VM sent.
+    /// Records how a request ended that another VM sent.
     void told(send_outcome outcome, time_point now);
 
     std::size_t outstanding() const { return pending_total_; }
-    /// This VM itself could not reach it, or heard nothing from it.
+    /// Whether this VM itself could not reach the worker, or had no answer in
+    /// time.
     bool unreached(time_point now) const;
-    /// Could not be reached, or left everything unanswered for too long, and
-    /// has answered nothing since.
+    /// Whether to send the worker no requests: it could not be reached, or left
+    /// everything unanswered for too long, and has answered nothing since; or
+    /// other VMs recently failed to reach it.
     bool avoided(time_point now) const;
-    /// It answered this VM a question of another kind: this VM can reach it
-    /// after all.
+    /// Records that the worker answered this VM other than to a request (for
+    /// example with a report), so that this VM can reach it.
     void reached(time_point now);
-    /// May be tried with one request although it is avoided.
+    /// Whether a single request may be sent as a probe although the worker is
+    /// avoided.
     bool may_probe(time_point now) const;
     void probed(time_point now);
-    /// Share of failures among the last answers, 0 to 1. It fades while
-    /// nothing is sent: a worker that is left alone for its failures would
-    /// otherwise never be tried again.
+    /// Moving average of the share of failures among the answers, 0 to 1. It
+    /// decays while nothing is sent: a worker that gets no requests because of
+    /// its failures would otherwise never be tried again.
     double failure_share(time_point now) const;
-    /// Until then it has no room, by its own word.
+    /// Whether the worker reported a full queue a moment ago.
     bool full(time_point now) const { return now < full_until_; }
-    /// Mean time to the first byte.
+    /// Moving average of the time to the first byte.
     duration mean_first_byte() const { return mean_first_byte_; }
     /// How long a request may stay without a first byte before the worker
     /// counts as silent.
     duration patience() const;
-    /// When it last began to answer.
+    /// When the worker last began an answer, or answered this VM otherwise.
     time_point answered_at() const { return last_byte_; }
-    /// The moment at which it will count as silent if nothing comes; never
-    /// when nothing is outstanding.
+    /// When the worker will count as silent if nothing arrives; `never` if no
+    /// request waits for a first byte.
     time_point silent_at() const;
 
 private:
@@ -82,15 +87,15 @@
     void avoid(int failures, time_point now);
     void judge(bool failed, time_point now);
 
-    /// When each was sent that has no first byte yet, and after how long one
-    /// was expected.
+    /// Requests without a first byte: when each was sent, and its expected time
+    /// to the first byte.
     std::multimap<time_point, duration> pending_;
     std::size_t pending_total_ = 0;
     time_point last_byte_{};
     time_point full_until_{};
     time_point next_probe_{};
     int failures_in_a_row_ = 0;
-    /// Of other VMs' requests.
+    /// Failures in a row among requests of other VMs.
     int told_failures_in_a_row_ = 0;
     time_point told_until_{};
     double failure_share_ = 0;
--- a/src/worker_notices.cpp
+++ b/src/worker_notices.cpp
@@ -8,7 +8,7 @@
 {
 
 constexpr std::chrono::seconds sweep_interval{10};
-/// A worker that said that it leaves is gone long before.
+/// A worker that announced its departure is gone long before this.
 constexpr std::chrono::minutes departure_remembered{10};
 
 } // namespace
--- a/src/worker_notices.hpp
+++ b/src/worker_notices.hpp
@@ -1,4 +1,5 @@
-/// What workers said of themselves in their answers to this VM.
+/// Backoff requests and departure notices that workers sent in their answers to
+/// this VM.
 #ifndef MULBERRY_WORKER_NOTICES_HPP
 #define MULBERRY_WORKER_NOTICES_HPP
 
@@ -11,31 +12,36 @@
 namespace mulberry
 {
 
-/// Kept for each worker's id, whatever the registry lists meanwhile: an entry
-/// that lapses and comes back takes nothing back that the worker said. Thread
-/// safety: none. Pure: no I/O, no clock.
+/// Stored by worker id, independent of the registry: an entry that lapses and
+/// is listed again does not cancel a notice of the worker.
+///
+/// Thread safety: none. Pure: no I/O, no clock.
 class worker_notices
 {
 public:
-    /// The worker wants no requests from this VM until then, in whatever life.
-    /// True if it was not resting before.
+    /// Records that the worker wants no requests from this VM before `until`,
+    /// also after a restart. A shorter rest does not end a longer one. Returns
+    /// true if the worker was not resting before.
     bool ask_rest(worker_id const& worker, time_point until, time_point now);
-    /// In the past, or the epoch, where it wants none.
+    /// End of the worker's rest; in the past, or the epoch, if it is not
+    /// resting.
     time_point rests_until(worker_id const& worker) const;
-    /// The first end of a rest after that moment; `never` if there is none.
+    /// The first end of a rest after `after`; `never` if there is none.
     time_point next_end(time_point after) const;
     bool rests(worker_id const& worker, time_point now) const
     {
         return now < rests_until(worker);
     }
 
-    /// The worker leaves, in the life that began then; the epoch where that is
-    /// not known.
+    /// Records that the worker is leaving, in the process life that began at
+    /// `life`; the epoch if that is unknown.
     void leave(worker_id const& worker, worker_start life, time_point now);
-    /// Whether that life of the worker said that it leaves.
+    /// Whether the worker announced in process life `life`, or in a later one,
+    /// that it is leaving. A life that is unknown on either side counts as the
+    /// same.
     bool leaves(worker_id const& worker, worker_start life) const;
 
-    /// Forgets rests that are over and departures of long ago.
+    /// Forgets rests that are over, and departures after ten minutes.
     void forget_past(time_point now);
 
 private:
--- a/src/worker_reading.hpp
+++ b/src/worker_reading.hpp
@@ -1,4 +1,4 @@
-/// The prompts that one worker has yet to read, as far as this VM knows.
+/// Prompts that one worker has yet to prefill, as far as this VM knows.
 #ifndef MULBERRY_WORKER_READING_HPP
 #define MULBERRY_WORKER_READING_HPP
 
@@ -9,25 +9,26 @@
 namespace mulberry
 {
 
-/// An engine reads prompts one after the other, so that a request begins when
-/// all that were sent before it are read. Known are the prompts that this VM
-/// sent or granted. Time wears the estimate
-/// off; a request that begins corrects it. Thread safety: none.
+/// An engine prefills prompts one after the other, so that a request begins
+/// when all prompts sent before it are prefilled. Only prompts that this VM
+/// sent or granted are known. The estimate falls as time passes and is
+/// corrected by each request that begins. Thread safety: none.
 class worker_reading
 {
 public:
-    /// Until what is there now is read.
+    /// Remaining time until the current backlog is prefilled.
     duration ahead(time_point now) const;
-    /// When what is there now is read; in the past if nothing is.
+    /// When the current backlog is prefilled; in the past if there is none.
     time_point until() const { return until_; }
-    /// A prompt was sent that takes so long to read.
+    /// Adds a prompt with the expected prefill time `reading`.
     void add(duration reading, time_point now);
-    /// A request that was sent then has begun: what came before it was read.
+    /// Records that a request sent at `sent_at` has begun its answer: all
+    /// prompts sent up to then are prefilled.
     void begun(time_point sent_at, time_point now);
 
 private:
     time_point until_{};
-    /// When each of them was sent, and what it takes to be read.
+    /// Prompts not prefilled yet: when each was sent, and its prefill time.
     std::multimap<time_point, duration> unread_;
 };
 
