--- a/src/adapter_sightings.hpp
+++ b/src/adapter_locations.hpp
@@ -1,6 +1,6 @@
 /// Which worker of another VM was last seen to hold an adapter.
-#ifndef MULBERRY_ADAPTER_SIGHTINGS_HPP
-#define MULBERRY_ADAPTER_SIGHTINGS_HPP
+#ifndef MULBERRY_ADAPTER_LOCATIONS_HPP
+#define MULBERRY_ADAPTER_LOCATIONS_HPP
 
 #include "relay_request.hpp"
 #include "time_point.hpp"
@@ -14,28 +14,28 @@
 /// A worker lists its adapters with its heartbeat, seconds late; a VM that was
 /// granted a slot for an adapter there knows the location at once. Entries
 /// expire after a few seconds, which bounds the size. Thread safety: none.
-class adapter_sightings
+class adapter_locations
 {
 public:
-    void seen(model_target const& target, worker_id const& worker,
+    void record(model_target const& target, worker_id const& worker,
               time_point now);
     /// Removes the entry if it names this worker, which turned out not to hold
     /// the adapter.
-    void missed(model_target const& target, worker_id const& worker);
+    void remove(model_target const& target, worker_id const& worker);
     /// Removes all entries of a worker that holds nothing any more.
-    void forget(worker_id const& worker);
-    bool at(model_target const& target, worker_id const& worker,
+    void remove_worker(worker_id const& worker);
+    bool is_at(model_target const& target, worker_id const& worker,
             time_point now) const;
-    std::size_t size() const { return seen_.size(); }
+    std::size_t size() const { return locations_.size(); }
 
 private:
-    struct sighting
+    struct location
     {
         worker_id worker;
         time_point valid_until{};
     };
-    std::map<model_target, sighting> seen_;
-    time_point sweep_at_{};
+    std::map<model_target, location> locations_;
+    time_point next_sweep_at_{};
 };
 
 } // namespace mulberry
--- a/src/adapter_releases.cpp
+++ b/src/adapter_version_history.cpp
@@ -1,4 +1,4 @@
-#include "adapter_releases.hpp"
+#include "adapter_version_history.hpp"
 
 #include <algorithm>
 
@@ -8,25 +8,25 @@
 {
 
 /// Maximum number of versions stored for one adapter.
-constexpr std::size_t most_remembered = 16;
+constexpr std::size_t max_versions = 16;
 
 } // namespace
 
-adapter_releases::history const*
-adapter_releases::find(model_target const& target) const
+adapter_version_history::history const*
+adapter_version_history::find(model_target const& target) const
 {
     auto const known = declared_.find(target);
     return known == declared_.end() ? nullptr : &known->second;
 }
 
-bool adapter_releases::declare(model_target const& target,
+bool adapter_version_history::declare(model_target const& target,
                                declared_version const& declared)
 {
     history& known = declared_[target];
     if (!known.empty() && declared.version <= known.back().version)
         return false;
-    drop_passed(known, declared.heard_at);
-    if (known.size() < most_remembered)
+    drop_expired(known, declared.learned_at);
+    if (known.size() < max_versions)
         known.push_back(declared);
     else
         // Older copies keep the earlier deadline.
@@ -36,25 +36,25 @@
 
 /// Of the versions whose deadline has passed, only the newest affects the
 /// result of oldest_allowed().
-void adapter_releases::drop_passed(history& known, time_point now)
+void adapter_version_history::drop_expired(history& known, time_point now)
 {
-    while (known.size() > 1 && known[1].older_until <= now)
+    while (known.size() > 1 && known[1].older_allowed_until <= now)
         known.erase(known.begin());
 }
 
-adapter_version adapter_releases::newest(model_target const& target) const
+adapter_version adapter_version_history::newest(model_target const& target) const
 {
     history const* const known = find(target);
     return known == nullptr ? adapter_version() : known->back().version;
 }
 
-time_point adapter_releases::newest_heard_at(model_target const& target) const
+time_point adapter_version_history::newest_learned_at(model_target const& target) const
 {
     history const* const known = find(target);
-    return known == nullptr ? never : known->back().heard_at;
+    return known == nullptr ? never : known->back().learned_at;
 }
 
-time_point adapter_releases::replaced_at(model_target const& target,
+time_point adapter_version_history::superseded_at(model_target const& target,
                                          adapter_version copy) const
 {
     history const* const known = find(target);
@@ -63,21 +63,21 @@
     auto const newer =
         std::find_if(known->begin(), known->end(),
                      [copy](auto const& each) { return each.version > copy; });
-    return newer == known->end() ? never : newer->heard_at;
+    return newer == known->end() ? never : newer->learned_at;
 }
 
-adapter_version adapter_releases::oldest_allowed(model_target const& target,
+adapter_version adapter_version_history::oldest_allowed(model_target const& target,
                                                  time_point at) const
 {
     adapter_version oldest;
     if (history const* const known = find(target))
         for (declared_version const& each : *known)
-            if (each.older_until <= at)
+            if (each.older_allowed_until <= at)
                 oldest = each.version;
     return oldest;
 }
 
-void adapter_releases::for_each(
+void adapter_version_history::for_each(
     std::function<void(model_target const&, declared_version const&)> const&
         what) const
 {
--- a/src/adapter_releases.hpp
+++ b/src/adapter_version_history.hpp
@@ -1,7 +1,7 @@
 /// The declared versions of adapters, and until when each older version may be
 /// used.
-#ifndef MULBERRY_ADAPTER_RELEASES_HPP
-#define MULBERRY_ADAPTER_RELEASES_HPP
+#ifndef MULBERRY_ADAPTER_VERSION_HISTORY_HPP
+#define MULBERRY_ADAPTER_VERSION_HISTORY_HPP
 
 #include "relay_request.hpp"
 #include "time_point.hpp"
@@ -17,9 +17,9 @@
 struct declared_version
 {
     adapter_version version;
-    time_point heard_at{};
+    time_point learned_at{};
     /// Until this time a request may begin on an older version.
-    time_point older_until{};
+    time_point older_allowed_until{};
     friend bool operator==(declared_version const&,
                            declared_version const&) = default;
 };
@@ -29,7 +29,7 @@
 /// copies that were replaced long ago.
 ///
 /// Thread safety: none. Pure: no I/O, no clock.
-class adapter_releases
+class adapter_version_history
 {
 public:
     /// Records a declared version. Returns false if it is not newer than the
@@ -40,10 +40,10 @@
     adapter_version newest(model_target const& target) const;
     /// When this VM learned of the newest version; `never` if none was
     /// declared.
-    time_point newest_heard_at(model_target const& target) const;
+    time_point newest_learned_at(model_target const& target) const;
     /// When this VM learned of the first version newer than `copy`; `never` if
     /// there is none.
-    time_point replaced_at(model_target const& target,
+    time_point superseded_at(model_target const& target,
                            adapter_version copy) const;
     /// The oldest version on which a request may begin at time `at`; 0 if any
     /// version may be used.
@@ -59,7 +59,7 @@
     using history = std::vector<declared_version>;
 
     history const* find(model_target const& target) const;
-    static void drop_passed(history& known, time_point now);
+    static void drop_expired(history& known, time_point now);
 
     /// Versions in ascending order; no history is empty.
     std::map<model_target, history> declared_;
--- a/src/worker_reading.hpp
+++ b/src/prefill_backlog.hpp
@@ -1,6 +1,6 @@
 /// Prompts that one worker has yet to prefill, as far as this VM knows.
-#ifndef MULBERRY_WORKER_READING_HPP
-#define MULBERRY_WORKER_READING_HPP
+#ifndef MULBERRY_PREFILL_BACKLOG_HPP
+#define MULBERRY_PREFILL_BACKLOG_HPP
 
 #include "time_point.hpp"
 
@@ -13,23 +13,23 @@
 /// when all prompts sent before it are prefilled. Only prompts that this VM
 /// sent or granted are known. The estimate falls as time passes and is
 /// corrected by each request that begins. Thread safety: none.
-class worker_reading
+class prefill_backlog
 {
 public:
     /// Remaining time until the current backlog is prefilled.
     duration ahead(time_point now) const;
     /// When the current backlog is prefilled; in the past if there is none.
-    time_point until() const { return until_; }
+    time_point ends_at() const { return ends_at_; }
     /// Adds a prompt with the expected prefill time `reading`.
-    void add(duration reading, time_point now);
+    void add(duration prefill_time, time_point now);
     /// Records that a request sent at `sent_at` has begun its answer: all
     /// prompts sent up to then are prefilled.
-    void begun(time_point sent_at, time_point now);
+    void on_first_byte(time_point sent_at, time_point now);
 
 private:
-    time_point until_{};
+    time_point ends_at_{};
     /// Prompts not prefilled yet: when each was sent, and its prefill time.
-    std::multimap<time_point, duration> unread_;
+    std::multimap<time_point, duration> pending_;
 };
 
 } // namespace mulberry
--- a/src/prompt_copy.hpp
+++ b/src/prompt_copy.hpp
@@ -36,17 +36,17 @@
 };
 
 /// The times as of which this VM knows the registry's content. Value.
-struct registry_moment
+struct registry_timestamps
 {
     /// Of the declared versions.
     time_point declarations{};
     /// Of the workers' entries: which process lives exist and what each holds.
     time_point workers{};
-    friend bool operator==(registry_moment const&,
-                           registry_moment const&) = default;
+    friend bool operator==(registry_timestamps const&,
+                           registry_timestamps const&) = default;
 };
 
-enum class copy_verdict : std::size_t
+enum class copy_decision : std::size_t
 {
     allowed,
     weights_unknown,
@@ -57,15 +57,15 @@
     /// gone, and the KV cache at the address may be the other worker's.
     address_shared,
     /// One of the two workers may have restarted on newer weights by now.
-    knowledge_too_old
+    registry_data_too_old
 };
 
-inline constexpr std::array all_copy_verdicts{
-    copy_verdict::allowed,        copy_verdict::weights_unknown,
-    copy_verdict::weights_differ, copy_verdict::adapter_differs,
-    copy_verdict::address_shared, copy_verdict::knowledge_too_old};
+inline constexpr std::array all_copy_decisions{
+    copy_decision::allowed,        copy_decision::weights_unknown,
+    copy_decision::weights_differ, copy_decision::adapter_differs,
+    copy_decision::address_shared, copy_decision::registry_data_too_old};
 
-std::string_view to_string(copy_verdict verdict);
+std::string_view to_string(copy_decision decision);
 
 /// Decides whether `reader` may copy the KV cache of a prompt from `source`.
 /// Failure: a worker continues from a KV cache that other weights computed, and
@@ -84,10 +84,10 @@
 /// `load_time` is the time of a load from the weight store, `begins_at` the
 /// time at which the reader is expected to begin. Pure. Thread safety: any
 /// thread.
-copy_verdict judge_copy(served_versions const& source,
+copy_decision decide_prompt_copy(served_versions const& source,
                         served_versions const& reader,
                         newest_versions const& newest,
-                        registry_moment const& known_as_of, duration load_time,
+                        registry_timestamps const& known_as_of, duration load_time,
                         time_point now, time_point begins_at);
 
 } // namespace mulberry
--- a/src/reader_choice.cpp
+++ b/src/reader_selector.cpp
@@ -1,4 +1,4 @@
-#include "reader_choice.hpp"
+#include "reader_selector.hpp"
 
 #include "placement.hpp"
 
@@ -15,20 +15,20 @@
 /// Maximum number of VMs per reader. A reader's outgoing traffic grows with
 /// this number, and its link and processor are those of any other VM: some 10
 /// KB/s per VM in a domain of a hundred VMs, mostly heartbeats.
-constexpr std::size_t vms_per_reader = 16;
+constexpr std::size_t max_vms_per_reader = 16;
 /// A reader that failed is skipped for this time, twice as long after each
 /// further failure: a restart takes one to some seconds.
-constexpr milliseconds first_avoid{1000};
-constexpr int most_doublings = 3;
+constexpr milliseconds initial_backoff{1000};
+constexpr int max_doublings = 3;
 
 } // namespace
 
-void reader_choice::set_members(std::vector<ranked_vm> candidates,
+void reader_selector::set_members(std::vector<ranked_vm> candidates,
                                 std::size_t vms)
 {
     readers_.clear();
     std::vector<vm_id> members = by_rank(std::move(candidates));
-    std::erase_if(troubles_,
+    std::erase_if(failures_,
                   [&members](auto const& each)
                   {
                       return std::find(members.begin(), members.end(),
@@ -36,7 +36,7 @@
                   });
     if (members.empty())
         return;
-    std::size_t const wanted = (vms + vms_per_reader - 1) / vms_per_reader;
+    std::size_t const wanted = (vms + max_vms_per_reader - 1) / max_vms_per_reader;
     members.resize(std::min(members.size(), wanted));
     if (std::find(members.begin(), members.end(), self_) != members.end())
         return;
@@ -48,27 +48,27 @@
     readers_ = std::move(members);
 }
 
-vm_id reader_choice::choose(time_point now) const
+vm_id reader_selector::choose(time_point now) const
 {
     for (vm_id const& reader : readers_)
     {
-        auto const known = troubles_.find(reader);
-        if (known == troubles_.end() || now >= known->second.avoid_until)
+        auto const known = failures_.find(reader);
+        if (known == failures_.end() || now >= known->second.skip_until)
             return reader;
     }
     return {};
 }
 
-void reader_choice::answered(vm_id const& reader)
+void reader_selector::answered(vm_id const& reader)
 {
-    troubles_.erase(reader);
+    failures_.erase(reader);
 }
 
-void reader_choice::failed(vm_id const& reader, time_point now)
+void reader_selector::failed(vm_id const& reader, time_point now)
 {
-    trouble& known = troubles_[reader];
-    int const doublings = std::min(known.failures++, most_doublings);
-    known.avoid_until = now + first_avoid * (1 << doublings);
+    failure_record& known = failures_[reader];
+    int const doublings = std::min(known.failures++, max_doublings);
+    known.skip_until = now + initial_backoff * (1 << doublings);
 }
 
 } // namespace mulberry
--- a/src/reader_choice.hpp
+++ b/src/reader_selector.hpp
@@ -1,7 +1,7 @@
 /// Selects the VM that reads the store on behalf of others in its failure
 /// domain.
-#ifndef MULBERRY_READER_CHOICE_HPP
-#define MULBERRY_READER_CHOICE_HPP
+#ifndef MULBERRY_READER_SELECTOR_HPP
+#define MULBERRY_READER_SELECTOR_HPP
 
 #include "ids.hpp"
 #include "time_point.hpp"
@@ -21,10 +21,10 @@
 /// VM depends on another for longer than one question.
 ///
 /// Thread safety: none. Pure: no I/O, no clock.
-class reader_choice
+class reader_selector
 {
 public:
-    explicit reader_choice(vm_id self) : self_(std::move(self)) {}
+    explicit reader_selector(vm_id self) : self_(std::move(self)) {}
 
     /// Sets the VMs of this failure domain that may read for others, and the
     /// number of VMs in the domain including this one.
@@ -35,22 +35,22 @@
     void failed(vm_id const& reader, time_point now);
     /// Forgets past failures once their cause is over, so that every reader may
     /// be asked again.
-    void forgive() { troubles_.clear(); }
+    void clear_failures() { failures_.clear(); }
     /// Whether other VMs read the store for this VM.
-    bool follows() const { return !readers_.empty(); }
+    bool uses_reader() const { return !readers_.empty(); }
 
 private:
-    struct trouble
+    struct failure_record
     {
         int failures = 0;
-        time_point avoid_until{};
+        time_point skip_until{};
     };
 
     vm_id self_;
     /// In the order in which this VM asks them; empty if it reads the store
     /// itself.
     std::vector<vm_id> readers_;
-    std::map<vm_id, trouble> troubles_;
+    std::map<vm_id, failure_record> failures_;
 };
 
 } // namespace mulberry
--- a/src/relay.cmake
+++ b/src/relay.cmake
@@ -1,23 +1,23 @@
 # The relay's decisions: routes, waiting, placing, turning away, orders,
 # health, repeats. No I/O.
 mulberry_library(mulberry_scheduling
-  SOURCES adapter_releases.cpp adapter_sightings.cpp allotment_pool.cpp crash_keeper.cpp crash_record.cpp equal_allotment.cpp
-          pooled_allotment.cpp prompt_copy.cpp reader_choice.cpp
-          reading_pace.cpp relay_request.cpp remote_clock.cpp
-          retry_allowance.cpp route_table.cpp row_copy.cpp
+  SOURCES adapter_version_history.cpp adapter_locations.cpp allotment_pool.cpp crash_keeper.cpp crash_record.cpp equal_allotment.cpp
+          pooled_allotment.cpp prompt_copy.cpp reader_selector.cpp
+          prefill_rate.cpp relay_request.cpp remote_clock.cpp
+          retry_allowance.cpp route_table.cpp row_replica.cpp
           service_estimate.cpp service_notices.cpp service_placing.cpp
-          service_scheduler.cpp service_versions.cpp service_workers.cpp start_hold.cpp
+          service_scheduler.cpp service_versions.cpp service_workers.cpp startup_hold.cpp
           team_directory.cpp token_bucket.cpp
-          worker_adapters.cpp worker_health.cpp worker_notices.cpp worker_reading.cpp
+          worker_adapters.cpp worker_health.cpp worker_notices.cpp prefill_backlog.cpp
   LINK mulberry_policy)
 mulberry_test(scheduling_test
-  SOURCES adapter_releases_test.cpp adapter_sightings_test.cpp allotment_pool_test.cpp crash_keeper_test.cpp crash_record_test.cpp crash_world.cpp reader_choice_test.cpp reading_pace_test.cpp
+  SOURCES adapter_version_history_test.cpp adapter_locations_test.cpp allotment_pool_test.cpp crash_keeper_test.cpp crash_record_test.cpp crash_world.cpp reader_selector_test.cpp prefill_rate_test.cpp
           pooled_allotment_test.cpp prompt_copy_test.cpp relay_request_test.cpp
           remote_clock_test.cpp retry_allowance_test.cpp route_table_test.cpp
-          row_copy_test.cpp scheduler_world.cpp
-          service_leaving_test.cpp service_load_test.cpp service_rest_test.cpp service_scheduler_test.cpp service_version_test.cpp start_hold_test.cpp team_directory_test.cpp token_bucket_test.cpp
+          row_replica_test.cpp scheduler_world.cpp
+          service_leaving_test.cpp service_load_test.cpp service_rest_test.cpp service_scheduler_test.cpp service_version_test.cpp startup_hold_test.cpp team_directory_test.cpp token_bucket_test.cpp
           worker_adapters_test.cpp worker_health_test.cpp worker_notices_test.cpp
-          worker_reading_test.cpp
+          prefill_backlog_test.cpp
   LINK mulberry_scheduling)
 # The relay: callers' requests in, workers' answers out.
 mulberry_library(mulberry_relay
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -100,7 +100,7 @@
         [&made](model_target const& target, declared_version const& declared)
         {
             made->second.scheduler.on_release(target, declared.version,
-                                              declared.heard_at);
+                                              declared.learned_at);
         });
 }
 
@@ -171,8 +171,8 @@
         .add("copy", copy.version.value())
         .add("named", placed.version.value())
         .add("newest", copy.newest.value())
-        .add("replaced_ms_ago", at - copy.replaced_at)
-        .add("newest_ms_ago", at - copy.newest_heard_at);
+        .add("replaced_ms_ago", at - copy.superseded_at)
+        .add("newest_ms_ago", at - copy.newest_learned_at);
     if (options_.registry_as_of)
         fields.add("known_ms_ago", at - options_.registry_as_of().declarations);
     log_.notable("sent to replaced version", fields, at);
@@ -362,10 +362,10 @@
                  now());
 }
 
-duration relay::patience(relay_exchange const& exchange) const
+duration relay::first_byte_timeout(relay_exchange const& exchange) const
 {
     auto const service = services_.find(exchange.terms().service);
-    return service->second.scheduler.patience(exchange.worker());
+    return service->second.scheduler.first_byte_timeout(exchange.worker());
 }
 
 duration relay::retry_after(relay_exchange const& exchange, duration least)
--- a/src/relay.hpp
+++ b/src/relay.hpp
@@ -12,7 +12,7 @@
 #include "relay_exchange.hpp"
 #include "retry_allowance.hpp"
 #include "route_table.hpp"
-#include "start_hold.hpp"
+#include "startup_hold.hpp"
 #include "team_directory.hpp"
 
 #include <asio/io_context.hpp>
@@ -43,13 +43,13 @@
     std::function<bool(worker_id const&)> may_order;
     /// As of when configuration, versions and workers are known; asked before
     /// requests are placed.
-    std::function<registry_moment()> registry_as_of;
+    std::function<registry_timestamps()> registry_as_of;
     /// As of when the declarations are known. Empty: they always are.
     std::function<declarations_known()> declarations_as_of;
     key_bounds keys;
     allotment_terms allotments;
     std::uint64_t seed = 1;
-    start_limits start;
+    startup_limits start;
     /// What is known of requests that crash workers.
     crash_watch_options crashes;
 };
@@ -145,7 +145,7 @@
     void asked_for_rest(relay_exchange const& exchange,
                         time_point until) override;
     void broke_off(relay_exchange const& exchange) override;
-    duration patience(relay_exchange const& exchange) const override;
+    duration first_byte_timeout(relay_exchange const& exchange) const override;
     duration retry_after(relay_exchange const& exchange,
                          duration least) override;
     bool take_retry(relay_exchange const& exchange) override;
@@ -285,10 +285,10 @@
     std::vector<backend_entry> backends_;
     crash_watch crashes_;
     bool backends_known_ = false;
-    start_hold const start_;
+    startup_hold const start_;
     std::vector<early_request> early_;
     std::map<worker_id, order_grant> grants_;
-    adapter_releases releases_;
+    adapter_version_history releases_;
     std::size_t members_ = 1;
     std::unique_ptr<team_directory> teams_;
     std::unique_ptr<allotment_keeper> allotments_;
--- a/src/relay_admission.cpp
+++ b/src/relay_admission.cpp
@@ -53,12 +53,12 @@
     admit(std::move(request), std::move(answer), now());
 }
 
-/// See start_hold.hpp.
+/// See startup_hold.hpp.
 void relay::keep_early(relay_request request,
                        std::shared_ptr<http_answer> answer)
 {
     time_point const at = now();
-    time_point const until = start_.keep_until(at, request.time_left);
+    time_point const until = start_.hold_until(at, request.time_left);
     early_request early{std::move(request), std::move(answer), at, until,
                         std::make_shared<bool>(false)};
     if (early.keep_until <= at || early_.size() >= most_early)
--- a/src/relay_daemon.cpp
+++ b/src/relay_daemon.cpp
@@ -172,7 +172,7 @@
     void review_stop();
     bool ready() const;
     bool registry_known() const;
-    registry_moment registry_as_of() const;
+    registry_timestamps registry_as_of() const;
     void write_rows(table_transaction const& transaction,
                     std::function<void(bool)> const& done);
     void on_rows(row_set set, std::vector<stored_row> const& rows);
@@ -208,7 +208,7 @@
 
 relay_options options_of(relay_settings const& value, std::uint64_t seed,
                          std::function<bool(worker_id const&)> may_order,
-                         std::function<registry_moment()> registry_as_of,
+                         std::function<registry_timestamps()> registry_as_of,
                          std::function<declarations_known()> declarations_as_of,
                          crash_row_writer write_rows)
 {
@@ -284,7 +284,7 @@
            mirror_.read(row_set::workers);
 }
 
-registry_moment relay_process::registry_as_of() const
+registry_timestamps relay_process::registry_as_of() const
 {
     time_point const now = boot_clock::now();
     // Just after the store's return entries may tell of lives that ended while
--- a/src/relay_exchange.cpp
+++ b/src/relay_exchange.cpp
@@ -105,7 +105,7 @@
     time_point when = terms_.give_up_at;
     if (stage_ == stage::sent && repeatable() &&
         runs_ <= terms_.matched->worker_limit)
-        when = std::min(when, sent_at_ + host_.patience(*this));
+        when = std::min(when, sent_at_ + host_.first_byte_timeout(*this));
     if (stage_ == stage::streaming && repeatable())
         when = std::min(when, last_byte_at_ + longest_pause);
     host_.wake_at(*this, when);
@@ -182,7 +182,7 @@
     if (now < terms_.give_up_at)
     {
         bool const silent = (stage_ == stage::sent && repeatable() &&
-                             now >= sent_at_ + host_.patience(*this)) ||
+                             now >= sent_at_ + host_.first_byte_timeout(*this)) ||
                             (stage_ == stage::streaming &&
                              now >= last_byte_at_ + longest_pause);
         if (silent && may_repeat())
--- a/src/relay_exchange.hpp
+++ b/src/relay_exchange.hpp
@@ -55,7 +55,7 @@
                                 time_point until) = 0;
     /// The connection closed before the worker's answer was whole.
     virtual void broke_off(relay_exchange const& exchange) = 0;
-    virtual duration patience(relay_exchange const& exchange) const = 0;
+    virtual duration first_byte_timeout(relay_exchange const& exchange) const = 0;
     /// When its caller is to come back: when some worker of its service takes
     /// requests of this VM again, after `least` at the earliest.
     virtual duration retry_after(relay_exchange const& exchange,
--- a/src/relay_metrics.cpp
+++ b/src/relay_metrics.cpp
@@ -70,7 +70,7 @@
         add("cold_loads_total", label, counts.cold_loads);
         add("warm_loads_total", label, counts.warm_loads);
         add("evictions_total", label, counts.evictions);
-        for (copy_verdict const verdict : all_copy_verdicts)
+        for (copy_decision const verdict : all_copy_decisions)
             add("prompt_copies_total",
                 fmt::format("{{service=\"{}\",verdict=\"{}\"}}", name.str(),
                             to_string(verdict)),
--- a/src/remote_clock.hpp
+++ b/src/remote_clock.hpp
@@ -25,7 +25,7 @@
 
 private:
     /// Lower bound on the local time at which the remote clock showed 0.
-    std::optional<time_point> zero_;
+    std::optional<time_point> remote_epoch_;
 };
 
 } // namespace mulberry
--- a/src/row_mirror.cpp
+++ b/src/row_mirror.cpp
@@ -132,7 +132,7 @@
     time_point const now = boot_clock::now();
     bool const all_read =
         std::all_of(sets_.begin(), sets_.end(),
-                    [](followed_set const& each) { return each.copy.read(); });
+                    [](followed_set const& each) { return each.copy.is_loaded(); });
     vm_id chosen =
         now < serves_until_ || !all_read ? vm_id() : choice_.choose(now);
     if (addresses_.count(chosen) == 0)
@@ -154,13 +154,13 @@
 /// asked for by whoever needs them; see refresh_own().
 void row_mirror::go_on(followed_set& which)
 {
-    bool const told_by_reader = !reader_.empty() && which.copy.read();
+    bool const told_by_reader = !reader_.empty() && which.copy.is_loaded();
     if (told_by_reader && !which.lacks_large_rows())
     {
         which.probes = false;
         return;
     }
-    if (which.set == row_set::own && !which.probes && which.copy.read() &&
+    if (which.set == row_set::own && !which.probes && which.copy.is_loaded() &&
         held_.empty() && refreshes_.empty() &&
         boot_clock::now() >= serves_until_)
         return;
@@ -236,7 +236,7 @@
             returned_at_ = now;
             log_.notable("store regained", log_fields(), now);
             // Their rows were old since the store was away, as this VM's were.
-            choice_.forgive();
+            choice_.clear_failures();
         }
         resume_others(which);
         return true;
@@ -300,7 +300,7 @@
         return read_page(which, reply.rows.back().key);
     which.whole = false;
     took(which,
-         which.copy.replace(std::exchange(which.pages, {}), which.first_page),
+         which.copy.apply_snapshot(std::exchange(which.pages, {}), which.first_page),
          which.first_page_at);
 }
 
@@ -359,7 +359,7 @@
     std::vector<refreshed> told;
     for (wanted_refresh& each : waiting)
     {
-        bool const current = own.copy.read() && own.as_of >= each.as_of;
+        bool const current = own.copy.is_loaded() && own.as_of >= each.as_of;
         if (current || failed)
             told.push_back(std::move(each.done));
         else
--- a/src/row_mirror.hpp
+++ b/src/row_mirror.hpp
@@ -8,9 +8,9 @@
 #include "http_server.hpp"
 #include "ownership_keeper.hpp"
 #include "peer_rows.hpp"
-#include "reader_choice.hpp"
+#include "reader_selector.hpp"
 #include "remote_clock.hpp"
-#include "row_copy.hpp"
+#include "row_replica.hpp"
 #include "row_store.hpp"
 
 #include <asio/io_context.hpp>
@@ -52,8 +52,8 @@
     duration oldest_declarations{};
     /// How often the product's own rows are asked for.
     duration own_interval = std::chrono::milliseconds(2000);
-    /// What of a worker's row others act on; see row_copy.
-    row_copy::essence worker_essence;
+    /// What of a worker's row others act on; see row_replica.
+    row_replica::projection worker_essence;
 };
 
 /// Told on the mirror's thread.
@@ -91,7 +91,7 @@
                std::shared_ptr<http_answer> answer);
 
     /// Whether a set has been read.
-    bool read(row_set set) const { return at(set).copy.read(); }
+    bool read(row_set set) const { return at(set).copy.is_loaded(); }
     std::vector<stored_row> rows(row_set set) const
     {
         return at(set).copy.rows();
@@ -131,7 +131,7 @@
     struct followed_set
     {
         row_set set;
-        row_copy copy;
+        row_replica copy;
         asio::steady_timer timer;
         /// A question is on its way to the store.
         bool asking = false;
@@ -158,7 +158,7 @@
         bool probes = false;
 
         followed_set(asio::io_context& io, row_set which,
-                     row_copy::essence essence_of)
+                     row_replica::projection essence_of)
             : set(which), copy(std::move(essence_of)), timer(io)
         {
         }
@@ -226,7 +226,7 @@
     event_log& log_;
     row_listener listener_;
     std::array<followed_set, all_row_sets.size()> sets_;
-    reader_choice choice_;
+    reader_selector choice_;
     std::map<vm_id, backend_address> addresses_;
     vm_id reader_;
     bool reader_asked_ = false;
--- a/src/row_mirror_peers.cpp
+++ b/src/row_mirror_peers.cpp
@@ -231,7 +231,7 @@
         news.age = now - shown_at(which, now);
         if (which.proven_at != time_point())
             news.proven_before = arrived_at - which.proven_at;
-        auto changed = which.copy.since(question.after.at(index));
+        auto changed = which.copy.changes_since(question.after.at(index));
         news.whole = !changed;
         news.rows = changed ? std::move(*changed) : which.copy.rows();
         if (!question.large_rows)
@@ -254,7 +254,7 @@
     for (std::size_t index = 0; index < sets_.size(); ++index)
     {
         auto const changed =
-            sets_.at(index).copy.since(question.after.at(index));
+            sets_.at(index).copy.changes_since(question.after.at(index));
         if (!changed || std::any_of(changed->begin(), changed->end(), urgent))
             return true;
     }
--- a/src/row_copy.cpp
+++ b/src/row_replica.cpp
@@ -1,4 +1,4 @@
-#include "row_copy.hpp"
+#include "row_replica.hpp"
 
 #include <algorithm>
 #include <set>
@@ -12,13 +12,13 @@
 /// Maximum number of deleted rows that are remembered (tombstones), so that
 /// followers learn of deletions from the changes. They cover some minutes of
 /// restarts; a follower that asks for older changes gets all rows.
-constexpr std::size_t most_dropped = 1000;
+constexpr std::size_t max_tombstones = 1000;
 
 } // namespace
 
-row_copy::row_copy(essence essence_of) : essence_of_(std::move(essence_of)) {}
+row_replica::row_replica(projection project) : project_(std::move(project)) {}
 
-std::vector<stored_row> row_copy::replace(std::vector<stored_row> rows,
+std::vector<stored_row> row_replica::apply_snapshot(std::vector<stored_row> rows,
                                           row_version version)
 {
     std::set<std::string> present;
@@ -29,39 +29,39 @@
     for (auto const& [key, known] : entries_)
         if (!known.row.deleted && present.count(key) == 0)
             rows.push_back({known.row.kind, key, version, {}, true});
-    if (!read_)
-        reaches_back_to_ = version;
-    read_ = true;
+    if (!is_loaded_)
+        complete_since_ = version;
+    is_loaded_ = true;
     return apply(std::move(rows), version);
 }
 
-std::vector<stored_row> row_copy::apply(std::vector<stored_row> rows,
+std::vector<stored_row> row_replica::apply(std::vector<stored_row> rows,
                                         row_version version)
 {
-    std::vector<stored_row> news;
+    std::vector<stored_row> newer;
     for (stored_row& row : rows)
     {
         stored_row copy = row;
-        if (take(std::move(row)))
-            news.push_back(std::move(copy));
+        if (apply_row(std::move(row)))
+            newer.push_back(std::move(copy));
     }
     version_ = std::max(version_, version);
-    forget_dropped();
-    return news;
+    prune_tombstones();
+    return newer;
 }
 
 /// Failure: answers overtake each other, and a row read earlier replaces the
 /// one read later; a draining worker looks healthy again. A row is therefore
 /// never replaced by an older version of itself.
-bool row_copy::take(stored_row row)
+bool row_replica::apply_row(stored_row row)
 {
     auto const known = entries_.find(row.key);
     if (known == entries_.end() && row.deleted)
         return false;
     if (known != entries_.end() && row.version <= known->second.row.version)
         return false;
-    std::string now_is = row.deleted   ? std::string()
-                         : essence_of_ ? essence_of_(row)
+    std::string projected = row.deleted   ? std::string()
+                         : project_ ? project_(row)
                                        : std::to_string(row.version.value());
     if (known == entries_.end())
     {
@@ -69,41 +69,41 @@
         std::string const key = row.key;
         row_version const version = row.version;
         entries_.emplace(key,
-                         entry{std::move(row), std::move(now_is), version});
+                         entry{std::move(row), std::move(projected), version});
         return true;
     }
     entry& old = known->second;
-    bool const same = old.row.deleted == row.deleted && old.essence == now_is;
+    bool const same = old.row.deleted == row.deleted && old.projection == projected;
     if (!same)
     {
         old.changed_at = row.version;
         changed_at_ = std::max(changed_at_, row.version);
-        dropped_ += row.deleted && !old.row.deleted;
-        dropped_ -= old.row.deleted && !row.deleted;
+        tombstones_ += row.deleted && !old.row.deleted;
+        tombstones_ -= old.row.deleted && !row.deleted;
     }
-    old.essence = std::move(now_is);
+    old.projection = std::move(projected);
     old.row = std::move(row);
     return true;
 }
 
-void row_copy::forget_dropped()
+void row_replica::prune_tombstones()
 {
-    if (dropped_ <= most_dropped)
+    if (tombstones_ <= max_tombstones)
         return;
     std::erase_if(entries_,
                   [this](auto const& each)
                   {
                       if (each.second.row.deleted)
-                          reaches_back_to_ = std::max(reaches_back_to_,
+                          complete_since_ = std::max(complete_since_,
                                                       each.second.changed_at);
                       return each.second.row.deleted;
                   });
-    dropped_ = 0;
+    tombstones_ = 0;
 }
 
-std::optional<std::vector<stored_row>> row_copy::since(row_version after) const
+std::optional<std::vector<stored_row>> row_replica::changes_since(row_version after) const
 {
-    if (!read_ || after < reaches_back_to_)
+    if (!is_loaded_ || after < complete_since_)
         return std::nullopt;
     std::vector<stored_row> changed;
     if (changed_at_ <= after)
@@ -114,7 +114,7 @@
     return changed;
 }
 
-std::vector<stored_row> row_copy::rows() const
+std::vector<stored_row> row_replica::rows() const
 {
     std::vector<stored_row> all;
     for (auto const& [key, known] : entries_)
--- a/src/row_copy.hpp
+++ b/src/row_replica.hpp
@@ -1,6 +1,6 @@
 /// A local replica of one set of rows that serves the changes since a version.
-#ifndef MULBERRY_ROW_COPY_HPP
-#define MULBERRY_ROW_COPY_HPP
+#ifndef MULBERRY_ROW_REPLICA_HPP
+#define MULBERRY_ROW_REPLICA_HPP
 
 #include "row_store.hpp"
 
@@ -19,22 +19,22 @@
 /// changes its row every second, but rarely what the row says about the worker.
 ///
 /// Thread safety: none. Pure: no I/O, no clock.
-class row_copy
+class row_replica
 {
 public:
     /// Returns the part of a row that readers act on; two rows of one key with
     /// the same part are equivalent. If empty, every change counts.
-    using essence = std::function<std::string(stored_row const&)>;
+    using projection = std::function<std::string(stored_row const&)>;
 
-    explicit row_copy(essence essence_of = {});
+    explicit row_replica(projection project = {});
 
-    bool read() const { return read_; }
+    bool is_loaded() const { return is_loaded_; }
     /// The newest version that the replica includes; never decreases.
     row_version version() const { return version_; }
 
     /// Applies a snapshot of all rows as of `version`. Returns the rows that
     /// differ from the replica; missing rows are returned marked as deleted.
-    std::vector<stored_row> replace(std::vector<stored_row> rows,
+    std::vector<stored_row> apply_snapshot(std::vector<stored_row> rows,
                                     row_version version);
     /// Applies changes up to `version`. Returns the rows that were newer than
     /// the replica's.
@@ -43,7 +43,7 @@
 
     /// The rows whose relevant part changed after version `after`, deleted ones
     /// included; nullopt if the replica does not reach back that far.
-    std::optional<std::vector<stored_row>> since(row_version after) const;
+    std::optional<std::vector<stored_row>> changes_since(row_version after) const;
     /// All rows that are not deleted.
     std::vector<stored_row> rows() const;
     /// The version at which the relevant part of any row last changed.
@@ -53,22 +53,22 @@
     struct entry
     {
         stored_row row;
-        std::string essence;
+        std::string projection;
         /// The version at which the relevant part last changed.
         row_version changed_at;
     };
 
-    bool take(stored_row row);
-    void forget_dropped();
+    bool apply_row(stored_row row);
+    void prune_tombstones();
 
-    essence essence_of_;
-    bool read_ = false;
+    projection project_;
+    bool is_loaded_ = false;
     row_version version_;
     row_version changed_at_;
     /// All changes after this version are stored here.
-    row_version reaches_back_to_;
+    row_version complete_since_;
     std::map<std::string, entry> entries_;
-    std::size_t dropped_ = 0;
+    std::size_t tombstones_ = 0;
 };
 
 } // namespace mulberry
--- a/src/service_estimate.cpp
+++ b/src/service_estimate.cpp
@@ -98,7 +98,7 @@
         rests_for(worker, item, now) || worker.health.full(now) ||
         taken(worker) >= limit_of(worker))
         return false;
-    return !worker.health.avoided(now) || worker.health.may_probe(now);
+    return !worker.health.is_avoided(now) || worker.health.may_probe(now);
 }
 
 bool service_scheduler::ready_at(worker_state const& worker,
@@ -176,7 +176,7 @@
 bool service_scheduler::holds(worker_state const& worker,
                               model_target const& target, time_point now) const
 {
-    if (worker.owned && worker.adapters.known())
+    if (worker.owned && worker.adapters.is_state_known())
     {
         if (target.adapter.empty())
             return worker.adapters.has_model(target.model);
@@ -205,9 +205,9 @@
                                  model_target const& target,
                                  time_point now) const
 {
-    if (worker.owned && worker.adapters.known())
+    if (worker.owned && worker.adapters.is_state_known())
         return worker.adapters.stage(target).has_value();
-    if (sightings_.at(target, worker.entry.id, now))
+    if (sightings_.is_at(target, worker.entry.id, now))
         return true;
     return holds(worker, target, now);
 }
@@ -222,7 +222,7 @@
 
 duration service_scheduler::slot_delay(worker_state const& worker) const
 {
-    if (!worker.owned || !config_.engine || worker.adapters.has_room())
+    if (!worker.owned || !config_.engine || worker.adapters.has_available_slot())
         return duration(0);
     return slot_wait(worker.queued + 1, config_.engine->adapter_slots);
 }
@@ -239,7 +239,7 @@
                                       model_target const& target,
                                       time_point now) const
 {
-    time_point const due = worker.adapters.due(target);
+    time_point const due = worker.adapters.load_expected_at(target);
     return due > now ? due - now : now - due;
 }
 
@@ -254,17 +254,17 @@
     if (!known_at(worker, target, now))
     {
         delay = std::max(delay, load_delay(worker, target));
-        if (!worker.adapters.was_here_lately(target))
+        if (!worker.adapters.was_recently_resident(target))
             cost += fetch_cost;
     }
-    else if (worker.owned && worker.adapters.due(target) != never)
+    else if (worker.owned && worker.adapters.load_expected_at(target) != never)
         delay = std::max(delay, load_left(worker, target, now));
-    if (now + delay + pace_.time_for(item.prompt_tokens) > item.objective_at)
+    if (now + delay + pace_.prefill_time(item.prompt_tokens) > item.objective_at)
         cost += lateness_cost;
     delay += cost;
     delay += domain_delay(worker);
     if (&worker == prefix_home)
-        delay -= pace_.time_for(item.prefix.tokens) / prefix_divisor;
+        delay -= pace_.prefill_time(item.prefix.tokens) / prefix_divisor;
     return delay;
 }
 
@@ -280,7 +280,7 @@
     if (owner == owners_.end())
         return false;
     auto const peer = peers_.find(owner->second);
-    return peer == peers_.end() || !peer->second.avoided(now) ||
+    return peer == peers_.end() || !peer->second.is_avoided(now) ||
            peer->second.may_probe(now);
 }
 
--- a/src/service_notices.cpp
+++ b/src/service_notices.cpp
@@ -25,10 +25,10 @@
 /// for this life, whatever is listed later.
 bool service_scheduler::on_leaving(backend_entry const& entry, time_point now)
 {
-    notices_.leave(entry.id, entry.started, now);
+    notices_.record_departure(entry.id, entry.started, now);
     worker_state* const known = find(entry.id);
     if (known == nullptr || known->entry.draining ||
-        !notices_.leaves(entry.id, known->entry.started))
+        !notices_.is_leaving(entry.id, known->entry.started))
         return false;
     known->entry.draining = true;
     return true;
@@ -36,7 +36,7 @@
 
 bool service_scheduler::rests(worker_state const& worker, time_point now) const
 {
-    return notices_.rests(worker.entry.id, now);
+    return notices_.in_backoff(worker.entry.id, now);
 }
 
 /// A rest holds for this VM's requests; a VM that asks names the workers that
@@ -59,7 +59,7 @@
 {
     if (!target)
         return true;
-    if (worker.owned && worker.adapters.known())
+    if (worker.owned && worker.adapters.is_state_known())
         return worker.adapters.has_model(target->model);
     return std::any_of(worker.entry.models.begin(), worker.entry.models.end(),
                        [&target](held_model const& held)
@@ -76,11 +76,11 @@
     {
         if (worker->entry.draining || item.excluded.count(id) > 0 ||
             !has_model(*worker, item.target) ||
-            (worker->health.avoided(now) && !worker->health.may_probe(now)))
+            (worker->health.is_avoided(now) && !worker->health.may_probe(now)))
             continue;
         if (!rests(*worker, now))
             return std::nullopt;
-        time_point const until = notices_.rests_until(id);
+        time_point const until = notices_.backoff_until(id);
         first = std::min(first.value_or(until), until);
     }
     return first;
--- a/src/service_placing.cpp
+++ b/src/service_placing.cpp
@@ -56,7 +56,7 @@
         score += domain_delay(*worker);
         if (config_.engine && !worker->owned)
             score += other_owner_penalty;
-        if (worker->health.avoided(now) || sick(*worker, now))
+        if (worker->health.is_avoided(now) || sick(*worker, now))
             score += sick_penalty;
         if (item.target && worker->adapters.outdated(*item.target))
             score += sick_penalty;
@@ -76,7 +76,7 @@
                                       work_item const& item,
                                       time_point now) const
 {
-    if (worker.adapters.leaves_orders_unanswered() &&
+    if (worker.adapters.is_unresponsive() &&
         !holds(worker, *item.target, now))
         return false;
     std::size_t const slots = limit_of(worker);
@@ -84,7 +84,7 @@
     if (with_this > slots &&
         slot_wait(with_this - slots, slots) > longest_slot_wait)
         return false;
-    return worker.adapters.can_take(*item.target) ||
+    return worker.adapters.can_load(*item.target) ||
            (now < item.arrived_at + busy_home_wait &&
             slot_wait(worker.queued + 1, config_.engine->adapter_slots) <=
                 longest_slot_wait);
@@ -103,7 +103,7 @@
         return false;
     // Another VM's worker may be asked for now and then though this VM could
     // not reach it: its owner says no if it cannot either.
-    if (worker.health.avoided(now) &&
+    if (worker.health.is_avoided(now) &&
         (worker.owned || !worker.health.may_probe(now)))
         return false;
     if (worker.owned)
@@ -129,7 +129,7 @@
 service_scheduler::prefix_rank(work_item const& item,
                                worker_state const& worker, time_point now) const
 {
-    if (worker.entry.draining || worker.health.avoided(now) ||
+    if (worker.entry.draining || worker.health.is_avoided(now) ||
         !known_at(worker, *item.target, now))
         return std::nullopt;
     return stable_hash(std::to_string(item.prefix.key) + "@" +
@@ -167,18 +167,18 @@
     if (source == nullptr || source == &on)
         return std::nullopt;
     weights_version const newest = newest_weights(item.target->model);
-    copy_verdict verdict =
+    copy_decision verdict =
         judge_source(*source, on, *item.target, named, newest, now);
-    if (verdict == copy_verdict::weights_differ)
+    if (verdict == copy_decision::weights_differ)
     {
         source = home_beside(item, on, named, newest, now);
         if (source == &on)
             return std::nullopt;
         if (source != nullptr)
-            verdict = copy_verdict::allowed;
+            verdict = copy_decision::allowed;
     }
     ++counts_.prompt_copies.at(static_cast<std::size_t>(verdict));
-    if (verdict != copy_verdict::allowed)
+    if (verdict != copy_decision::allowed)
         return std::nullopt;
     return source->entry;
 }
@@ -199,7 +199,7 @@
         if (!rank || (first != nullptr && *rank <= highest) ||
             (worker.get() != &on &&
              judge_source(*worker, on, *item.target, named, newest, now) !=
-                 copy_verdict::allowed))
+                 copy_decision::allowed))
             continue;
         highest = *rank;
         first = worker.get();
@@ -207,7 +207,7 @@
     return first;
 }
 
-copy_verdict service_scheduler::judge_source(worker_state const& source,
+copy_decision service_scheduler::judge_source(worker_state const& source,
                                              worker_state const& reader,
                                              model_target const& target,
                                              adapter_version named,
@@ -223,8 +223,8 @@
         newest_weights,
         std::max({newest_of(target), from.adapter, to.adapter})};
     if (from.weights < newest.weights && shares_address(source))
-        return copy_verdict::address_shared;
-    return judge_copy(from, to, newest, known_as_of_,
+        return copy_decision::address_shared;
+    return decide_prompt_copy(from, to, newest, known_as_of_,
                       weights_load_time(target.model), now,
                       now + reader.reading.ahead(now));
 }
@@ -264,7 +264,7 @@
     {
         duration delay = begin_delay(*worker, item, prefers, now);
         if (worker != home && !known_at(*worker, *item.target, now) &&
-            !worker->adapters.was_here_lately(*item.target))
+            !worker->adapters.was_recently_resident(*item.target))
             delay += away_from_home;
         bool const unasked = may_send_unasked(*worker, item, now);
         if (unasked)
@@ -287,8 +287,8 @@
 {
     work_item const& item = waiting.item;
     bool const loaded = !waiting.loads_at.empty();
-    if (on.health.avoided(now))
-        on.health.probed(now);
+    if (on.health.is_avoided(now))
+        on.health.on_probe_sent(now);
     sent_item sent;
     sent.worker = on.entry.id;
     sent.sent_at = now;
@@ -304,7 +304,7 @@
         sent.by_peer = true;
         ++on.granted;
         ++counts_.granted;
-        on.reading.add(pace_.time_for(item.prompt_tokens), now);
+        on.reading.add(pace_.prefill_time(item.prompt_tokens), now);
         actions_.push_back(
             grant_ask{item.ticket,
                       {on.entry.id, believed_version(on, *item.target)},
@@ -419,9 +419,9 @@
                                                       time_point now)
 {
     ++worker.queued;
-    if (!worker.adapters.can_take(*waiting.item.target))
+    if (!worker.adapters.can_load(*waiting.item.target))
         return verdict::waits;
-    worker.adapters.want(*waiting.item.target, newest_of(*waiting.item.target),
+    worker.adapters.request_load(*waiting.item.target, newest_of(*waiting.item.target),
                          now);
     worker.adapters.begin_wait(*waiting.item.target);
     waiting.loads_at = worker.entry.id;
@@ -445,10 +445,10 @@
             !worker->adapters.outdated(target))
             return;
     worker_state* const other = best_place(waiting, true, &busy, now).worker;
-    if (other == nullptr || !other->adapters.can_take(target) ||
+    if (other == nullptr || !other->adapters.can_load(target) ||
         (!outdated && crowded(*other, often, now)))
         return;
-    other->adapters.want(target, newest_of(target), now);
+    other->adapters.request_load(target, newest_of(target), now);
 }
 
 /// A worker of this VM that has the adapter and room: one with the newest
@@ -481,7 +481,7 @@
                                         time_point now) const
 {
     return worker.adapters.stage(*waiting.item.target) &&
-           accepts(worker, now) && !worker.health.avoided(now) &&
+           accepts(worker, now) && !worker.health.is_avoided(now) &&
            !sick(worker, now) && worth_waiting(worker, waiting.item, now);
 }
 
@@ -533,7 +533,7 @@
                         return each.second->owned &&
                                accepts(*each.second, now) &&
                                each.second->adapters.may_order(now) &&
-                               !each.second->health.avoided(now) &&
+                               !each.second->health.is_avoided(now) &&
                                waiting.item.excluded.count(each.first) == 0;
                     });
     return own_may_later ? verdict::waits : verdict::hopeless;
@@ -555,7 +555,7 @@
                                   owners_.count(each.first) == 0 &&
                                   waiting.item.excluded.count(each.first) ==
                                       0 &&
-                                  !worker.health.avoided(now);
+                                  !worker.health.is_avoided(now);
                        });
 }
 
@@ -578,8 +578,8 @@
     worker_id const worker = best.worker->entry.id;
     vm_id const owner = owners_.at(worker);
     worker_health& peer = peers_[owner];
-    if (peer.avoided(now))
-        peer.probed(now);
+    if (peer.is_avoided(now))
+        peer.on_probe_sent(now);
     peer.sent(now);
     // Failure: every VM knows the others' workers from a while ago. Each owner
     // says no for the sake of the next one, and the request is served by none.
--- a/src/service_scheduler.cpp
+++ b/src/service_scheduler.cpp
@@ -103,7 +103,7 @@
     worker_state* const worker = find(begun.worker);
     if (worker == nullptr)
         return;
-    worker->reading.begun(begun.sent_at, now);
+    worker->reading.on_first_byte(begun.sent_at, now);
     worker->health.first_byte(begun.sent_at, now);
 }
 
@@ -125,16 +125,16 @@
     if (sent.by_peer)
     {
         worker->granted -= worker->granted > 0;
-        worker->health.told(outcome, now);
+        worker->health.on_peer_outcome(outcome, now);
     }
     else
         worker->health.ended(outcome, sent.sent_at, now);
     if (sent.counted_use)
         worker->adapters.end_use(*sent.target, now);
     if (outcome == send_outcome::not_held && sent.target && worker->owned)
-        worker->adapters.missing(*sent.target, now);
+        worker->adapters.on_adapter_missing(*sent.target, now);
     if (outcome == send_outcome::not_held && sent.target)
-        sightings_.missed(*sent.target, sent.worker);
+        sightings_.remove(*sent.target, sent.worker);
     if (outcome == send_outcome::not_held && sent.target && !worker->owned)
         for (held_model& held : worker->entry.models)
             held.adapters.erase(sent.target->adapter);
@@ -144,7 +144,7 @@
                                  order_outcome outcome, time_point now)
 {
     worker_state* const known = find(order.worker);
-    return known != nullptr && known->adapters.awaits(order) &&
+    return known != nullptr && known->adapters.awaits_outcome(order) &&
            known->adapters.on_outcome(outcome, now);
 }
 
@@ -175,7 +175,7 @@
         return time_point();
     duration const limit = asked->second.heard
                                ? owner_answers
-                               : peers_.at(asked->second.owner).patience();
+                               : peers_.at(asked->second.owner).first_byte_timeout();
     return asked->second.asked_at + limit;
 }
 
@@ -217,8 +217,8 @@
     if (usable_grant)
     {
         ++counts_.placed_granted;
-        sightings_.seen(*item.target, worker->entry.id, now);
-        worker->adapters.remember(*item.target);
+        sightings_.record(*item.target, worker->entry.id, now);
+        worker->adapters.record_resident(*item.target);
         actions_.push_back(place_request{
             item.ticket, worker->entry.id, worker->entry, "granted",
             required_version(item.target, granted.version, now)});
@@ -246,11 +246,11 @@
     sent.sent_at = now;
     sent.started = worker.entry.started;
     sent.prompt_tokens = item.prompt_tokens;
-    worker.reading.add(pace_.time_for(item.prompt_tokens), now);
-    sent.expected_at = worker.reading.until();
+    worker.reading.add(pace_.prefill_time(item.prompt_tokens), now);
+    sent.expected_at = worker.reading.ends_at();
     sent.streams = item.streams;
     if (item.target)
-        limit_begin(sent, releases_.replaced_at(*item.target, sent.copy));
+        limit_begin(sent, releases_.superseded_at(*item.target, sent.copy));
     worker.health.sent(now, worker.reading.ahead(now));
     sent_.emplace(item.ticket, std::move(sent));
 }
@@ -362,7 +362,7 @@
         if (copies[each.name] < copies[best->name])
             best = &each;
     weight_loads_.push_back(now);
-    worker.adapters.want_model(best->name);
+    worker.adapters.request_model(best->name);
 }
 
 void service_scheduler::run_workers(time_point now)
@@ -377,20 +377,20 @@
             forget_life_before(*worker);
         if (!worker->owned || rests(*worker, now))
             continue;
-        bool const unsynced = worker->adapters.wants_report(now);
+        bool const unsynced = worker->adapters.needs_report(now);
         if (unsynced)
-            worker->adapters.report_asked();
+            worker->adapters.on_report_requested();
         bool const probes =
-            worker->health.unreached(now) && worker->health.may_probe(now);
+            worker->health.is_unreachable(now) && worker->health.may_probe(now);
         if (probes)
-            worker->health.probed(now);
+            worker->health.on_probe_sent(now);
         if (unsynced || probes)
             actions_.push_back(ask_report{id, worker->entry});
         if (!worker->adapters.synced() || !worker->adapters.may_order(now) ||
             worker->entry.draining)
             continue;
         if (!worker->adapters.holds_any_model() &&
-            !worker->adapters.wants_model() &&
+            !worker->adapters.is_model_requested() &&
             !waits_to_be_listed(*worker, now))
             want_model(*worker, now);
         if (auto order = worker->adapters.next_order(id, keep, now))
@@ -412,14 +412,14 @@
 {
     time_point next = begin_by_;
     if (!queue_.empty())
-        next = std::min(next, notices_.next_end(decided_at_));
+        next = std::min(next, notices_.next_backoff_end(decided_at_));
     for (auto const& [id, worker] : workers_)
         if (worker->owned)
         {
             // One that leaves is given no order.
             if (!worker->entry.draining)
                 next = std::min(next, std::max(worker->adapters.next_due(),
-                                               notices_.rests_until(id)));
+                                               notices_.backoff_until(id)));
             if (!worker->held_before.empty())
                 next = std::min(next, worker->entry_lapses_at);
         }
@@ -453,11 +453,11 @@
     return counts;
 }
 
-duration service_scheduler::patience(worker_id const& worker) const
+duration service_scheduler::first_byte_timeout(worker_id const& worker) const
 {
     auto const known = workers_.find(worker);
     return known == workers_.end() ? std::chrono::seconds(1)
-                                   : known->second->health.patience();
+                                   : known->second->health.first_byte_timeout();
 }
 
 } // namespace mulberry
--- a/src/service_scheduler.hpp
+++ b/src/service_scheduler.hpp
@@ -4,18 +4,18 @@
 #define MULBERRY_SERVICE_SCHEDULER_HPP
 
 #include "adapter_demand.hpp"
-#include "adapter_releases.hpp"
-#include "adapter_sightings.hpp"
+#include "adapter_version_history.hpp"
+#include "adapter_locations.hpp"
 #include "backend_entry.hpp"
 #include "error_kind.hpp"
 #include "prompt_copy.hpp"
-#include "reading_pace.hpp"
+#include "prefill_rate.hpp"
 #include "relay_request.hpp"
 #include "routing_config.hpp"
 #include "worker_adapters.hpp"
 #include "worker_health.hpp"
 #include "worker_notices.hpp"
-#include "worker_reading.hpp"
+#include "prefill_backlog.hpp"
 
 #include <array>
 #include <cstddef>
@@ -78,8 +78,8 @@
     adapter_version version;
     adapter_version newest;
     /// When this VM heard of the first newer version.
-    time_point replaced_at{};
-    time_point newest_heard_at{};
+    time_point superseded_at{};
+    time_point newest_learned_at{};
     friend bool operator==(replaced_copy const&,
                            replaced_copy const&) = default;
 };
@@ -208,7 +208,7 @@
     std::uint64_t evictions = 0;
     /// Requests whose prompt another worker may have begun to read, by what was
     /// decided on copying it from there.
-    std::array<std::uint64_t, all_copy_verdicts.size()> prompt_copies{};
+    std::array<std::uint64_t, all_copy_decisions.size()> prompt_copies{};
     std::size_t waiting = 0;
     std::size_t sent = 0;
     std::size_t asked = 0;
@@ -243,7 +243,7 @@
     /// When a question to another VM is to be given up, as of now.
     time_point ask_ends_at(ticket_id ticket) const;
     /// As of when the registry is known, for all that follows.
-    void set_registry_moment(registry_moment known_as_of)
+    void set_registry_moment(registry_timestamps known_as_of)
     {
         known_as_of_ = known_as_of;
     }
@@ -262,7 +262,7 @@
     /// resting before.
     bool on_rest(worker_id const& worker, time_point until, time_point now)
     {
-        return notices_.ask_rest(worker, until, now);
+        return notices_.request_backoff(worker, until, now);
     }
     /// The worker began to answer.
     void first_byte(ticket_id ticket, time_point now);
@@ -288,7 +288,7 @@
     duration rest_left(std::optional<model_target> const& target,
                        time_point now) const;
     /// How long a worker may leave a request without a first byte.
-    duration patience(worker_id const& worker) const;
+    duration first_byte_timeout(worker_id const& worker) const;
 
 private:
     struct queue_key
@@ -312,7 +312,7 @@
         /// Requests that wait for room in its batch or for one of its adapter
         /// slots, as decided so far in this pass over the queue.
         std::size_t queued = 0;
-        worker_reading reading;
+        prefill_backlog reading;
         /// What its entry in the registry says of an earlier life, and until
         /// when it may say so; nothing once the entry is of this life.
         std::vector<held_model> held_before;
@@ -484,7 +484,7 @@
                                     adapter_version named,
                                     weights_version newest,
                                     time_point now) const;
-    copy_verdict judge_source(worker_state const& source,
+    copy_decision judge_source(worker_state const& source,
                               worker_state const& reader,
                               model_target const& target, adapter_version named,
                               weights_version newest_weights,
@@ -545,12 +545,12 @@
     std::map<worker_id, order_grant> grants_;
     std::map<vm_id, worker_health> peers_;
     worker_notices notices_;
-    adapter_releases releases_;
+    adapter_version_history releases_;
     std::map<base_model_id, weights_version> declared_weights_;
-    registry_moment known_as_of_;
+    registry_timestamps known_as_of_;
     /// Of this VM's callers and of the VMs that ask it.
     adapter_demand demand_;
-    adapter_sightings sightings_;
+    adapter_locations sightings_;
     std::vector<placement_action> actions_;
     std::vector<time_point> weight_loads_;
     std::uint64_t last_number_ = 0;
@@ -559,7 +559,7 @@
     /// The first moment by which a request that was sent has to begin.
     time_point begin_by_ = never;
     std::size_t vms_ = 1;
-    reading_pace pace_;
+    prefill_rate pace_;
     duration mean_service_ = std::chrono::milliseconds(500);
     scheduler_counts counts_;
 };
--- a/src/service_versions.cpp
+++ b/src/service_versions.cpp
@@ -29,7 +29,7 @@
 service_scheduler::believed_version(worker_state const& worker,
                                     model_target const& target) const
 {
-    if (worker.owned && worker.adapters.known())
+    if (worker.owned && worker.adapters.is_state_known())
         return worker.adapters.version(target);
     for (held_model const& held : worker.entry.models)
         if (auto const copy = held.adapters.find(target.adapter);
@@ -77,11 +77,11 @@
 {
     if (!target || target->adapter.empty())
         return std::nullopt;
-    time_point const at = releases_.replaced_at(*target, copy);
+    time_point const at = releases_.superseded_at(*target, copy);
     if (at == never)
         return std::nullopt;
     return replaced_copy{copy, newest_of(*target), at,
-                         releases_.newest_heard_at(*target)};
+                         releases_.newest_learned_at(*target)};
 }
 
 /// Failure: a version of a model's weights counts as an adapter's. Every worker
@@ -101,7 +101,7 @@
             target, {version, heard_at, heard_at + settings_.release_grace}))
         return;
     for (auto& [id, worker] : workers_)
-        worker->adapters.outdate(target, version);
+        worker->adapters.mark_outdated(target, version);
     for (auto& [ticket, sent] : sent_)
         if (sent.target == target && sent.copy < version)
             limit_begin(sent, heard_at);
--- a/src/service_workers.cpp
+++ b/src/service_workers.cpp
@@ -42,7 +42,7 @@
     auto const made = workers_.emplace(
         entry.id, std::make_unique<worker_state>(entry, shelf));
     worker_state& added = *made.first->second;
-    added.entry.draining |= notices_.leaves(entry.id, entry.started);
+    added.entry.draining |= notices_.is_leaving(entry.id, entry.started);
     remember_listed(added);
 }
 
@@ -64,7 +64,7 @@
     if (!told)
         known.entry.started = before;
     known.entry.draining |=
-        notices_.leaves(known.entry.id, known.entry.started);
+        notices_.is_leaving(known.entry.id, known.entry.started);
     remember_listed(known);
 }
 
@@ -84,7 +84,7 @@
     worker_id const id = entry.id;
     bool const owned = known.owned;
     stop_waiting_at(id);
-    sightings_.forget(id);
+    sightings_.remove_worker(id);
     workers_.erase(id);
     add_worker(entry);
     if (owned && grants_.count(id) > 0)
@@ -105,7 +105,7 @@
 {
     for (held_model const& held : worker.entry.models)
         for (auto const& [adapter, version] : held.adapters)
-            worker.adapters.remember({held.model, adapter});
+            worker.adapters.record_resident({held.model, adapter});
 }
 
 void service_scheduler::set_grants(
@@ -118,11 +118,11 @@
         auto const grant = grants.find(id);
         bool const granted = grant != grants.end();
         if (granted)
-            worker->adapters.grant(settings_.vm, grant->second.fence,
+            worker->adapters.on_ownership_acquired(settings_.vm, grant->second.fence,
                                    grant->second.orders_from);
-        else if (worker->adapters.granted())
+        else if (worker->adapters.is_owned())
         {
-            worker->adapters.revoke();
+            worker->adapters.on_ownership_lost();
             stop_waiting_at(id);
         }
         worker->owned = granted;
@@ -156,11 +156,11 @@
     if (report && report->started != worker_start() && report->started < listed)
         return known->adapters.on_report(std::nullopt, now);
     if (report)
-        known->health.reached(now);
+        known->health.on_reached(now);
     known->adapters.on_report(report, now);
     releases_.for_each(
         [known](model_target const& target, declared_version const& declared)
-        { known->adapters.outdate(target, declared.version); });
+        { known->adapters.mark_outdated(target, declared.version); });
 }
 
 /// Failure: a worker starts again where it cannot reach the registry, and loads
--- a/src/start_hold.hpp
+++ b/src/startup_hold.hpp
@@ -1,6 +1,6 @@
 /// Holds requests that arrive before a starting VM knows its configuration.
-#ifndef MULBERRY_START_HOLD_HPP
-#define MULBERRY_START_HOLD_HPP
+#ifndef MULBERRY_STARTUP_HOLD_HPP
+#define MULBERRY_STARTUP_HOLD_HPP
 
 #include "time_point.hpp"
 
@@ -9,17 +9,17 @@
 namespace mulberry
 {
 
-struct start_limits
+struct startup_limits
 {
     /// How long after its start a VM holds requests while it waits for its
     /// configuration. The store answers within milliseconds; a VM that has no
     /// answer by then is cut off, or the store is down.
-    duration longest_hold = std::chrono::milliseconds(500);
+    duration max_hold = std::chrono::milliseconds(500);
     /// Lower bound of the retry delay for rejected requests. Callers retry only
     /// once: a retry before the store is back would fail for good.
-    duration least_retry = std::chrono::milliseconds(800);
-    duration longest_retry = std::chrono::seconds(3);
-    friend bool operator==(start_limits const&, start_limits const&) = default;
+    duration min_retry_after = std::chrono::milliseconds(800);
+    duration max_retry_after = std::chrono::seconds(3);
+    friend bool operator==(startup_limits const&, startup_limits const&) = default;
 };
 
 /// Load it answers: all VMs are killed at once and restart within moments of
@@ -29,10 +29,10 @@
 /// holds requests for a moment; later it rejects them at once.
 ///
 /// Thread safety: const calls from any thread. Pure: no I/O, no clock.
-class start_hold
+class startup_hold
 {
 public:
-    start_hold(start_limits limits, time_point started)
+    startup_hold(startup_limits limits, time_point started)
         : limits_(limits), started_(started)
     {
     }
@@ -40,14 +40,14 @@
     /// Until when a request that arrives now is held; `now` if it is to be
     /// rejected at once. `time_left` is the caller's remaining time: a caller
     /// with little time left gets its request back in time to try another VM.
-    time_point keep_until(time_point now,
+    time_point hold_until(time_point now,
                           std::optional<duration> time_left) const;
     /// After what delay a request rejected now should be retried: an outage
     /// that has lasted for some time is expected to last as long again.
     duration retry_after(time_point now) const;
 
 private:
-    start_limits limits_;
+    startup_limits limits_;
     time_point started_;
 };
 
--- a/src/worker_adapters.cpp
+++ b/src/worker_adapters.cpp
@@ -14,39 +14,39 @@
 /// duration.
 constexpr std::size_t copies_per_slot = 4;
 /// Pause after an order that the worker refused as impossible.
-constexpr std::chrono::milliseconds refused_retry{1000};
+constexpr std::chrono::milliseconds refused_order_backoff{1000};
 /// A request ends at its worker some milliseconds after this VM saw its end,
 /// and later if this VM gave the request up. Until then the worker refuses an
 /// unload, and a refusal costs more than this wait.
-constexpr std::chrono::milliseconds end_of_use{10};
+constexpr std::chrono::milliseconds end_of_use_margin{10};
 /// Time for which an adapter is not unloaded after the worker refused to.
-constexpr std::chrono::milliseconds busy_pause{150};
+constexpr std::chrono::milliseconds refused_unload_backoff{150};
 /// Conflicting orders in a row after which the known sequence counts as wrong.
-constexpr int most_conflicts = 2;
+constexpr int conflicts_before_resync = 2;
 /// Upper bound on the age of a report when it is received; reports are
 /// typically some hundred milliseconds old.
-constexpr std::chrono::milliseconds longest_report_lag{1500};
-constexpr std::chrono::milliseconds report_again{100};
+constexpr std::chrono::milliseconds max_report_lag{1500};
+constexpr std::chrono::milliseconds old_report_retry_interval{100};
 /// Unanswered orders in a row after which a worker counts as unresponsive. A
 /// worker that loses a third of its answers reaches this once in a hundred
 /// orders; a dark worker within half a second.
-constexpr int unanswered_that_count = 4;
+constexpr int unresponsive_order_count = 4;
 /// Weight of the newest fetch in the moving average of fetch times. Only the
 /// last few fetches should count, since a burst is over within seconds.
-constexpr double newest_fetch_weight = 0.25;
+constexpr double fetch_time_smoothing = 0.25;
 /// Time in the queue that counts as much as one more waiting request when loads
 /// are ranked: adapters with many waiting requests are fetched first, and no
 /// adapter starves.
-constexpr std::chrono::milliseconds waiting_worth{100};
+constexpr std::chrono::milliseconds wait_per_waiting_request{100};
 
 } // namespace
 
 worker_adapters::worker_adapters(worker_adapters_settings settings)
-    : settings_(settings), fetch_time_(settings.cold_load)
+    : settings_(settings), fetch_time_(settings.cold_load_time)
 {
 }
 
-void worker_adapters::grant(vm_id holder, fencing_number fence,
+void worker_adapters::on_ownership_acquired(vm_id holder, fencing_number fence,
                             time_point orders_from)
 {
     if (holder_ && fence_ == fence)
@@ -54,39 +54,39 @@
         orders_from_ = orders_from;
         return;
     }
-    known_ = false;
+    state_known_ = false;
     holder_ = std::move(holder);
     fence_ = fence;
-    unanswered_ = 0;
+    consecutive_unanswered_ = 0;
     orders_from_ = orders_from;
     // Another VM may have sent orders since this VM's last one.
     sequence_.reset();
     lost_sequence_.reset();
-    report_asked_ = false;
+    report_requested_ = false;
     report_from_ = orders_from;
 }
 
-void worker_adapters::revoke()
+void worker_adapters::on_ownership_lost()
 {
     holder_.reset();
-    known_ = false;
+    state_known_ = false;
     sequence_.reset();
     order_.reset();
     in_flight_ = false;
-    wanted_model_.reset();
+    requested_model_.reset();
     std::erase_if(adapters_, [](auto const& each)
                   { return each.second.stage != adapter_stage::resident; });
 }
 
-bool worker_adapters::wants_report(time_point now) const
+bool worker_adapters::needs_report(time_point now) const
 {
-    return holder_ && !sequence_ && !report_asked_ && now >= report_from_;
+    return holder_ && !sequence_ && !report_requested_ && now >= report_from_;
 }
 
 void worker_adapters::on_report(std::optional<worker_report> const& report,
                                 time_point now)
 {
-    report_asked_ = false;
+    report_requested_ = false;
     if (sequence_)
         return;
     if (!report)
@@ -94,13 +94,13 @@
         report_from_ = now + settings_.resync_delay;
         return;
     }
-    if (too_old(*report, now))
+    if (predates_last_order(*report, now))
     {
-        report_from_ = now + report_again;
+        report_from_ = now + old_report_retry_interval;
         return;
     }
     sequence_ = report->sequence;
-    known_ = true;
+    state_known_ = true;
     models_.clear();
     std::map<model_target, entry> known = std::exchange(adapters_, {});
     auto const adopt = [&](model_target const& target, adapter_stage stage)
@@ -109,8 +109,8 @@
         if (auto const before = known.find(target); before != known.end())
             made = before->second;
         made.stage = stage;
-        made.check_at = stage == adapter_stage::loading ? now : never;
-        made.due = stage == adapter_stage::loading ? now : never;
+        made.poll_at = stage == adapter_stage::loading ? now : never;
+        made.load_expected_at = stage == adapter_stage::loading ? now : never;
     };
     for (auto const& [model, adapters] : report->models)
     {
@@ -127,10 +127,10 @@
     // holds nor loads them.
     for (auto const& [target, before] : known)
         if (adapters_.count(target) == 0 &&
-            (before.waits > 0 || before.uses > 0))
+            (before.requests_waiting > 0 || before.requests_in_progress > 0))
         {
-            adopt(target, adapter_stage::wanted);
-            adapters_[target].due = now + settings_.cold_load;
+            adopt(target, adapter_stage::requested);
+            adapters_[target].load_expected_at = now + settings_.cold_load_time;
         }
 }
 
@@ -140,10 +140,10 @@
 /// is counted twice and the next one conflicts: for seconds the worker loads
 /// nothing. The number of accepted orders never falls during a worker's life,
 /// so a report with a lower number than known is an old one.
-bool worker_adapters::too_old(worker_report const& report, time_point now) const
+bool worker_adapters::predates_last_order(worker_report const& report, time_point now) const
 {
     return lost_sequence_ && report.sequence < *lost_sequence_ &&
-           now < lost_at_ + longest_report_lag;
+           now < lost_at_ + max_report_lag;
 }
 
 bool worker_adapters::has_model(base_model_id const& model) const
@@ -176,83 +176,83 @@
     return known == adapters_.end() ? adapter_version() : known->second.version;
 }
 
-time_point worker_adapters::due(model_target const& target) const
+time_point worker_adapters::load_expected_at(model_target const& target) const
 {
     auto const known = adapters_.find(target);
     if (known == adapters_.end() ||
         known->second.stage == adapter_stage::resident)
         return never;
-    return known->second.due;
+    return known->second.load_expected_at;
 }
 
-bool worker_adapters::can_take(model_target const& target) const
+bool worker_adapters::can_load(model_target const& target) const
 {
     if (!sequence_ || !has_model(target.model))
         return false;
     if (auto const known = adapters_.find(target); known != adapters_.end())
-        return !stale(known->second) || known->second.uses == 0;
-    return has_room();
+        return !stale(known->second) || known->second.requests_in_progress == 0;
+    return has_available_slot();
 }
 
-bool worker_adapters::has_room() const
+bool worker_adapters::has_available_slot() const
 {
     std::size_t fixed = 0;
     for (auto const& [each, state] : adapters_)
-        fixed += state.stage != adapter_stage::resident || state.uses > 0 ||
-                 state.waits > 0;
+        fixed += state.stage != adapter_stage::resident || state.requests_in_progress > 0 ||
+                 state.requests_waiting > 0;
     return fixed < settings_.adapter_slots;
 }
 
-void worker_adapters::want(model_target const& target, adapter_version newest,
+void worker_adapters::request_load(model_target const& target, adapter_version newest,
                            time_point now)
 {
     auto const [known, added] = adapters_.try_emplace(target);
     if (!added)
         return;
     known->second.newest = newest;
-    known->second.wanted_at = now;
-    known->second.due = now + (was_here_lately(target) ? settings_.warm_load
-                                                       : settings_.cold_load);
+    known->second.requested_at = now;
+    known->second.load_expected_at = now + (was_recently_resident(target) ? settings_.warm_load_time
+                                                       : settings_.cold_load_time);
 }
 
 void worker_adapters::begin_use(model_target const& target)
 {
     if (auto const known = adapters_.find(target); known != adapters_.end())
-        ++known->second.uses;
+        ++known->second.requests_in_progress;
 }
 
 void worker_adapters::end_use(model_target const& target, time_point now)
 {
     auto const known = adapters_.find(target);
-    if (known == adapters_.end() || known->second.uses == 0)
+    if (known == adapters_.end() || known->second.requests_in_progress == 0)
         return;
-    if (--known->second.uses == 0)
-        known->second.busy_until =
-            std::max(known->second.busy_until, now + end_of_use);
+    if (--known->second.requests_in_progress == 0)
+        known->second.unload_not_before =
+            std::max(known->second.unload_not_before, now + end_of_use_margin);
 }
 
 void worker_adapters::begin_wait(model_target const& target)
 {
     if (auto const known = adapters_.find(target); known != adapters_.end())
-        ++known->second.waits;
+        ++known->second.requests_waiting;
 }
 
 void worker_adapters::end_wait(model_target const& target)
 {
     auto const known = adapters_.find(target);
-    if (known == adapters_.end() || known->second.waits == 0)
+    if (known == adapters_.end() || known->second.requests_waiting == 0)
         return;
-    --known->second.waits;
+    --known->second.requests_waiting;
     // No request waits for the adapter any more, and no load was ordered: the
     // slot is free.
-    if (known->second.waits == 0 &&
-        known->second.stage == adapter_stage::wanted &&
-        known->second.uses == 0 &&
+    if (known->second.requests_waiting == 0 &&
+        known->second.stage == adapter_stage::requested &&
+        known->second.requests_in_progress == 0 &&
         !(order_ && order_->adapter == target.adapter))
         adapters_.erase(known);
 }
 
-void worker_adapters::missing(model_target const& target, time_point now)
+void worker_adapters::on_adapter_missing(model_target const& target, time_point now)
 {
     auto const known = adapters_.find(target);
     if (known == adapters_.end() ||
@@ -261,11 +261,11 @@
     adapters_.erase(known);
     // The known state of the worker is wrong: read a report before the next
     // order.
-    lose_track(now);
+    mark_out_of_sync(now);
     report_from_ = now;
 }
 
-void worker_adapters::outdate(model_target const& target,
+void worker_adapters::mark_outdated(model_target const& target,
                               adapter_version newest)
 {
     auto const known = adapters_.find(target);
@@ -280,17 +280,17 @@
            known->second.stage == adapter_stage::resident;
 }
 
-bool worker_adapters::leaves_orders_unanswered() const
+bool worker_adapters::is_unresponsive() const
 {
-    return unanswered_ >= unanswered_that_count;
+    return consecutive_unanswered_ >= unresponsive_order_count;
 }
 
-std::size_t worker_adapters::occupied() const
+std::size_t worker_adapters::occupied_slots() const
 {
     return static_cast<std::size_t>(
         std::count_if(adapters_.begin(), adapters_.end(),
                       [](auto const& each)
-                      { return each.second.stage != adapter_stage::wanted; }));
+                      { return each.second.stage != adapter_stage::requested; }));
 }
 
 std::size_t worker_adapters::coming() const
@@ -304,20 +304,20 @@
 /// A load names the wanted version. Failure: the unload of an old copy is lost,
 /// the worker answers the load that follows with "already there", and the old
 /// copy is taken for the new version.
-worker_order worker_adapters::make(order_kind kind, model_target target) const
+worker_order worker_adapters::make_order(order_kind kind, model_target target) const
 {
     worker_order order{kind,       target.model, target.adapter, worker_,
                        *sequence_, *holder_,     fence_,         {}};
     auto const known = adapters_.find(target);
     if (kind == order_kind::load && known != adapters_.end())
         order.version = known->second.stage == adapter_stage::loading
-                            ? known->second.ordered
+                            ? known->second.ordered_version
                             : known->second.newest;
     return order;
 }
 
 std::optional<worker_order> worker_adapters::next_order(worker_id const& worker,
-                                                        score const& keep,
+                                                        score const& retention_priority,
                                                         time_point now)
 {
     if (!sequence_ || !holder_ || now < retry_at_)
@@ -331,17 +331,17 @@
         return order_;
     }
     auto next = poll_order(now);
-    if (!next && waits_for_unload())
+    if (!next && unload_in_progress())
         return std::nullopt;
     if (!next)
         next = model_order();
     if (!next)
         next = load_order(now);
     if (!next)
-        next = evict_order(keep, now);
+        next = evict_order(retention_priority, now);
     order_ = next;
     in_flight_ = next.has_value();
-    repeated_ = false;
+    order_repeated_ = false;
     return next;
 }
 
@@ -350,7 +350,7 @@
 /// until that request ends: each other order conflicts, and the sequence looks
 /// wrong although it is right. Therefore only polls are sent until the unload
 /// is complete.
-bool worker_adapters::waits_for_unload() const
+bool worker_adapters::unload_in_progress() const
 {
     return std::any_of(adapters_.begin(), adapters_.end(),
                        [](auto const& each) {
@@ -363,25 +363,25 @@
 /// neither counts the repetition as another order.
 std::optional<worker_order> worker_adapters::poll_order(time_point now)
 {
-    if (loading_model_ && now >= model_check_at_)
-        return make(order_kind::load, {*loading_model_, {}});
+    if (loading_model_ && now >= model_poll_at_)
+        return make_order(order_kind::load, {*loading_model_, {}});
     for (auto const& [target, state] : adapters_)
     {
-        if (now < state.check_at)
+        if (now < state.poll_at)
             continue;
         if (state.stage == adapter_stage::loading)
-            return make(order_kind::load, target);
+            return make_order(order_kind::load, target);
         if (state.stage == adapter_stage::unloading)
-            return make(order_kind::unload, target);
+            return make_order(order_kind::unload, target);
     }
     return std::nullopt;
 }
 
 std::optional<worker_order> worker_adapters::model_order() const
 {
-    if (!wanted_model_ || loading_model_ || !models_.empty())
+    if (!requested_model_ || loading_model_ || !models_.empty())
         return std::nullopt;
-    return make(order_kind::load, {*wanted_model_, {}});
+    return make_order(order_kind::load, {*requested_model_, {}});
 }
 
 /// Limit on concurrent loads, which falls as fetches slow down. Load it
@@ -389,77 +389,77 @@
 /// full speed; every fetch then takes several times longer and occupies its
 /// adapter slot for as long. With fewer concurrent loads the first ones finish
 /// sooner and the others no later.
-std::size_t worker_adapters::coming_limit() const
+std::size_t worker_adapters::max_loads_in_progress() const
 {
     auto const limit =
-        (settings_.max_coming * settings_.cold_load + fetch_time_ / 2) /
+        (settings_.max_concurrent_loads * settings_.cold_load_time + fetch_time_ / 2) /
         fetch_time_;
     return std::clamp<std::size_t>(static_cast<std::size_t>(limit), 1,
-                                   settings_.max_coming);
+                                   settings_.max_concurrent_loads);
 }
 
-void worker_adapters::note_fetch(entry const& state, time_point now)
+void worker_adapters::record_fetch_time(entry const& state, time_point now)
 {
     auto const took =
-        std::max<duration>(now - state.ordered_at, settings_.cold_load);
+        std::max<duration>(now - state.ordered_at, settings_.cold_load_time);
     fetch_time_ += duration(static_cast<duration::rep>(
-        newest_fetch_weight * double((took - fetch_time_).count())));
+        fetch_time_smoothing * double((took - fetch_time_).count())));
 }
 
 std::optional<worker_order> worker_adapters::load_order(time_point now) const
 {
-    if (occupied() >= settings_.adapter_slots || coming() >= coming_limit())
+    if (occupied_slots() >= settings_.adapter_slots || coming() >= max_loads_in_progress())
         return std::nullopt;
     std::pair<model_target const, entry> const* first = nullptr;
-    duration most{};
+    duration highest_priority{};
     for (auto const& each : adapters_)
     {
         entry const& state = each.second;
-        if (state.stage != adapter_stage::wanted ||
+        if (state.stage != adapter_stage::requested ||
             !has_model(each.first.model))
             continue;
-        duration const worth =
-            now - state.wanted_at + waiting_worth * state.waits;
-        if (first != nullptr && worth <= most)
+        duration const priority =
+            now - state.requested_at + wait_per_waiting_request * state.requests_waiting;
+        if (first != nullptr && priority <= highest_priority)
             continue;
         first = &each;
-        most = worth;
+        highest_priority = priority;
     }
     if (first == nullptr)
         return std::nullopt;
-    return make(order_kind::load, first->first);
+    return make_order(order_kind::load, first->first);
 }
 
 /// Selects an idle adapter to evict: outdated copies first, then, if the slots
 /// are full, the adapter with the lowest retention priority. Only adapters that
 /// no request uses are unloaded, so that an unload is carried out at once and
 /// never under a request.
-std::optional<worker_order> worker_adapters::evict_order(score const& keep,
+std::optional<worker_order> worker_adapters::evict_order(score const& retention_priority,
                                                          time_point now)
 {
     bool const full =
-        occupied() >= settings_.adapter_slots && occupied() < adapters_.size();
+        occupied_slots() >= settings_.adapter_slots && occupied_slots() < adapters_.size();
     std::pair<model_target const, entry> const* victim = nullptr;
-    double least = std::numeric_limits<double>::max();
+    double lowest_priority = std::numeric_limits<double>::max();
     for (auto const& each : adapters_)
     {
         entry const& state = each.second;
-        if (state.stage != adapter_stage::resident || state.uses > 0 ||
-            now < state.busy_until)
+        if (state.stage != adapter_stage::resident || state.requests_in_progress > 0 ||
+            now < state.unload_not_before)
             continue;
         if (stale(state))
-            return make(order_kind::unload, each.first);
-        if (!full || state.waits > 0)
+            return make_order(order_kind::unload, each.first);
+        if (!full || state.requests_waiting > 0)
             continue;
-        double const worth = keep(each.first);
-        if (worth >= least)
+        double const priority = retention_priority(each.first);
+        if (priority >= lowest_priority)
             continue;
-        least = worth;
+        lowest_priority = priority;
         victim = &each;
     }
     if (victim == nullptr)
         return std::nullopt;
-    return make(order_kind::unload, victim->first);
+    return make_order(order_kind::unload, victim->first);
 }
 
 bool worker_adapters::on_outcome(order_outcome outcome, time_point now)
@@ -471,12 +471,12 @@
     if (outcome == order_outcome::unknown)
     {
         // The order is sent again unchanged until the worker answers it.
-        repeated_ = true;
-        ++unanswered_;
+        order_repeated_ = true;
+        ++consecutive_unanswered_;
         retry_at_ = now + settings_.poll_interval;
         return false;
     }
-    unanswered_ = 0;
+    consecutive_unanswered_ = 0;
     order_.reset();
     if (!sequence_)
     {
@@ -491,21 +491,21 @@
     switch (outcome)
     {
     case order_outcome::accepted:
-        conflicts_ = 0;
+        consecutive_conflicts_ = 0;
         return accepted(order, now);
     case order_outcome::holds:
-        conflicts_ = 0;
+        consecutive_conflicts_ = 0;
         held(order, now);
         return true;
     case order_outcome::conflict:
         // A repeated order whose sequence number the worker is past was carried
         // out the first time.
-        if (repeated_ && order.expected_sequence == *sequence_)
+        if (order_repeated_ && order.expected_sequence == *sequence_)
             return accepted(order, now);
-        conflicted(order, now);
+        on_conflict(order, now);
         return false;
     case order_outcome::refused:
-        retry_at_ = now + refused_retry;
+        retry_at_ = now + refused_order_backoff;
         // The adapter does not exist: no request should wait for it.
         if (!order.adapter.empty())
             adapters_.erase({order.model, order.adapter});
@@ -515,61 +515,61 @@
     case order_outcome::unknown:
         break;
     }
-    lose_track(now);
+    mark_out_of_sync(now);
     return false;
 }
 
 bool worker_adapters::accepted(worker_order const& order, time_point now)
 {
     if (order.kind == order_kind::unload)
-        return unload_begun(order, now);
+        return on_unload_begun(order, now);
     if (order.adapter.empty())
-        return model_load_begun(order, now);
+        return on_model_load_begun(order, now);
     model_target const target{order.model, order.adapter};
     entry& state = adapters_[target];
     if (state.stage == adapter_stage::loading)
     {
-        state.check_at = now + settings_.poll_interval;
+        state.poll_at = now + settings_.poll_interval;
         return false;
     }
     ++*sequence_;
-    bool const warm = was_here_lately(target);
+    bool const warm = was_recently_resident(target);
     ++(warm ? warm_loads_ : cold_loads_);
-    remember(target);
+    record_resident(target);
     state.stage = adapter_stage::loading;
-    state.ordered = order.version;
+    state.ordered_version = order.version;
     state.ordered_at = now;
     state.cold = !warm;
-    state.due = now + (warm ? settings_.warm_load : fetch_time_);
+    state.load_expected_at = now + (warm ? settings_.warm_load_time : fetch_time_);
     // Poll after the usual time even if recent fetches were slower: fetches may
     // be fast again.
-    state.check_at = now + (warm ? settings_.warm_load : settings_.cold_load);
+    state.poll_at = now + (warm ? settings_.warm_load_time : settings_.cold_load_time);
     return true;
 }
 
 /// A request that this VM does not know of may use the adapter. The slot is
 /// free only when that request has ended; a load before that would be one too
 /// many.
-bool worker_adapters::unload_begun(worker_order const& order, time_point now)
+bool worker_adapters::on_unload_begun(worker_order const& order, time_point now)
 {
     entry& state = adapters_[{order.model, order.adapter}];
     bool const begun = std::exchange(state.stage, adapter_stage::unloading) !=
                        adapter_stage::unloading;
     if (begun)
         ++*sequence_;
-    state.check_at = now + settings_.poll_interval;
+    state.poll_at = now + settings_.poll_interval;
     return begun;
 }
 
-bool worker_adapters::model_load_begun(worker_order const& order,
+bool worker_adapters::on_model_load_begun(worker_order const& order,
                                        time_point now)
 {
     bool const begun = !loading_model_;
     if (begun)
         ++*sequence_;
     loading_model_ = order.model;
-    wanted_model_.reset();
-    model_check_at_ = now + settings_.cold_load / 2;
+    requested_model_.reset();
+    model_poll_at_ = now + settings_.cold_load_time / 2;
     return begun;
 }
 
@@ -580,8 +580,8 @@
     {
         models_[order.model] = true;
         loading_model_.reset();
-        wanted_model_.reset();
-        model_check_at_ = never;
+        requested_model_.reset();
+        model_poll_at_ = never;
         return;
     }
     if (order.kind == order_kind::unload)
@@ -592,69 +592,69 @@
             return;
         if (known->second.stage != adapter_stage::unloading)
             ++*sequence_;
-        known->second.check_at = never;
-        if (known->second.waits == 0)
+        known->second.poll_at = never;
+        if (known->second.requests_waiting == 0)
         {
             adapters_.erase(known);
             return;
         }
         // The adapter was requested again meanwhile, or its outdated copy was
         // unloaded to load a newer version.
-        known->second.stage = adapter_stage::wanted;
+        known->second.stage = adapter_stage::requested;
         known->second.version = {};
         return;
     }
     entry& state = adapters_[target];
-    if (state.stage == adapter_stage::wanted && repeated_)
+    if (state.stage == adapter_stage::requested && order_repeated_)
         ++*sequence_;
     if (state.stage == adapter_stage::loading && state.cold)
-        note_fetch(state, now);
+        record_fetch_time(state, now);
     state.stage = adapter_stage::resident;
-    state.check_at = never;
-    state.due = never;
+    state.poll_at = never;
+    state.load_expected_at = never;
     state.version = std::max(state.version, order.version);
 }
 
 /// A single conflict may be a transient state of the worker; if the next order
 /// conflicts as well, the known sequence is wrong.
-void worker_adapters::conflicted(worker_order const& order, time_point now)
+void worker_adapters::on_conflict(worker_order const& order, time_point now)
 {
-    if (++conflicts_ >= most_conflicts)
-        return lose_track(now);
-    retry_at_ = now + settings_.conflict_pause;
+    if (++consecutive_conflicts_ >= conflicts_before_resync)
+        return mark_out_of_sync(now);
+    retry_at_ = now + settings_.conflict_backoff;
     auto const known = adapters_.find({order.model, order.adapter});
     if (order.kind == order_kind::unload && known != adapters_.end())
-        known->second.busy_until = now + busy_pause;
+        known->second.unload_not_before = now + refused_unload_backoff;
 }
 
 /// Marks the worker's state as unknown. No order is sent until a report that is
 /// younger than the last order shows the state.
-void worker_adapters::lose_track(time_point now)
+void worker_adapters::mark_out_of_sync(time_point now)
 {
-    conflicts_ = 0;
+    consecutive_conflicts_ = 0;
     if (sequence_)
     {
         lost_sequence_ = sequence_;
         lost_at_ = now;
     }
     sequence_.reset();
-    report_asked_ = false;
+    report_requested_ = false;
     report_from_ = now + settings_.resync_delay;
     loading_model_.reset();
-    model_check_at_ = never;
+    model_poll_at_ = never;
 }
 
-bool worker_adapters::was_here_lately(model_target const& target) const
+bool worker_adapters::was_recently_resident(model_target const& target) const
 {
-    return std::find(recent_.begin(), recent_.end(), target) != recent_.end();
+    return std::find(recently_resident_.begin(), recently_resident_.end(), target) != recently_resident_.end();
 }
 
-void worker_adapters::remember(model_target const& target)
+void worker_adapters::record_resident(model_target const& target)
 {
-    recent_.remove(target);
-    recent_.push_back(target);
-    if (recent_.size() > copies_per_slot * settings_.adapter_slots)
-        recent_.pop_front();
+    recently_resident_.remove(target);
+    recently_resident_.push_back(target);
+    if (recently_resident_.size() > copies_per_slot * settings_.adapter_slots)
+        recently_resident_.pop_front();
 }
 
 time_point worker_adapters::next_due() const
@@ -663,17 +663,17 @@
         return never;
     time_point next = never;
     if (!sequence_)
-        return report_asked_ ? never : report_from_;
+        return report_requested_ ? never : report_from_;
     if (in_flight_)
         return never;
     if (order_)
         return retry_at_;
     if (loading_model_)
-        next = model_check_at_;
+        next = model_poll_at_;
     for (auto const& [target, state] : adapters_)
         if (state.stage == adapter_stage::loading ||
             state.stage == adapter_stage::unloading)
-            next = std::min(next, state.check_at);
+            next = std::min(next, state.poll_at);
     return next == never ? never : std::max(next, retry_at_);
 }
 
--- a/src/worker_adapters.hpp
+++ b/src/worker_adapters.hpp
@@ -23,12 +23,12 @@
 {
     std::size_t adapter_slots = 1;
     /// Limit on concurrent adapter loads at a worker; the worker refuses more.
-    std::size_t max_coming = 4;
+    std::size_t max_concurrent_loads = 4;
     /// Expected time of a load from the weight store.
-    duration cold_load = std::chrono::milliseconds(250);
+    duration cold_load_time = std::chrono::milliseconds(250);
     /// Expected time of a load from the copy that the worker keeps of an
     /// adapter it held recently: a tenth of a cold load.
-    duration warm_load = std::chrono::milliseconds(25);
+    duration warm_load_time = std::chrono::milliseconds(25);
     /// Interval at which a load or unload in progress is polled.
     duration poll_interval = std::chrono::milliseconds(25);
     /// Minimum time between losing track of the worker's state and reading its
@@ -36,13 +36,13 @@
     duration resync_delay = std::chrono::milliseconds(400);
     /// Pause after an order that conflicted. A request that ended at this VM
     /// may run at the worker for a moment longer and keeps its adapter in use.
-    duration conflict_pause = std::chrono::milliseconds(15);
+    duration conflict_backoff = std::chrono::milliseconds(15);
 };
 
 enum class adapter_stage
 {
     /// A load is requested but not ordered yet.
-    wanted,
+    requested,
     loading,
     resident,
     /// An unload is ordered; the slot is free once the requests that use the
@@ -71,11 +71,11 @@
     /// `orders_from` is `never` while the holder's lease has lapsed and no
     /// other VM holds the worker. A new token makes the worker's state unknown
     /// until the next report.
-    void grant(vm_id holder, fencing_number fence, time_point orders_from);
+    void on_ownership_acquired(vm_id holder, fencing_number fence, time_point orders_from);
     /// Forbids further orders and forgets adapters whose load or unload is not
     /// complete. Resident adapters may still be used.
-    void revoke();
-    bool granted() const { return holder_.has_value(); }
+    void on_ownership_lost();
+    bool is_owned() const { return holder_.has_value(); }
     bool may_order(time_point now) const
     {
         return holder_ && now >= orders_from_;
@@ -83,20 +83,20 @@
 
     /// Whether the worker's report has to be requested because its state is
     /// unknown.
-    bool wants_report(time_point now) const;
-    void report_asked() { report_asked_ = true; }
+    bool needs_report(time_point now) const;
+    void on_report_requested() { report_requested_ = true; }
     void on_report(std::optional<worker_report> const& report, time_point now);
     bool synced() const { return sequence_.has_value(); }
     /// Whether a report was accepted under the current grant. What the worker
     /// holds may then be used, also while orders wait for another report.
-    bool known() const { return known_; }
+    bool is_state_known() const { return state_known_; }
 
     bool has_model(base_model_id const& model) const;
     /// Requests a load of a base model. Precondition: the worker holds no
     /// model.
-    void want_model(base_model_id const& model) { wanted_model_ = model; }
+    void request_model(base_model_id const& model) { requested_model_ = model; }
     bool holds_any_model() const { return !models_.empty(); }
-    bool wants_model() const { return wanted_model_ || loading_model_; }
+    bool is_model_requested() const { return requested_model_ || loading_model_; }
     std::vector<base_model_id> models() const;
 
     std::optional<adapter_stage> stage(model_target const& target) const;
@@ -105,26 +105,26 @@
     /// worker is in sync, holds the base model, and has a free slot or an idle
     /// adapter. Also true for an adapter that is known here, unless its copy is
     /// outdated and in use.
-    bool can_take(model_target const& target) const;
+    bool can_load(model_target const& target) const;
     /// Whether the worker held the adapter recently. The worker then keeps a
     /// copy, which loads in a tenth of the time and without the weight store.
-    bool was_here_lately(model_target const& target) const;
+    bool was_recently_resident(model_target const& target) const;
     /// Records that the worker holds the adapter, whichever VM ordered its
     /// load.
-    void remember(model_target const& target);
+    void record_resident(model_target const& target);
     /// Whether an adapter that is not at the worker could be loaded now, if
     /// need be after an eviction.
-    bool has_room() const;
+    bool has_available_slot() const;
     /// Expected duration of a load of the adapter.
     duration load_time(model_target const& target) const
     {
-        return was_here_lately(target) ? settings_.warm_load : fetch_time_;
+        return was_recently_resident(target) ? settings_.warm_load_time : fetch_time_;
     }
     /// Requests a load of the adapter in version `newest`, the last declared
     /// one; 0 stands for whichever is newest. No effect if the adapter is known
     /// here already. Precondition: the adapter can be loaded now or after an
     /// eviction (see above).
-    void want(model_target const& target, adapter_version newest,
+    void request_load(model_target const& target, adapter_version newest,
               time_point now);
     /// Counts requests in progress that use the adapter. An adapter in use is
     /// not evicted.
@@ -136,32 +136,32 @@
     void end_wait(model_target const& target);
     /// Handles an answer by which the worker does not hold the adapter: the
     /// worker's state is unknown until its next report.
-    void missing(model_target const& target, time_point now);
+    void on_adapter_missing(model_target const& target, time_point now);
     /// Records that version `newest` exists. An older copy is evicted as soon
     /// as it is idle.
-    void outdate(model_target const& target, adapter_version newest);
+    void mark_outdated(model_target const& target, adapter_version newest);
     bool outdated(model_target const& target) const;
     /// Expected completion of the load; `never` unless a load is requested or
     /// in progress.
-    time_point due(model_target const& target) const;
+    time_point load_expected_at(model_target const& target) const;
 
     /// Returns the next order if one is due and no order is in flight. `keep`
     /// ranks idle adapters for eviction. Precondition: may_order(now).
     std::optional<worker_order> next_order(worker_id const& worker,
-                                           score const& keep, time_point now);
+                                           score const& retention_priority, time_point now);
     /// Handles the outcome of the order in flight. Returns whether the known
     /// state of the worker changed: false for a poll of an order in progress
     /// and for an order without effect.
     bool on_outcome(order_outcome outcome, time_point now);
     bool order_in_flight() const { return in_flight_; }
     /// Whether the order is in flight.
-    bool awaits(worker_order const& order) const
+    bool awaits_outcome(worker_order const& order) const
     {
         return in_flight_ && order_ == order;
     }
     /// Whether the last orders in a row had no answer. The worker is dark or
     /// unreachable, and loads nothing until it answers an order.
-    bool leaves_orders_unanswered() const;
+    bool is_unresponsive() const;
     /// The next time at which next_order() may return an order or a report may
     /// be needed; `never` if only an event can change that.
     time_point next_due() const;
@@ -173,49 +173,49 @@
 private:
     struct entry
     {
-        adapter_stage stage = adapter_stage::wanted;
+        adapter_stage stage = adapter_stage::requested;
         adapter_version version;
         /// The newest declared version.
         adapter_version newest;
         /// Value of `newest` when the load was ordered: a load fetches the
         /// version that is newest at that time.
-        adapter_version ordered;
-        std::size_t uses = 0;
-        std::size_t waits = 0;
-        time_point wanted_at{};
+        adapter_version ordered_version;
+        std::size_t requests_in_progress = 0;
+        std::size_t requests_waiting = 0;
+        time_point requested_at{};
         time_point ordered_at{};
         /// Whether the load is taken to come from the weight store.
         bool cold = false;
-        time_point check_at = never;
-        time_point due = never;
+        time_point poll_at = never;
+        time_point load_expected_at = never;
         /// The adapter is not unloaded before this time: the worker may still
         /// be finishing a request, or has just refused an unload.
-        time_point busy_until{};
+        time_point unload_not_before{};
     };
 
     bool stale(entry const& which) const
     {
         return which.newest > which.version;
     }
-    std::size_t occupied() const;
+    std::size_t occupied_slots() const;
     std::size_t coming() const;
-    std::size_t coming_limit() const;
-    bool waits_for_unload() const;
+    std::size_t max_loads_in_progress() const;
+    bool unload_in_progress() const;
     std::optional<worker_order> poll_order(time_point now);
     std::optional<worker_order> model_order() const;
     std::optional<worker_order> load_order(time_point now) const;
-    std::optional<worker_order> evict_order(score const& keep, time_point now);
-    worker_order make(order_kind kind, model_target target) const;
-    /// accepted(), unload_begun() and model_load_begun() return false if the
+    std::optional<worker_order> evict_order(score const& retention_priority, time_point now);
+    worker_order make_order(order_kind kind, model_target target) const;
+    /// accepted(), on_unload_begun() and on_model_load_begun() return false if the
     /// order was accepted earlier and this was a poll.
     bool accepted(worker_order const& order, time_point now);
-    bool unload_begun(worker_order const& order, time_point now);
-    bool model_load_begun(worker_order const& order, time_point now);
+    bool on_unload_begun(worker_order const& order, time_point now);
+    bool on_model_load_begun(worker_order const& order, time_point now);
     void held(worker_order const& order, time_point now);
-    void note_fetch(entry const& state, time_point now);
-    void conflicted(worker_order const& order, time_point now);
-    void lose_track(time_point now);
-    bool too_old(worker_report const& report, time_point now) const;
+    void record_fetch_time(entry const& state, time_point now);
+    void on_conflict(worker_order const& order, time_point now);
+    void mark_out_of_sync(time_point now);
+    bool predates_last_order(worker_report const& report, time_point now) const;
 
     worker_adapters_settings settings_;
     std::optional<vm_id> holder_;
@@ -227,26 +227,26 @@
     std::optional<std::uint64_t> lost_sequence_;
     time_point lost_at_{};
     time_point report_from_{};
-    bool report_asked_ = false;
-    bool known_ = false;
+    bool report_requested_ = false;
+    bool state_known_ = false;
     std::map<base_model_id, bool> models_;
-    std::optional<base_model_id> wanted_model_;
+    std::optional<base_model_id> requested_model_;
     std::optional<base_model_id> loading_model_;
-    time_point model_check_at_ = never;
+    time_point model_poll_at_ = never;
     std::map<model_target, entry> adapters_;
     /// Moving average of the time that fetches from the weight store take.
     duration fetch_time_;
     /// Adapters that were loaded here, least recent first; as many as the
     /// worker is assumed to keep copies of.
-    std::list<model_target> recent_;
+    std::list<model_target> recently_resident_;
     std::optional<worker_order> order_;
     /// The order was sent and has no outcome yet.
     bool in_flight_ = false;
-    bool repeated_ = false;
+    bool order_repeated_ = false;
     /// Orders in a row without an answer.
-    int unanswered_ = 0;
+    int consecutive_unanswered_ = 0;
     /// Orders in a row that conflicted.
-    int conflicts_ = 0;
+    int consecutive_conflicts_ = 0;
     time_point retry_at_{};
     worker_id worker_;
     std::size_t evictions_ = 0;
--- a/src/worker_health.hpp
+++ b/src/worker_health.hpp
@@ -48,23 +48,23 @@
     void ended(send_outcome outcome, time_point sent_at, time_point now);
 
     /// Records how a request ended that another VM sent.
-    void told(send_outcome outcome, time_point now);
+    void on_peer_outcome(send_outcome outcome, time_point now);
 
     std::size_t outstanding() const { return pending_total_; }
     /// Whether this VM itself could not reach the worker, or had no answer in
     /// time.
-    bool unreached(time_point now) const;
+    bool is_unreachable(time_point now) const;
     /// Whether to send the worker no requests: it could not be reached, or left
     /// everything unanswered for too long, and has answered nothing since; or
     /// other VMs recently failed to reach it.
-    bool avoided(time_point now) const;
+    bool is_avoided(time_point now) const;
     /// Records that the worker answered this VM other than to a request (for
     /// example with a report), so that this VM can reach it.
-    void reached(time_point now);
+    void on_reached(time_point now);
     /// Whether a single request may be sent as a probe although the worker is
     /// avoided.
     bool may_probe(time_point now) const;
-    void probed(time_point now);
+    void on_probe_sent(time_point now);
     /// Moving average of the share of failures among the answers, 0 to 1. It
     /// decays while nothing is sent: a worker that gets no requests because of
     /// its failures would otherwise never be tried again.
@@ -75,31 +75,31 @@
     duration mean_first_byte() const { return mean_first_byte_; }
     /// How long a request may stay without a first byte before the worker
     /// counts as silent.
-    duration patience() const;
+    duration first_byte_timeout() const;
     /// When the worker last began an answer, or answered this VM otherwise.
-    time_point answered_at() const { return last_byte_; }
+    time_point last_answer_at() const { return last_answer_at_; }
     /// When the worker will count as silent if nothing arrives; `never` if no
     /// request waits for a first byte.
     time_point silent_at() const;
 
 private:
     duration longest_expected() const;
-    void avoid(int failures, time_point now);
-    void judge(bool failed, time_point now);
+    void schedule_probe(int failures, time_point now);
+    void record_result(bool failed, time_point now);
 
     /// Requests without a first byte: when each was sent, and its expected time
     /// to the first byte.
     std::multimap<time_point, duration> pending_;
     std::size_t pending_total_ = 0;
-    time_point last_byte_{};
+    time_point last_answer_at_{};
     time_point full_until_{};
     time_point next_probe_{};
     int failures_in_a_row_ = 0;
     /// Failures in a row among requests of other VMs.
-    int told_failures_in_a_row_ = 0;
-    time_point told_until_{};
+    int peer_failures_in_a_row_ = 0;
+    time_point peer_failures_until_{};
     double failure_share_ = 0;
-    time_point judged_at_{};
+    time_point last_result_at_{};
     duration mean_first_byte_ = std::chrono::milliseconds(50);
 };
 
--- a/src/worker_notices.hpp
+++ b/src/worker_notices.hpp
@@ -22,24 +22,24 @@
     /// Records that the worker wants no requests from this VM before `until`,
     /// also after a restart. A shorter rest does not end a longer one. Returns
     /// true if the worker was not resting before.
-    bool ask_rest(worker_id const& worker, time_point until, time_point now);
+    bool request_backoff(worker_id const& worker, time_point until, time_point now);
     /// End of the worker's rest; in the past, or the epoch, if it is not
     /// resting.
-    time_point rests_until(worker_id const& worker) const;
+    time_point backoff_until(worker_id const& worker) const;
     /// The first end of a rest after `after`; `never` if there is none.
-    time_point next_end(time_point after) const;
-    bool rests(worker_id const& worker, time_point now) const
+    time_point next_backoff_end(time_point after) const;
+    bool in_backoff(worker_id const& worker, time_point now) const
     {
-        return now < rests_until(worker);
+        return now < backoff_until(worker);
     }
 
     /// Records that the worker is leaving, in the process life that began at
     /// `life`; the epoch if that is unknown.
-    void leave(worker_id const& worker, worker_start life, time_point now);
+    void record_departure(worker_id const& worker, worker_start incarnation, time_point now);
     /// Whether the worker announced in process life `life`, or in a later one,
     /// that it is leaving. A life that is unknown on either side counts as the
     /// same.
-    bool leaves(worker_id const& worker, worker_start life) const;
+    bool is_leaving(worker_id const& worker, worker_start incarnation) const;
 
     /// Forgets rests that are over, and departures after ten minutes.
     void forget_past(time_point now);
@@ -47,13 +47,13 @@
 private:
     struct departure
     {
-        worker_start life;
+        worker_start incarnation;
         time_point forget_at{};
     };
 
-    std::map<worker_id, time_point> rests_until_;
+    std::map<worker_id, time_point> backoff_until_;
     std::map<worker_id, departure> leaving_;
-    time_point sweep_at_{};
+    time_point next_sweep_at_{};
 };
 
 } // namespace mulberry
--- a/tests/adapter_releases_test.cpp
+++ b/tests/adapter_version_history_test.cpp
@@ -1,4 +1,4 @@
-#include "adapter_releases.hpp"
+#include "adapter_version_history.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -12,7 +12,7 @@
 model_target const target{base_model_id("base"), adapter_id("a1")};
 constexpr time_point start{1h};
 
-declared_version heard(std::uint64_t version, duration after)
+declared_version learned(std::uint64_t version, duration after)
 {
     return {adapter_version(version), start + after, start + after + 1s};
 }
@@ -22,39 +22,39 @@
 TEST_CASE("an adapter without a declared version has no newest one",
           "[adapter_releases]")
 {
-    adapter_releases const releases;
+    adapter_version_history const releases;
     CHECK(releases.newest(target) == adapter_version());
-    CHECK(releases.newest_heard_at(target) == never);
-    CHECK(releases.replaced_at(target, adapter_version(1)) == never);
+    CHECK(releases.newest_learned_at(target) == never);
+    CHECK(releases.superseded_at(target, adapter_version(1)) == never);
 }
 
 TEST_CASE("a version that comes late does not replace a newer one",
           "[adapter_releases]")
 {
-    adapter_releases releases;
-    CHECK(releases.declare(target, heard(3, 0s)));
-    CHECK_FALSE(releases.declare(target, heard(2, 1s)));
-    CHECK_FALSE(releases.declare(target, heard(3, 1s)));
+    adapter_version_history releases;
+    CHECK(releases.declare(target, learned(3, 0s)));
+    CHECK_FALSE(releases.declare(target, learned(2, 1s)));
+    CHECK_FALSE(releases.declare(target, learned(3, 1s)));
     CHECK(releases.newest(target) == adapter_version(3));
-    CHECK(releases.newest_heard_at(target) == start);
+    CHECK(releases.newest_learned_at(target) == start);
 }
 
 TEST_CASE("a copy is replaced by the first newer version", "[adapter_releases]")
 {
-    adapter_releases releases;
-    releases.declare(target, heard(2, 0s));
-    releases.declare(target, heard(5, 4s));
-    CHECK(releases.replaced_at(target, adapter_version(1)) == start);
-    CHECK(releases.replaced_at(target, adapter_version(2)) == start + 4s);
-    CHECK(releases.replaced_at(target, adapter_version(5)) == never);
+    adapter_version_history releases;
+    releases.declare(target, learned(2, 0s));
+    releases.declare(target, learned(5, 4s));
+    CHECK(releases.superseded_at(target, adapter_version(1)) == start);
+    CHECK(releases.superseded_at(target, adapter_version(2)) == start + 4s);
+    CHECK(releases.superseded_at(target, adapter_version(5)) == never);
 }
 
 TEST_CASE("each version has a deadline of its own for older ones",
           "[adapter_releases]")
 {
-    adapter_releases releases;
-    releases.declare(target, heard(2, 0s));
-    releases.declare(target, heard(3, 900ms));
+    adapter_version_history releases;
+    releases.declare(target, learned(2, 0s));
+    releases.declare(target, learned(3, 900ms));
     CHECK(releases.oldest_allowed(target, start + 999ms) == adapter_version());
     CHECK(releases.oldest_allowed(target, start + 1s) == adapter_version(2));
     CHECK(releases.oldest_allowed(target, start + 1899ms) ==
@@ -67,11 +67,11 @@
 TEST_CASE("a deadline stands however many versions follow within it",
           "[adapter_releases]")
 {
-    adapter_releases releases;
+    adapter_version_history releases;
     std::uint64_t version = 1;
     for (duration after{}; after < 3s; after += 20ms)
     {
-        releases.declare(target, heard(++version, after));
+        releases.declare(target, learned(++version, after));
         CHECK(releases.newest(target) == adapter_version(version));
         bool const used_up = after >= 1s;
         adapter_version const oldest =
--- a/tests/prompt_copy_test.cpp
+++ b/tests/prompt_copy_test.cpp
@@ -85,7 +85,7 @@
                 load_at(each);
     }
 
-    std::uint64_t copies(copy_verdict verdict) const
+    std::uint64_t copies(copy_decision verdict) const
     {
         return scheduler.counts().prompt_copies.at(
             static_cast<std::size_t>(verdict));
@@ -253,12 +253,12 @@
     two_readers world(3);
     world.weights[scheduler_world::name(2)] = weights_version(2);
     world.list_all();
-    std::size_t const before = world.copies(copy_verdict::address_shared);
+    std::size_t const before = world.copies(copy_decision::address_shared);
     world.same_address = true;
     world.list_all();
     for (int count = 0; count < 4; ++count)
         world.ask_alike();
-    CHECK(world.copies(copy_verdict::address_shared) > before);
+    CHECK(world.copies(copy_decision::address_shared) > before);
 }
 
 TEST_CASE("memory of a prompt is of use under the versions that made it",
@@ -270,46 +270,46 @@
     weights_version const weights(4);
     adapter_version const adapter(7);
     newest_versions const newest{weights, adapter};
-    registry_moment const current{now, now};
+    registry_timestamps const current{now, now};
     auto const judged =
         [&](served_versions const& source, served_versions const& reader,
-            registry_moment const& known, duration until_it_begins = {})
+            registry_timestamps const& known, duration until_it_begins = {})
     {
-        return judge_copy(source, reader, newest, known, load_time, now,
+        return decide_prompt_copy(source, reader, newest, known, load_time, now,
                           now + until_it_begins);
     };
     served_versions const up_to_date{weights, adapter};
     served_versions const old_pair{old_weights, adapter};
-    CHECK(judged(up_to_date, up_to_date, current) == copy_verdict::allowed);
-    CHECK(judged(old_pair, old_pair, current) == copy_verdict::allowed);
+    CHECK(judged(up_to_date, up_to_date, current) == copy_decision::allowed);
+    CHECK(judged(old_pair, old_pair, current) == copy_decision::allowed);
     CHECK(judged(old_pair, up_to_date, current) ==
-          copy_verdict::weights_differ);
+          copy_decision::weights_differ);
     CHECK(judged(up_to_date, old_pair, current) ==
-          copy_verdict::weights_differ);
+          copy_decision::weights_differ);
     CHECK(judged({{}, adapter}, up_to_date, current) ==
-          copy_verdict::weights_unknown);
+          copy_decision::weights_unknown);
     CHECK(judged({{}, adapter}, {{}, adapter}, current) ==
-          copy_verdict::weights_unknown);
+          copy_decision::weights_unknown);
     CHECK(judged({weights, {}}, up_to_date, current) ==
-          copy_verdict::adapter_differs);
+          copy_decision::adapter_differs);
     CHECK(judged(up_to_date, {weights, adapter_version(6)}, current) ==
-          copy_verdict::adapter_differs);
-    registry_moment const workers_only{time_point(), now};
-    registry_moment const declarations_only{now, time_point()};
+          copy_decision::adapter_differs);
+    registry_timestamps const workers_only{time_point(), now};
+    registry_timestamps const declarations_only{now, time_point()};
     CHECK(judged(up_to_date, up_to_date, workers_only) ==
-          copy_verdict::allowed);
+          copy_decision::allowed);
     CHECK(judged(up_to_date, up_to_date, declarations_only) ==
-          copy_verdict::allowed);
-    CHECK(judged(old_pair, old_pair, workers_only) == copy_verdict::allowed);
+          copy_decision::allowed);
+    CHECK(judged(old_pair, old_pair, workers_only) == copy_decision::allowed);
     CHECK(judged(old_pair, old_pair, declarations_only) ==
-          copy_verdict::knowledge_too_old);
+          copy_decision::registry_data_too_old);
     CHECK(judged(up_to_date, up_to_date, {}) ==
-          copy_verdict::knowledge_too_old);
+          copy_decision::registry_data_too_old);
     // What is known holds for half of a load's time, and the old weights only
     // while no life can have ended by the time that the request begins.
-    CHECK(judged(old_pair, old_pair, current, 900ms) == copy_verdict::allowed);
+    CHECK(judged(old_pair, old_pair, current, 900ms) == copy_decision::allowed);
     CHECK(judged(old_pair, old_pair, current, 1s) ==
-          copy_verdict::knowledge_too_old);
+          copy_decision::registry_data_too_old);
     CHECK(judged(up_to_date, up_to_date, {now - 1s, now - 1s}) ==
-          copy_verdict::knowledge_too_old);
+          copy_decision::registry_data_too_old);
 }
--- a/tests/reader_choice_test.cpp
+++ b/tests/reader_selector_test.cpp
@@ -1,4 +1,4 @@
-#include "reader_choice.hpp"
+#include "reader_selector.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -21,12 +21,12 @@
 }
 
 /// Among so many VMs, all alike.
-void set_members(reader_choice& choice, int count)
+void set_members(reader_selector& selector, int count)
 {
     std::vector<ranked_vm> vms;
     for (vm_id const& vm : names(count))
         vms.push_back({vm});
-    choice.set_members(vms, vms.size());
+    selector.set_members(vms, vms.size());
 }
 
 /// How many VMs each reader serves; the store counts as an empty name.
@@ -35,9 +35,9 @@
     std::map<vm_id, int> result;
     for (vm_id const& vm : names(count))
     {
-        reader_choice choice(vm);
-        set_members(choice, count);
-        ++result[choice.choose(time_point(1s))];
+        reader_selector selector(vm);
+        set_members(selector, count);
+        ++result[selector.choose(time_point(1s))];
     }
     return result;
 }
@@ -56,9 +56,9 @@
         CHECK(asked_by < 30);
         if (reader.empty())
             continue;
-        reader_choice choice(reader);
-        set_members(choice, 100);
-        CHECK(choice.choose(time_point(1s)).empty());
+        reader_selector selector(reader);
+        set_members(selector, 100);
+        CHECK(selector.choose(time_point(1s)).empty());
     }
 }
 
@@ -78,24 +78,24 @@
     time_point const now(10s);
     for (vm_id const& vm : names(32))
     {
-        reader_choice choice(vm);
-        set_members(choice, 32);
-        vm_id const first = choice.choose(now);
+        reader_selector selector(vm);
+        set_members(selector, 32);
+        vm_id const first = selector.choose(now);
         if (first.empty())
             continue;
-        choice.failed(first, now);
-        vm_id const second = choice.choose(now);
+        selector.failed(first, now);
+        vm_id const second = selector.choose(now);
         CHECK(second != first);
         REQUIRE_FALSE(second.empty());
-        choice.failed(second, now);
-        CHECK(choice.choose(now).empty());
-        CHECK(choice.choose(now + 1s) == first);
-        choice.failed(first, now + 1s);
-        CHECK(choice.choose(now + 2s) == second);
-        CHECK(choice.choose(now + 3s) == first);
-        choice.answered(first);
-        choice.failed(first, now + 3s);
-        CHECK(choice.choose(now + 4s) == first);
+        selector.failed(second, now);
+        CHECK(selector.choose(now).empty());
+        CHECK(selector.choose(now + 1s) == first);
+        selector.failed(first, now + 1s);
+        CHECK(selector.choose(now + 2s) == second);
+        CHECK(selector.choose(now + 3s) == first);
+        selector.answered(first);
+        selector.failed(first, now + 3s);
+        CHECK(selector.choose(now + 4s) == first);
     }
 }
 
@@ -112,9 +112,9 @@
     std::set<vm_id> asked;
     for (ranked_vm const& each : vms)
     {
-        reader_choice choice(each.vm);
-        choice.set_members(vms, vms.size());
-        if (vm_id const reader = choice.choose(time_point(1s)); !reader.empty())
+        reader_selector selector(each.vm);
+        selector.set_members(vms, vms.size());
+        if (vm_id const reader = selector.choose(time_point(1s)); !reader.empty())
             asked.insert(reader);
     }
     CHECK(asked ==
@@ -127,11 +127,11 @@
     std::vector<ranked_vm> const candidates{{vm_id("vm-1")}, {vm_id("vm-2")}};
     for (vm_id const& vm : names(60))
     {
-        reader_choice choice(vm);
-        choice.set_members(candidates, 60);
-        vm_id const reader = choice.choose(time_point(1s));
+        reader_selector selector(vm);
+        selector.set_members(candidates, 60);
+        vm_id const reader = selector.choose(time_point(1s));
         bool const reads = vm == vm_id("vm-1") || vm == vm_id("vm-2");
-        CHECK(choice.follows() == !reads);
+        CHECK(selector.uses_reader() == !reads);
         CHECK(reader.empty() == reads);
     }
 }
--- a/tests/relay_start_test.cpp
+++ b/tests/relay_start_test.cpp
@@ -21,16 +21,16 @@
 /// says so.
 struct starting_vm
 {
-    explicit starting_vm(duration longest_hold)
-        : vm(io, codec, options(longest_hold), log)
+    explicit starting_vm(duration max_hold)
+        : vm(io, codec, options(max_hold), log)
     {
     }
 
-    static relay_options options(duration longest_hold)
+    static relay_options options(duration max_hold)
     {
         relay_options options;
         options.vm = vm_id("vm");
-        options.start.longest_hold = longest_hold;
+        options.start.max_hold = max_hold;
         return options;
     }
     std::shared_ptr<recorded_answer> ask()
--- /dev/null
+++ b/tests/row_replica_test.cpp
@@ -0,0 +1,123 @@
+#include "row_replica.hpp"
+
+#include <catch2/catch.hpp>
+
+using namespace mulberry;
+
+namespace
+{
+
+stored_row row(std::string key, std::uint64_t version, std::string value)
+{
+    return {row_kind::worker, std::move(key), row_version(version),
+            std::move(value), false};
+}
+
+stored_row deleted_row(std::string key, std::uint64_t version)
+{
+    return {row_kind::worker, std::move(key), row_version(version), {}, true};
+}
+
+/// The part of the value before a slash.
+std::string before_slash(stored_row const& each)
+{
+    return each.value.substr(0, each.value.find('/'));
+}
+
+} // namespace
+
+TEST_CASE("a copy tells what changed after a version", "[row_copy]")
+{
+    row_replica replica;
+    CHECK_FALSE(replica.changes_since(row_version(0)));
+    replica.apply_snapshot({row("a", 3, "1"), row("b", 5, "1")}, row_version(6));
+    CHECK(replica.version() == row_version(6));
+    CHECK(replica.changes_since(row_version(6))->empty());
+    replica.apply({row("b", 8, "2")}, row_version(9));
+    CHECK(*replica.changes_since(row_version(6)) ==
+          std::vector<stored_row>{row("b", 8, "2")});
+    CHECK(replica.changes_since(row_version(9))->empty());
+}
+
+TEST_CASE("whoever asks for more than is kept is told so", "[row_copy]")
+{
+    row_replica replica;
+    replica.apply_snapshot({row("a", 3, "1")}, row_version(6));
+    CHECK_FALSE(replica.changes_since(row_version(5)));
+    CHECK(replica.rows() == std::vector<stored_row>{row("a", 3, "1")});
+}
+
+// A worker's heartbeat changes its row each second. Whoever follows the copy
+// is not told, but holds the newest row as soon as the worker drains.
+TEST_CASE("changes that nobody acts on are not told", "[row_copy]")
+{
+    row_replica replica(before_slash);
+    replica.apply_snapshot({row("a", 3, "ready/1")}, row_version(6));
+    CHECK(replica.apply({row("a", 7, "ready/2")}, row_version(7)).size() == 1);
+    CHECK(replica.changes_since(row_version(6))->empty());
+    replica.apply({row("a", 8, "drains/3")}, row_version(8));
+    CHECK(*replica.changes_since(row_version(6)) ==
+          std::vector<stored_row>{row("a", 8, "drains/3")});
+}
+
+// Answers overtake each other: the row that was read later stays.
+TEST_CASE("a row never gives way to an older version", "[row_copy]")
+{
+    row_replica replica;
+    replica.apply_snapshot({row("a", 3, "1")}, row_version(6));
+    replica.apply({row("a", 8, "2")}, row_version(8));
+    CHECK(replica.apply({row("a", 7, "1")}, row_version(7)).empty());
+    CHECK(replica.rows() == std::vector<stored_row>{row("a", 8, "2")});
+    CHECK(replica.version() == row_version(8));
+}
+
+TEST_CASE("rows that are dropped are told as dropped", "[row_copy]")
+{
+    row_replica replica;
+    replica.apply_snapshot({row("a", 3, "1"), row("b", 4, "1")}, row_version(6));
+    SECTION("by a change")
+    {
+        replica.apply({deleted_row("a", 9)}, row_version(9));
+        CHECK(*replica.changes_since(row_version(6)) ==
+              std::vector<stored_row>{deleted_row("a", 9)});
+    }
+    SECTION("by being missing when all is read again")
+    {
+        CHECK(replica.apply_snapshot({row("b", 4, "1")}, row_version(9)) ==
+              std::vector<stored_row>{deleted_row("a", 9)});
+        CHECK(*replica.changes_since(row_version(6)) ==
+              std::vector<stored_row>{deleted_row("a", 9)});
+    }
+    CHECK(replica.rows() == std::vector<stored_row>{row("b", 4, "1")});
+    replica.apply({row("a", 12, "2")}, row_version(12));
+    CHECK(replica.rows().size() == 2);
+}
+
+// Another VM sent all its rows; they show an earlier moment than what this
+// copy has. What it lacks because it is older is not dropped here.
+TEST_CASE("an older reading drops nothing that is newer", "[row_copy]")
+{
+    row_replica replica;
+    replica.apply_snapshot({row("a", 3, "1")}, row_version(6));
+    replica.apply({row("b", 8, "1")}, row_version(8));
+    CHECK(replica.apply_snapshot({row("a", 3, "1")}, row_version(7)).empty());
+    CHECK(replica.rows().size() == 2);
+    CHECK(replica.version() == row_version(8));
+}
+
+TEST_CASE("the memory of dropped rows is bounded", "[row_copy]")
+{
+    row_replica replica;
+    replica.apply_snapshot({}, row_version(1));
+    std::uint64_t version = 1;
+    for (int number = 0; number < 2000; ++number)
+    {
+        std::string const key = "w" + std::to_string(number);
+        replica.apply({row(key, ++version, "1")}, row_version(version));
+        replica.apply({deleted_row(key, ++version)}, row_version(version));
+    }
+    CHECK_FALSE(replica.changes_since(row_version(1)));
+    auto const late = replica.changes_since(row_version(version - 1));
+    REQUIRE(late);
+    CHECK(late->size() == 1);
+}
--- a/tests/start_hold_test.cpp
+++ b/tests/startup_hold_test.cpp
@@ -1,4 +1,4 @@
-#include "start_hold.hpp"
+#include "startup_hold.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -9,7 +9,7 @@
 {
 
 time_point const started(100s);
-start_limits const limits{500ms, 800ms, 3s};
+startup_limits const limits{500ms, 800ms, 3s};
 
 } // namespace
 
@@ -18,26 +18,26 @@
 TEST_CASE("what arrives right after the start is kept for a moment",
           "[start_hold]")
 {
-    start_hold const hold(limits, started);
-    CHECK(hold.keep_until(started, 5s) == started + 500ms);
-    CHECK(hold.keep_until(started + 300ms, 5s) == started + 500ms);
-    CHECK(hold.keep_until(started + 300ms, std::nullopt) == started + 500ms);
-    CHECK(hold.keep_until(started, 1s) == started + 250ms);
+    startup_hold const hold(limits, started);
+    CHECK(hold.hold_until(started, 5s) == started + 500ms);
+    CHECK(hold.hold_until(started + 300ms, 5s) == started + 500ms);
+    CHECK(hold.hold_until(started + 300ms, std::nullopt) == started + 500ms);
+    CHECK(hold.hold_until(started, 1s) == started + 250ms);
 }
 
 // The store stays away. Nothing is known of when this VM can serve, so nobody
 // is kept.
 TEST_CASE("what arrives later is turned away at once", "[start_hold]")
 {
-    start_hold const hold(limits, started);
-    CHECK(hold.keep_until(started + 500ms, 5s) == started + 500ms);
-    CHECK(hold.keep_until(started + 7s, 5s) == started + 7s);
+    startup_hold const hold(limits, started);
+    CHECK(hold.hold_until(started + 500ms, 5s) == started + 500ms);
+    CHECK(hold.hold_until(started + 7s, 5s) == started + 7s);
 }
 
 TEST_CASE("callers come back after as long as the absence has lasted",
           "[start_hold]")
 {
-    start_hold const hold(limits, started);
+    startup_hold const hold(limits, started);
     CHECK(hold.retry_after(started + 10ms) == 800ms);
     CHECK(hold.retry_after(started + 1500ms) == 1500ms);
     CHECK(hold.retry_after(started + 60s) == 3s);
--- a/tests/worker_adapters_test.cpp
+++ b/tests/worker_adapters_test.cpp
@@ -28,7 +28,7 @@
 
     ordered_worker() : adapters(settings())
     {
-        adapters.grant(vm_id("vm"), fencing_number(1), now);
+        adapters.on_ownership_acquired(vm_id("vm"), fencing_number(1), now);
         worker_report report;
         report.models[model] = {};
         adapters.on_report(report, now);
@@ -41,9 +41,9 @@
         return settings;
     }
 
-    void want(std::string const& adapter, int waiting = 1)
+    void request_load(std::string const& adapter, int waiting = 1)
     {
-        adapters.want(target(adapter), {}, now);
+        adapters.request_load(target(adapter), {}, now);
         for (int number = 0; number < waiting; ++number)
             adapters.begin_wait(target(adapter));
     }
@@ -84,7 +84,7 @@
     std::size_t fetch_four(duration takes)
     {
         for (int number = 0; number < 4; ++number)
-            want("f" + std::to_string(last_++));
+            request_load("f" + std::to_string(last_++));
         std::size_t at_a_time = 0;
         while (true)
         {
@@ -127,9 +127,9 @@
 {
     ordered_worker worker;
     for (char const* rare : {"a1", "a2", "a3", "a4", "a5"})
-        worker.want(rare);
+        worker.request_load(rare);
     worker.now += 10ms;
-    worker.want("hot", 20);
+    worker.request_load("hot", 20);
     auto const ordered = worker.order_loads();
     REQUIRE(ordered.size() == 4);
     CHECK(ordered.front() == "hot");
@@ -140,9 +140,9 @@
           "[worker_adapters]")
 {
     ordered_worker worker;
-    worker.want("rare");
+    worker.request_load("rare");
     worker.now += 3s;
-    worker.want("hot", 20);
+    worker.request_load("hot", 20);
     CHECK(worker.order_loads().front() == "rare");
 }
 
@@ -153,9 +153,9 @@
           "[worker_adapters]")
 {
     ordered_worker worker;
-    worker.want("a1");
+    worker.request_load("a1");
     REQUIRE(worker.order_loads().size() == 1);
-    worker.want("a2");
+    worker.request_load("a2");
     for (int time = 0; time < 2; ++time)
     {
         REQUIRE(worker.next());
@@ -166,12 +166,12 @@
     worker.now += 400ms;
     worker_report report;
     report.models[model] = {};
-    REQUIRE(worker.adapters.wants_report(worker.now));
-    worker.adapters.report_asked();
+    REQUIRE(worker.adapters.needs_report(worker.now));
+    worker.adapters.on_report_requested();
     worker.adapters.on_report(report, worker.now);
     CHECK_FALSE(worker.adapters.synced());
     worker.now += 100ms;
-    REQUIRE(worker.adapters.wants_report(worker.now));
+    REQUIRE(worker.adapters.needs_report(worker.now));
     SECTION("a later one is")
     {
         report.sequence = 1;
@@ -199,13 +199,13 @@
     settings.adapter_slots = 2;
     worker_adapters adapters(settings);
     time_point now{std::chrono::hours(1)};
-    adapters.grant(vm_id("vm"), fencing_number(1), now);
+    adapters.on_ownership_acquired(vm_id("vm"), fencing_number(1), now);
     worker_report report;
     report.models[model] = {{adapter_id("a1"), adapter_version(1)},
                             {adapter_id("a2"), adapter_version(1)}};
     adapters.on_report(report, now);
-    adapters.want(target("b1"), {}, now);
-    adapters.want(target("b2"), {}, now);
+    adapters.request_load(target("b1"), {}, now);
+    adapters.request_load(target("b2"), {}, now);
     auto const next = [&]
     {
         return adapters.next_order(
@@ -235,11 +235,11 @@
 {
     worker_adapters adapters({});
     time_point now{std::chrono::hours(1)};
-    adapters.grant(vm_id("vm"), fencing_number(1), now);
+    adapters.on_ownership_acquired(vm_id("vm"), fencing_number(1), now);
     worker_report report;
     report.models[model] = {};
     adapters.on_report(report, now);
-    adapters.want(target("a1"), adapter_version(2), now);
+    adapters.request_load(target("a1"), adapter_version(2), now);
     adapters.begin_wait(target("a1"));
     auto const next = [&]
     {
@@ -249,7 +249,7 @@
     auto const load = next();
     REQUIRE(load);
     REQUIRE(load->version == adapter_version(2));
-    adapters.outdate(target("a1"), adapter_version(3));
+    adapters.mark_outdated(target("a1"), adapter_version(3));
     adapters.on_outcome(order_outcome::accepted, now);
     now += 300ms;
     auto const question = next();
--- a/tests/worker_health_test.cpp
+++ b/tests/worker_health_test.cpp
@@ -24,8 +24,8 @@
 {
     worker_health health;
     health.sent(start);
-    CHECK_FALSE(health.avoided(start + 100ms));
-    CHECK(health.avoided(start + 3s));
+    CHECK_FALSE(health.is_avoided(start + 100ms));
+    CHECK(health.is_avoided(start + 3s));
 }
 
 TEST_CASE("a worker that answers others is slow, not silent", "[worker_health]")
@@ -35,7 +35,7 @@
     for (int ms = 100; ms < 3000; ms += 100)
         answer(health, start + std::chrono::milliseconds(ms),
                send_outcome::served);
-    CHECK_FALSE(health.avoided(start + 3s));
+    CHECK_FALSE(health.is_avoided(start + 3s));
 }
 
 TEST_CASE("a worker that cannot be reached is tried with one request first",
@@ -44,14 +44,14 @@
     worker_health health;
     health.sent(start);
     health.ended(send_outcome::unreachable, start, start + 1ms);
-    CHECK(health.avoided(start + 1ms));
+    CHECK(health.is_avoided(start + 1ms));
     CHECK_FALSE(health.may_probe(start + 2ms));
     CHECK(health.may_probe(start + 2s));
-    health.probed(start + 2s);
+    health.on_probe_sent(start + 2s);
     health.sent(start + 2s);
     CHECK_FALSE(health.may_probe(start + 2s));
     health.first_byte(start + 2s, start + 2030ms);
-    CHECK_FALSE(health.avoided(start + 2030ms));
+    CHECK_FALSE(health.is_avoided(start + 2030ms));
 }
 
 TEST_CASE("one failure is not a sick worker", "[worker_health]")
@@ -78,7 +78,7 @@
         health.sent(start);
         health.ended(send_outcome::abandoned, start, start + 1ms);
     }
-    CHECK_FALSE(health.avoided(start + 2ms));
+    CHECK_FALSE(health.is_avoided(start + 2ms));
     CHECK(health.failure_share(start) == 0);
     CHECK(health.outstanding() == 0);
 }
@@ -92,9 +92,9 @@
     answer(health, start - 1s, send_outcome::served);
     health.sent(start, 700ms);
     health.sent(start, 1400ms);
-    CHECK_FALSE(health.avoided(start + 1500ms));
-    CHECK_FALSE(health.avoided(start + 2s));
-    CHECK(health.avoided(start + 6s));
+    CHECK_FALSE(health.is_avoided(start + 1500ms));
+    CHECK_FALSE(health.is_avoided(start + 2s));
+    CHECK(health.is_avoided(start + 6s));
 }
 
 TEST_CASE("a worker with nothing long to read is soon silent",
@@ -103,5 +103,5 @@
     worker_health health;
     answer(health, start - 1s, send_outcome::served);
     health.sent(start, 20ms);
-    CHECK(health.avoided(start + 500ms));
+    CHECK(health.is_avoided(start + 500ms));
 }
--- a/tests/worker_notices_test.cpp
+++ b/tests/worker_notices_test.cpp
@@ -18,45 +18,45 @@
           "[worker_notices]")
 {
     worker_notices notices;
-    CHECK_FALSE(notices.rests(worker, start));
-    CHECK(notices.ask_rest(worker, start + 3s, start));
-    CHECK_FALSE(notices.ask_rest(worker, start + 2s, start + 1s));
-    CHECK(notices.rests(worker, start + 2999ms));
-    CHECK_FALSE(notices.rests(worker, start + 3s));
-    CHECK(notices.ask_rest(worker, start + 5s, start + 4s));
+    CHECK_FALSE(notices.in_backoff(worker, start));
+    CHECK(notices.request_backoff(worker, start + 3s, start));
+    CHECK_FALSE(notices.request_backoff(worker, start + 2s, start + 1s));
+    CHECK(notices.in_backoff(worker, start + 2999ms));
+    CHECK_FALSE(notices.in_backoff(worker, start + 3s));
+    CHECK(notices.request_backoff(worker, start + 5s, start + 4s));
 }
 
 TEST_CASE("the next end of a rest is the first one to come", "[worker_notices]")
 {
     worker_notices notices;
-    CHECK(notices.next_end(start) == never);
-    notices.ask_rest(worker, start + 3s, start);
-    notices.ask_rest(worker_id("w2"), start + 2s, start);
-    CHECK(notices.next_end(start) == start + 2s);
-    CHECK(notices.next_end(start + 2s) == start + 3s);
-    CHECK(notices.next_end(start + 3s) == never);
+    CHECK(notices.next_backoff_end(start) == never);
+    notices.request_backoff(worker, start + 3s, start);
+    notices.request_backoff(worker_id("w2"), start + 2s, start);
+    CHECK(notices.next_backoff_end(start) == start + 2s);
+    CHECK(notices.next_backoff_end(start + 2s) == start + 3s);
+    CHECK(notices.next_backoff_end(start + 3s) == never);
 }
 
 TEST_CASE("a departure counts for the life that told it and those before",
           "[worker_notices]")
 {
     worker_notices notices;
-    CHECK_FALSE(notices.leaves(worker, worker_start(5)));
-    notices.leave(worker, worker_start(5), start);
-    CHECK(notices.leaves(worker, worker_start(4)));
-    CHECK(notices.leaves(worker, worker_start(5)));
-    CHECK_FALSE(notices.leaves(worker, worker_start(6)));
+    CHECK_FALSE(notices.is_leaving(worker, worker_start(5)));
+    notices.record_departure(worker, worker_start(5), start);
+    CHECK(notices.is_leaving(worker, worker_start(4)));
+    CHECK(notices.is_leaving(worker, worker_start(5)));
+    CHECK_FALSE(notices.is_leaving(worker, worker_start(6)));
     // An entry that tells no start is of the life that is known.
-    CHECK(notices.leaves(worker, worker_start()));
+    CHECK(notices.is_leaving(worker, worker_start()));
 }
 
 // Guards against state that is kept for every worker there ever was.
 TEST_CASE("what was said is forgotten in the end", "[worker_notices]")
 {
     worker_notices notices;
-    notices.leave(worker, worker_start(5), start);
-    notices.ask_rest(worker_id("w2"), start + 1h, start + 1h - 1s);
-    CHECK_FALSE(notices.leaves(worker, worker_start(5)));
+    notices.record_departure(worker, worker_start(5), start);
+    notices.request_backoff(worker_id("w2"), start + 1h, start + 1h - 1s);
+    CHECK_FALSE(notices.is_leaving(worker, worker_start(5)));
 }
 
 } // namespace mulberry
