--- a/src/service_estimate.cpp
+++ b/src/service_estimate.cpp
@@ -95,7 +95,7 @@
                                work_item const& item, time_point now) const
 {
     if (worker.entry.draining || item.excluded.count(worker.entry.id) > 0 ||
-        rests_for(worker, item, now) || worker.health.full(now) ||
+        rests_for(worker, item, now) || worker.health.is_full(now) ||
         taken(worker) >= limit_of(worker))
         return false;
     return !worker.health.is_avoided(now) || worker.health.may_probe(now);
--- a/src/worker_adapters.cpp
+++ b/src/worker_adapters.cpp
@@ -47,7 +47,7 @@
 }
 
 void worker_adapters::on_ownership_acquired(vm_id holder, fencing_number fence,
-                            time_point orders_from)
+                                            time_point orders_from)
 {
     if (holder_ && fence_ == fence)
     {
@@ -138,9 +138,10 @@
 /// conflict the report shows the worker as it was before those orders. Loads in
 /// progress are missing in the report and are ordered again, so that each order
 /// is counted twice and the next one conflicts: for seconds the worker loads
-/// nothing. The number of accepted orders never falls during a worker's life,
+/// nothing. The number of accepted orders never falls within an incarnation,
 /// so a report with a lower number than known is an old one.
-bool worker_adapters::predates_last_order(worker_report const& report, time_point now) const
+bool worker_adapters::predates_last_order(worker_report const& report,
+                                          time_point now) const
 {
     return lost_sequence_ && report.sequence < *lost_sequence_ &&
            now < lost_at_ + max_report_lag;
@@ -198,21 +199,22 @@
 {
     std::size_t fixed = 0;
     for (auto const& [each, state] : adapters_)
-        fixed += state.stage != adapter_stage::resident || state.requests_in_progress > 0 ||
-                 state.requests_waiting > 0;
+        fixed += state.stage != adapter_stage::resident ||
+                 state.requests_in_progress > 0 || state.requests_waiting > 0;
     return fixed < settings_.adapter_slots;
 }
 
-void worker_adapters::request_load(model_target const& target, adapter_version newest,
-                           time_point now)
+void worker_adapters::request_load(model_target const& target,
+                                   adapter_version newest, time_point now)
 {
     auto const [known, added] = adapters_.try_emplace(target);
     if (!added)
         return;
     known->second.newest = newest;
     known->second.requested_at = now;
-    known->second.load_expected_at = now + (was_recently_resident(target) ? settings_.warm_load_time
-                                                       : settings_.cold_load_time);
+    known->second.load_expected_at =
+        now + (was_recently_resident(target) ? settings_.warm_load_time
+                                             : settings_.cold_load_time);
 }
 
 void worker_adapters::begin_use(model_target const& target)
@@ -252,7 +254,8 @@
         adapters_.erase(known);
 }
 
-void worker_adapters::on_adapter_missing(model_target const& target, time_point now)
+void worker_adapters::on_adapter_missing(model_target const& target,
+                                         time_point now)
 {
     auto const known = adapters_.find(target);
     if (known == adapters_.end() ||
@@ -266,7 +269,7 @@
 }
 
 void worker_adapters::mark_outdated(model_target const& target,
-                              adapter_version newest)
+                                    adapter_version newest)
 {
     auto const known = adapters_.find(target);
     if (known != adapters_.end() && newest > known->second.newest)
@@ -287,13 +290,13 @@
 
 std::size_t worker_adapters::occupied_slots() const
 {
-    return static_cast<std::size_t>(
-        std::count_if(adapters_.begin(), adapters_.end(),
-                      [](auto const& each)
-                      { return each.second.stage != adapter_stage::requested; }));
+    return static_cast<std::size_t>(std::count_if(
+        adapters_.begin(), adapters_.end(),
+        [](auto const& each)
+        { return each.second.stage != adapter_stage::requested; }));
 }
 
-std::size_t worker_adapters::coming() const
+std::size_t worker_adapters::loads_in_progress() const
 {
     return static_cast<std::size_t>(
         std::count_if(adapters_.begin(), adapters_.end(),
@@ -304,7 +307,8 @@
 /// A load names the wanted version. Failure: the unload of an old copy is lost,
 /// the worker answers the load that follows with "already there", and the old
 /// copy is taken for the new version.
-worker_order worker_adapters::make_order(order_kind kind, model_target target) const
+worker_order worker_adapters::make_order(order_kind kind,
+                                         model_target target) const
 {
     worker_order order{kind,       target.model, target.adapter, worker_,
                        *sequence_, *holder_,     fence_,         {}};
@@ -316,9 +320,9 @@
     return order;
 }
 
-std::optional<worker_order> worker_adapters::next_order(worker_id const& worker,
-                                                        score const& retention_priority,
-                                                        time_point now)
+std::optional<worker_order>
+worker_adapters::next_order(worker_id const& worker,
+                            score const& retention_priority, time_point now)
 {
     if (!sequence_ || !holder_ || now < retry_at_)
         return std::nullopt;
@@ -392,7 +396,8 @@
 std::size_t worker_adapters::max_loads_in_progress() const
 {
     auto const limit =
-        (settings_.max_concurrent_loads * settings_.cold_load_time + fetch_time_ / 2) /
+        (settings_.max_concurrent_loads * settings_.cold_load_time +
+         fetch_time_ / 2) /
         fetch_time_;
     return std::clamp<std::size_t>(static_cast<std::size_t>(limit), 1,
                                    settings_.max_concurrent_loads);
@@ -408,7 +413,8 @@
 
 std::optional<worker_order> worker_adapters::load_order(time_point now) const
 {
-    if (occupied_slots() >= settings_.adapter_slots || coming() >= max_loads_in_progress())
+    if (occupied_slots() >= settings_.adapter_slots ||
+        loads_in_progress() >= max_loads_in_progress())
         return std::nullopt;
     std::pair<model_target const, entry> const* first = nullptr;
     duration highest_priority{};
@@ -419,7 +425,8 @@
             !has_model(each.first.model))
             continue;
         duration const priority =
-            now - state.requested_at + wait_per_waiting_request * state.requests_waiting;
+            now - state.requested_at +
+            wait_per_waiting_request * state.requests_waiting;
         if (first != nullptr && priority <= highest_priority)
             continue;
         first = &each;
@@ -434,18 +441,18 @@
 /// are full, the adapter with the lowest retention priority. Only adapters that
 /// no request uses are unloaded, so that an unload is carried out at once and
 /// never under a request.
-std::optional<worker_order> worker_adapters::evict_order(score const& retention_priority,
-                                                         time_point now)
+std::optional<worker_order>
+worker_adapters::evict_order(score const& retention_priority, time_point now)
 {
-    bool const full =
-        occupied_slots() >= settings_.adapter_slots && occupied_slots() < adapters_.size();
+    bool const full = occupied_slots() >= settings_.adapter_slots &&
+                      occupied_slots() < adapters_.size();
     std::pair<model_target const, entry> const* victim = nullptr;
     double lowest_priority = std::numeric_limits<double>::max();
     for (auto const& each : adapters_)
     {
         entry const& state = each.second;
-        if (state.stage != adapter_stage::resident || state.requests_in_progress > 0 ||
-            now < state.unload_not_before)
+        if (state.stage != adapter_stage::resident ||
+            state.requests_in_progress > 0 || now < state.unload_not_before)
             continue;
         if (stale(state))
             return make_order(order_kind::unload, each.first);
@@ -492,16 +499,16 @@
     {
     case order_outcome::accepted:
         consecutive_conflicts_ = 0;
-        return accepted(order, now);
+        return on_accepted(order, now);
     case order_outcome::holds:
         consecutive_conflicts_ = 0;
-        held(order, now);
+        on_already_applied(order, now);
         return true;
     case order_outcome::conflict:
         // A repeated order whose sequence number the worker is past was carried
         // out the first time.
         if (order_repeated_ && order.expected_sequence == *sequence_)
-            return accepted(order, now);
+            return on_accepted(order, now);
         on_conflict(order, now);
         return false;
     case order_outcome::refused:
@@ -519,7 +526,7 @@
     return false;
 }
 
-bool worker_adapters::accepted(worker_order const& order, time_point now)
+bool worker_adapters::on_accepted(worker_order const& order, time_point now)
 {
     if (order.kind == order_kind::unload)
         return on_unload_begun(order, now);
@@ -540,10 +547,12 @@
     state.ordered_version = order.version;
     state.ordered_at = now;
     state.cold = !warm;
-    state.load_expected_at = now + (warm ? settings_.warm_load_time : fetch_time_);
+    state.load_expected_at =
+        now + (warm ? settings_.warm_load_time : fetch_time_);
     // Poll after the usual time even if recent fetches were slower: fetches may
     // be fast again.
-    state.poll_at = now + (warm ? settings_.warm_load_time : settings_.cold_load_time);
+    state.poll_at =
+        now + (warm ? settings_.warm_load_time : settings_.cold_load_time);
     return true;
 }
 
@@ -562,7 +571,7 @@
 }
 
 bool worker_adapters::on_model_load_begun(worker_order const& order,
-                                       time_point now)
+                                          time_point now)
 {
     bool const begun = !loading_model_;
     if (begun)
@@ -573,7 +582,8 @@
     return begun;
 }
 
-void worker_adapters::held(worker_order const& order, time_point now)
+void worker_adapters::on_already_applied(worker_order const& order,
+                                         time_point now)
 {
     model_target const target{order.model, order.adapter};
     if (order.adapter.empty())
@@ -646,7 +656,8 @@
 
 bool worker_adapters::was_recently_resident(model_target const& target) const
 {
-    return std::find(recently_resident_.begin(), recently_resident_.end(), target) != recently_resident_.end();
+    return std::find(recently_resident_.begin(), recently_resident_.end(),
+                     target) != recently_resident_.end();
 }
 
 void worker_adapters::record_resident(model_target const& target)
--- a/src/worker_adapters.hpp
+++ b/src/worker_adapters.hpp
@@ -71,7 +71,8 @@
     /// `orders_from` is `never` while the holder's lease has lapsed and no
     /// other VM holds the worker. A new token makes the worker's state unknown
     /// until the next report.
-    void on_ownership_acquired(vm_id holder, fencing_number fence, time_point orders_from);
+    void on_ownership_acquired(vm_id holder, fencing_number fence,
+                               time_point orders_from);
     /// Forbids further orders and forgets adapters whose load or unload is not
     /// complete. Resident adapters may still be used.
     void on_ownership_lost();
@@ -87,8 +88,9 @@
     void on_report_requested() { report_requested_ = true; }
     void on_report(std::optional<worker_report> const& report, time_point now);
     bool synced() const { return sequence_.has_value(); }
-    /// Whether a report was accepted under the current grant. What the worker
-    /// holds may then be used, also while orders wait for another report.
+    /// Whether a report was accepted under the current ownership. What the
+    /// worker holds may then be used, also while orders wait for another
+    /// report.
     bool is_state_known() const { return state_known_; }
 
     bool has_model(base_model_id const& model) const;
@@ -96,7 +98,10 @@
     /// model.
     void request_model(base_model_id const& model) { requested_model_ = model; }
     bool holds_any_model() const { return !models_.empty(); }
-    bool is_model_requested() const { return requested_model_ || loading_model_; }
+    bool is_model_requested() const
+    {
+        return requested_model_ || loading_model_;
+    }
     std::vector<base_model_id> models() const;
 
     std::optional<adapter_stage> stage(model_target const& target) const;
@@ -118,14 +123,14 @@
     /// Expected duration of a load of the adapter.
     duration load_time(model_target const& target) const
     {
-        return was_recently_resident(target) ? settings_.warm_load_time : fetch_time_;
+        return was_recently_resident(target) ? settings_.warm_load_time
+                                             : fetch_time_;
     }
     /// Requests a load of the adapter in version `newest`, the last declared
     /// one; 0 stands for whichever is newest. No effect if the adapter is known
-    /// here already. Precondition: the adapter can be loaded now or after an
-    /// eviction (see above).
+    /// here already. Precondition: can_load().
     void request_load(model_target const& target, adapter_version newest,
-              time_point now);
+                      time_point now);
     /// Counts requests in progress that use the adapter. An adapter in use is
     /// not evicted.
     void begin_use(model_target const& target);
@@ -145,16 +150,18 @@
     /// in progress.
     time_point load_expected_at(model_target const& target) const;
 
-    /// Returns the next order if one is due and no order is in flight. `keep`
-    /// ranks idle adapters for eviction. Precondition: may_order(now).
+    /// Returns the next order if one is due and no order is in flight.
+    /// `retention_priority` ranks idle adapters for eviction. Precondition:
+    /// may_order(now).
     std::optional<worker_order> next_order(worker_id const& worker,
-                                           score const& retention_priority, time_point now);
+                                           score const& retention_priority,
+                                           time_point now);
     /// Handles the outcome of the order in flight. Returns whether the known
     /// state of the worker changed: false for a poll of an order in progress
     /// and for an order without effect.
     bool on_outcome(order_outcome outcome, time_point now);
     bool order_in_flight() const { return in_flight_; }
-    /// Whether the order is in flight.
+    /// Whether this order is in flight.
     bool awaits_outcome(worker_order const& order) const
     {
         return in_flight_ && order_ == order;
@@ -198,20 +205,21 @@
         return which.newest > which.version;
     }
     std::size_t occupied_slots() const;
-    std::size_t coming() const;
+    std::size_t loads_in_progress() const;
     std::size_t max_loads_in_progress() const;
     bool unload_in_progress() const;
     std::optional<worker_order> poll_order(time_point now);
     std::optional<worker_order> model_order() const;
     std::optional<worker_order> load_order(time_point now) const;
-    std::optional<worker_order> evict_order(score const& retention_priority, time_point now);
+    std::optional<worker_order> evict_order(score const& retention_priority,
+                                            time_point now);
     worker_order make_order(order_kind kind, model_target target) const;
-    /// accepted(), on_unload_begun() and on_model_load_begun() return false if the
-    /// order was accepted earlier and this was a poll.
-    bool accepted(worker_order const& order, time_point now);
+    /// on_accepted(), on_unload_begun() and on_model_load_begun() return false
+    /// if the order was accepted earlier and this was a poll.
+    bool on_accepted(worker_order const& order, time_point now);
     bool on_unload_begun(worker_order const& order, time_point now);
     bool on_model_load_begun(worker_order const& order, time_point now);
-    void held(worker_order const& order, time_point now);
+    void on_already_applied(worker_order const& order, time_point now);
     void record_fetch_time(entry const& state, time_point now);
     void on_conflict(worker_order const& order, time_point now);
     void mark_out_of_sync(time_point now);
@@ -245,7 +253,6 @@
     bool order_repeated_ = false;
     /// Orders in a row without an answer.
     int consecutive_unanswered_ = 0;
-    /// Orders in a row that conflicted.
     int consecutive_conflicts_ = 0;
     time_point retry_at_{};
     worker_id worker_;
--- a/src/worker_health.hpp
+++ b/src/worker_health.hpp
@@ -70,7 +70,7 @@
     /// its failures would otherwise never be tried again.
     double failure_share(time_point now) const;
     /// Whether the worker reported a full queue a moment ago.
-    bool full(time_point now) const { return now < full_until_; }
+    bool is_full(time_point now) const { return now < full_until_; }
     /// Moving average of the time to the first byte.
     duration mean_first_byte() const { return mean_first_byte_; }
     /// How long a request may stay without a first byte before the worker
