--- a/src/adapter_locations.cpp
+++ b/src/adapter_locations.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 void adapter_locations::record(model_target const& target,
-                             worker_id const& worker, time_point now)
+                               worker_id const& worker, time_point now)
 {
     if (now >= next_sweep_at_)
     {
@@ -37,8 +37,8 @@
                   { return each.second.worker == worker; });
 }
 
-bool adapter_locations::is_at(model_target const& target, worker_id const& worker,
-                           time_point now) const
+bool adapter_locations::is_at(model_target const& target,
+                              worker_id const& worker, time_point now) const
 {
     auto const known = locations_.find(target);
     return known != locations_.end() && known->second.worker == worker &&
--- a/src/adapter_locations.hpp
+++ b/src/adapter_locations.hpp
@@ -18,14 +18,14 @@
 {
 public:
     void record(model_target const& target, worker_id const& worker,
-              time_point now);
+                time_point now);
     /// Removes the entry if it names this worker, which turned out not to hold
     /// the adapter.
     void remove(model_target const& target, worker_id const& worker);
     /// Removes all entries of a worker that holds nothing any more.
     void remove_worker(worker_id const& worker);
     bool is_at(model_target const& target, worker_id const& worker,
-            time_point now) const;
+               time_point now) const;
     std::size_t size() const { return locations_.size(); }
 
 private:
--- a/src/adapter_version_history.cpp
+++ b/src/adapter_version_history.cpp
@@ -20,7 +20,7 @@
 }
 
 bool adapter_version_history::declare(model_target const& target,
-                               declared_version const& declared)
+                                      declared_version const& declared)
 {
     history& known = declared_[target];
     if (!known.empty() && declared.version <= known.back().version)
@@ -42,20 +42,22 @@
         known.erase(known.begin());
 }
 
-adapter_version adapter_version_history::newest(model_target const& target) const
+adapter_version
+adapter_version_history::newest(model_target const& target) const
 {
     history const* const known = find(target);
     return known == nullptr ? adapter_version() : known->back().version;
 }
 
-time_point adapter_version_history::newest_learned_at(model_target const& target) const
+time_point
+adapter_version_history::newest_learned_at(model_target const& target) const
 {
     history const* const known = find(target);
     return known == nullptr ? never : known->back().learned_at;
 }
 
 time_point adapter_version_history::superseded_at(model_target const& target,
-                                         adapter_version copy) const
+                                                  adapter_version copy) const
 {
     history const* const known = find(target);
     if (known == nullptr)
@@ -66,8 +68,9 @@
     return newer == known->end() ? never : newer->learned_at;
 }
 
-adapter_version adapter_version_history::oldest_allowed(model_target const& target,
-                                                 time_point at) const
+adapter_version
+adapter_version_history::oldest_allowed(model_target const& target,
+                                        time_point at) const
 {
     adapter_version oldest;
     if (history const* const known = find(target))
--- a/src/adapter_version_history.hpp
+++ b/src/adapter_version_history.hpp
@@ -44,7 +44,7 @@
     /// When this VM learned of the first version newer than `copy`; `never` if
     /// there is none.
     time_point superseded_at(model_target const& target,
-                           adapter_version copy) const;
+                             adapter_version copy) const;
     /// The oldest version on which a request may begin at time `at`; 0 if any
     /// version may be used.
     adapter_version oldest_allowed(model_target const& target,
--- a/src/prefill_backlog.hpp
+++ b/src/prefill_backlog.hpp
@@ -20,7 +20,7 @@
     duration ahead(time_point now) const;
     /// When the current backlog is prefilled; in the past if there is none.
     time_point ends_at() const { return ends_at_; }
-    /// Adds a prompt with the expected prefill time `reading`.
+    /// Adds a prompt with its expected prefill time.
     void add(duration prefill_time, time_point now);
     /// Records that a request sent at `sent_at` has begun its answer: all
     /// prompts sent up to then are prefilled.
--- a/src/prefill_rate.hpp
+++ b/src/prefill_rate.hpp
@@ -21,9 +21,9 @@
     /// `expected` after it was sent, began its answer after `took`. Short
     /// prompts are ignored, since their times do not show the prefill speed.
     void observe(std::uint32_t tokens, duration expected, duration took);
-    /// Whether there has been an observation. prefill_time() returns the expected
-    /// prefill time of a prompt, before the first observation by a conservative
-    /// default.
+    /// Whether there has been an observation. prefill_time() returns the
+    /// expected prefill time of a prompt, before the first observation by a
+    /// conservative default.
     bool known() const { return observations_ > 0; }
     duration prefill_time(std::uint32_t tokens) const;
 
--- a/src/prompt_copy.cpp
+++ b/src/prompt_copy.cpp
@@ -35,10 +35,11 @@
 }
 
 copy_decision decide_prompt_copy(served_versions const& source,
-                        served_versions const& reader,
-                        newest_versions const& newest,
-                        registry_timestamps const& known_as_of, duration load_time,
-                        time_point now, time_point begins_at)
+                                 served_versions const& reader,
+                                 newest_versions const& newest,
+                                 registry_timestamps const& known_as_of,
+                                 duration load_time, time_point now,
+                                 time_point begins_at)
 {
     weights_version const unknown;
     if (source.weights == unknown || reader.weights == unknown)
@@ -49,11 +50,12 @@
         return copy_decision::adapter_differs;
     duration const valid_for = load_time / min_load_time_divisor;
     bool const newest_until_begin = source.weights >= newest.weights &&
-                            now < known_as_of.declarations + valid_for;
+                                    now < known_as_of.declarations + valid_for;
     bool const same_incarnations =
         std::max(now, begins_at) < known_as_of.workers + valid_for;
-    return newest_until_begin || same_incarnations ? copy_decision::allowed
-                                    : copy_decision::registry_data_too_old;
+    return newest_until_begin || same_incarnations
+               ? copy_decision::allowed
+               : copy_decision::registry_data_too_old;
 }
 
 } // namespace mulberry
--- a/src/prompt_copy.hpp
+++ b/src/prompt_copy.hpp
@@ -40,7 +40,7 @@
 {
     /// Of the declared versions.
     time_point declarations{};
-    /// Of the workers' entries: which process lives exist and what each holds.
+    /// Of the workers' entries: which incarnations exist and what each holds.
     time_point workers{};
     friend bool operator==(registry_timestamps const&,
                            registry_timestamps const&) = default;
@@ -73,22 +73,23 @@
 /// newest weights whenever they restart, so that two versions are in use side
 /// by side, and the model's name does not show which version a worker has.
 ///
-/// Two workers with the newest weights keep them through every restart until
+/// Two workers with the newest weights keep these through every restart until
 /// newer weights are declared; two workers with the same older weights keep
-/// them while their process lives last. Either fact is known only as of
+/// these while their incarnations last. Either fact is known only as of
 /// `known_as_of`. A worker that has restarted since then can serve newer
-/// weights only after loading them, which takes at least half of `load_time` if
-/// a copy is on its own disk. The known facts are therefore valid for that
+/// weights only after loading these, which takes at least half of `load_time`
+/// if a copy is on its own disk. The known facts are therefore valid for that
 /// long, and a copy that may begin later is refused.
 ///
 /// `load_time` is the time of a load from the weight store, `begins_at` the
 /// time at which the reader is expected to begin. Pure. Thread safety: any
 /// thread.
 copy_decision decide_prompt_copy(served_versions const& source,
-                        served_versions const& reader,
-                        newest_versions const& newest,
-                        registry_timestamps const& known_as_of, duration load_time,
-                        time_point now, time_point begins_at);
+                                 served_versions const& reader,
+                                 newest_versions const& newest,
+                                 registry_timestamps const& known_as_of,
+                                 duration load_time, time_point now,
+                                 time_point begins_at);
 
 } // namespace mulberry
 
--- a/src/reader_selector.cpp
+++ b/src/reader_selector.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 void reader_selector::set_members(std::vector<ranked_vm> candidates,
-                                std::size_t vms)
+                                  std::size_t vms)
 {
     readers_.clear();
     std::vector<vm_id> members = by_rank(std::move(candidates));
@@ -36,7 +36,8 @@
                   });
     if (members.empty())
         return;
-    std::size_t const wanted = (vms + max_vms_per_reader - 1) / max_vms_per_reader;
+    std::size_t const wanted =
+        (vms + max_vms_per_reader - 1) / max_vms_per_reader;
     members.resize(std::min(members.size(), wanted));
     if (std::find(members.begin(), members.end(), self_) != members.end())
         return;
--- a/src/remote_clock.cpp
+++ b/src/remote_clock.cpp
@@ -11,7 +11,8 @@
     if (!remote)
         return asked_at;
     time_point const remote_epoch = asked_at - *remote;
-    remote_epoch_ = std::max(remote_epoch_.value_or(remote_epoch), remote_epoch);
+    remote_epoch_ =
+        std::max(remote_epoch_.value_or(remote_epoch), remote_epoch);
     // The answer would have been made after it arrived: the clocks run at
     // different speeds, or the remote clock was reset.
     if (*remote_epoch_ + *remote > answered_at)
--- a/src/row_replica.cpp
+++ b/src/row_replica.cpp
@@ -18,8 +18,8 @@
 
 row_replica::row_replica(projection project) : project_(std::move(project)) {}
 
-std::vector<stored_row> row_replica::apply_snapshot(std::vector<stored_row> rows,
-                                          row_version version)
+std::vector<stored_row>
+row_replica::apply_snapshot(std::vector<stored_row> rows, row_version version)
 {
     std::set<std::string> present;
     for (stored_row const& row : rows)
@@ -36,7 +36,7 @@
 }
 
 std::vector<stored_row> row_replica::apply(std::vector<stored_row> rows,
-                                        row_version version)
+                                           row_version version)
 {
     std::vector<stored_row> newer;
     for (stored_row& row : rows)
@@ -60,9 +60,9 @@
         return false;
     if (known != entries_.end() && row.version <= known->second.row.version)
         return false;
-    std::string projected = row.deleted   ? std::string()
-                         : project_ ? project_(row)
-                                       : std::to_string(row.version.value());
+    std::string projected = row.deleted ? std::string()
+                            : project_  ? project_(row)
+                                        : std::to_string(row.version.value());
     if (known == entries_.end())
     {
         changed_at_ = std::max(changed_at_, row.version);
@@ -73,7 +73,8 @@
         return true;
     }
     entry& old = known->second;
-    bool const same = old.row.deleted == row.deleted && old.projection == projected;
+    bool const same =
+        old.row.deleted == row.deleted && old.projection == projected;
     if (!same)
     {
         old.changed_at = row.version;
@@ -94,14 +95,15 @@
                   [this](auto const& each)
                   {
                       if (each.second.row.deleted)
-                          complete_since_ = std::max(complete_since_,
-                                                      each.second.changed_at);
+                          complete_since_ =
+                              std::max(complete_since_, each.second.changed_at);
                       return each.second.row.deleted;
                   });
     tombstones_ = 0;
 }
 
-std::optional<std::vector<stored_row>> row_replica::changes_since(row_version after) const
+std::optional<std::vector<stored_row>>
+row_replica::changes_since(row_version after) const
 {
     if (!is_loaded_ || after < complete_since_)
         return std::nullopt;
--- a/src/row_replica.hpp
+++ b/src/row_replica.hpp
@@ -35,7 +35,7 @@
     /// Applies a snapshot of all rows as of `version`. Returns the rows that
     /// differ from the replica; missing rows are returned marked as deleted.
     std::vector<stored_row> apply_snapshot(std::vector<stored_row> rows,
-                                    row_version version);
+                                           row_version version);
     /// Applies changes up to `version`. Returns the rows that were newer than
     /// the replica's.
     std::vector<stored_row> apply(std::vector<stored_row> rows,
@@ -43,7 +43,8 @@
 
     /// The rows whose relevant part changed after version `after`, deleted ones
     /// included; nullopt if the replica does not reach back that far.
-    std::optional<std::vector<stored_row>> changes_since(row_version after) const;
+    std::optional<std::vector<stored_row>>
+    changes_since(row_version after) const;
     /// All rows that are not deleted.
     std::vector<stored_row> rows() const;
     /// The version at which the relevant part of any row last changed.
--- a/src/startup_hold.cpp
+++ b/src/startup_hold.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 time_point startup_hold::hold_until(time_point now,
-                                  std::optional<duration> time_left) const
+                                    std::optional<duration> time_left) const
 {
     time_point until = started_ + limits_.max_hold;
     if (time_left)
--- a/src/startup_hold.hpp
+++ b/src/startup_hold.hpp
@@ -19,7 +19,8 @@
     /// once: a retry before the store is back would fail for good.
     duration min_retry_after = std::chrono::milliseconds(800);
     duration max_retry_after = std::chrono::seconds(3);
-    friend bool operator==(startup_limits const&, startup_limits const&) = default;
+    friend bool operator==(startup_limits const&,
+                           startup_limits const&) = default;
 };
 
 /// Load it answers: all VMs are killed at once and restart within moments of
--- a/src/worker_health.cpp
+++ b/src/worker_health.cpp
@@ -173,7 +173,8 @@
 duration worker_health::first_byte_timeout() const
 {
     return std::clamp<duration>(mean_first_byte_ * mean_first_byte_factor,
-                                min_first_byte_timeout, max_first_byte_timeout) +
+                                min_first_byte_timeout,
+                                max_first_byte_timeout) +
            longest_expected() * expected_first_byte_factor;
 }
 
@@ -181,7 +182,8 @@
 {
     if (pending_.empty())
         return never;
-    return std::max(pending_.begin()->first, last_answer_at_) + first_byte_timeout();
+    return std::max(pending_.begin()->first, last_answer_at_) +
+           first_byte_timeout();
 }
 
 } // namespace mulberry
--- a/src/worker_notices.cpp
+++ b/src/worker_notices.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 bool worker_notices::request_backoff(worker_id const& worker, time_point until,
-                              time_point now)
+                                     time_point now)
 {
     forget_past(now);
     time_point& known = backoff_until_[worker];
@@ -38,8 +38,8 @@
     return next;
 }
 
-void worker_notices::record_departure(worker_id const& worker, worker_start incarnation,
-                           time_point now)
+void worker_notices::record_departure(worker_id const& worker,
+                                      worker_start incarnation, time_point now)
 {
     forget_past(now);
     departure& known = leaving_[worker];
@@ -47,7 +47,8 @@
     known.forget_at = now + departure_lifetime;
 }
 
-bool worker_notices::is_leaving(worker_id const& worker, worker_start incarnation) const
+bool worker_notices::is_leaving(worker_id const& worker,
+                                worker_start incarnation) const
 {
     auto const known = leaving_.find(worker);
     if (known == leaving_.end())
--- a/src/worker_notices.hpp
+++ b/src/worker_notices.hpp
@@ -20,28 +20,29 @@
 {
 public:
     /// Records that the worker wants no requests from this VM before `until`,
-    /// also after a restart. A shorter rest does not end a longer one. Returns
-    /// true if the worker was not resting before.
-    bool request_backoff(worker_id const& worker, time_point until, time_point now);
-    /// End of the worker's rest; in the past, or the epoch, if it is not
-    /// resting.
+    /// also after a restart. A shorter backoff does not end a longer one.
+    /// Returns true if the worker was not in backoff before.
+    bool request_backoff(worker_id const& worker, time_point until,
+                         time_point now);
+    /// End of the worker's backoff; in the past, or the epoch, if the worker is
+    /// not in backoff.
     time_point backoff_until(worker_id const& worker) const;
-    /// The first end of a rest after `after`; `never` if there is none.
+    /// The first end of a backoff after `after`; `never` if there is none.
     time_point next_backoff_end(time_point after) const;
     bool in_backoff(worker_id const& worker, time_point now) const
     {
         return now < backoff_until(worker);
     }
 
-    /// Records that the worker is leaving, in the process life that began at
-    /// `life`; the epoch if that is unknown.
-    void record_departure(worker_id const& worker, worker_start incarnation, time_point now);
-    /// Whether the worker announced in process life `life`, or in a later one,
-    /// that it is leaving. A life that is unknown on either side counts as the
-    /// same.
+    /// Records that the worker is leaving, in the incarnation that began at
+    /// `incarnation`; the epoch if that is unknown.
+    void record_departure(worker_id const& worker, worker_start incarnation,
+                          time_point now);
+    /// Whether the worker announced in `incarnation`, or in a later one, that
+    /// it is leaving. An unknown incarnation on either side counts as the same.
     bool is_leaving(worker_id const& worker, worker_start incarnation) const;
 
-    /// Forgets rests that are over, and departures after ten minutes.
+    /// Forgets backoffs that are over, and departures after ten minutes.
     void forget_past(time_point now);
 
 private:
--- a/tests/adapter_locations_test.cpp
+++ b/tests/adapter_locations_test.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("an adapter was seen where it was last granted",
+TEST_CASE("an adapter's location is where it was last granted",
           "[adapter_sightings]")
 {
     adapter_locations locations;
@@ -24,7 +24,7 @@
     CHECK_FALSE(locations.is_at(target, worker_id("w1"), start + 1s));
 }
 
-TEST_CASE("a sighting is forgotten after a while or when it was wrong",
+TEST_CASE("a location expires or is removed when it was wrong",
           "[adapter_sightings]")
 {
     adapter_locations locations;
@@ -37,7 +37,7 @@
     CHECK_FALSE(locations.is_at(target, worker_id("w1"), start));
 }
 
-TEST_CASE("old sightings take no memory", "[adapter_sightings]")
+TEST_CASE("expired locations are removed", "[adapter_sightings]")
 {
     adapter_locations locations;
     for (int number = 0; number < 1000; ++number)
--- a/tests/adapter_version_history_test.cpp
+++ b/tests/adapter_version_history_test.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("an adapter without a declared version has no newest one",
+TEST_CASE("an adapter without a declared version has no newest version",
           "[adapter_releases]")
 {
     adapter_version_history const releases;
@@ -28,7 +28,7 @@
     CHECK(releases.superseded_at(target, adapter_version(1)) == never);
 }
 
-TEST_CASE("a version that comes late does not replace a newer one",
+TEST_CASE("a version that arrives late does not replace a newer one",
           "[adapter_releases]")
 {
     adapter_version_history releases;
@@ -49,7 +49,7 @@
     CHECK(releases.superseded_at(target, adapter_version(5)) == never);
 }
 
-TEST_CASE("each version has a deadline of its own for older ones",
+TEST_CASE("each version sets its own deadline for older versions",
           "[adapter_releases]")
 {
     adapter_version_history releases;
@@ -63,9 +63,8 @@
           adapter_version(3));
 }
 
-// Guards against a deadline that is forgotten when many versions follow.
-TEST_CASE("a deadline stands however many versions follow within it",
-          "[adapter_releases]")
+// Guards against a deadline that is lost when many versions follow.
+TEST_CASE("a deadline is unaffected by later versions", "[adapter_releases]")
 {
     adapter_version_history releases;
     std::uint64_t version = 1;
--- a/tests/prefill_backlog_test.cpp
+++ b/tests/prefill_backlog_test.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TEST_CASE("prompts are read one after the other", "[worker_reading]")
+TEST_CASE("prompts are prefilled one after the other", "[worker_reading]")
 {
     prefill_backlog backlog;
     CHECK(backlog.ahead(start) == duration(0));
@@ -24,11 +24,12 @@
     CHECK(backlog.ahead(start + 1s) == duration(50ms));
 }
 
-// Prompts turn out to be read faster than was thought: the engine still had
-// their beginnings. Once a request begins, all that was sent before it is read,
-// and only what was sent after it is ahead of the next one. Without this the
-// estimate grows to many seconds under steady load and is never right again.
-TEST_CASE("a request that begins corrects what is ahead", "[worker_reading]")
+// Guards against an estimate that grows to many seconds under steady load and
+// never recovers: prompts are prefilled faster than expected because the engine
+// still has their prefixes. A request that begins shows that all prompts sent
+// before it are prefilled, so that only later ones are ahead of the next
+// request.
+TEST_CASE("a request that begins corrects the backlog", "[worker_reading]")
 {
     prefill_backlog backlog;
     backlog.add(500ms, start);
--- a/tests/prefill_rate_test.cpp
+++ b/tests/prefill_rate_test.cpp
@@ -8,11 +8,12 @@
 namespace
 {
 
-/// 30 microseconds a token.
+/// 30 microseconds per token.
 constexpr std::uint32_t long_prompt = 10'000;
 constexpr duration long_prefill = 300ms;
 
-/// An answer that begins after `took` where the pace said how long it takes.
+/// Reports an answer after `took` to a prompt whose expected time follows from
+/// the rate.
 void answer(prefill_rate& rate, std::uint32_t tokens, duration took)
 {
     rate.observe(tokens, rate.prefill_time(tokens), took);
@@ -26,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("the pace is learned from long prompts", "[reading_pace]")
+TEST_CASE("the prefill rate is learned from long prompts", "[reading_pace]")
 {
     prefill_rate rate;
     converge(rate);
@@ -34,7 +35,7 @@
     CHECK(rate.prefill_time(long_prompt) < long_prefill * 11 / 10);
 }
 
-TEST_CASE("short prompts say nothing of the pace", "[reading_pace]")
+TEST_CASE("short prompts do not change the prefill rate", "[reading_pace]")
 {
     prefill_rate rate;
     converge(rate);
@@ -44,7 +45,7 @@
     CHECK(rate.prefill_time(long_prompt) == before);
 }
 
-TEST_CASE("a few prompts that wait do not change the pace", "[reading_pace]")
+TEST_CASE("a few outliers do not change the prefill rate", "[reading_pace]")
 {
     prefill_rate rate;
     converge(rate);
@@ -57,9 +58,9 @@
     CHECK(rate.prefill_time(long_prompt) > long_prefill * 8 / 10);
 }
 
-// Prompts queue at a worker. What is ahead of one was expected to take time as
-// well, and counts on both sides: the pace stays where it was.
-TEST_CASE("a queue that was expected does not change the pace",
+// Prompts queue at a worker. The expected time of the queue ahead counts in the
+// expected and in the actual time, so that the rate does not change.
+TEST_CASE("an expected queue does not change the prefill rate",
           "[reading_pace]")
 {
     prefill_rate rate;
--- a/tests/prompt_copy_test.cpp
+++ b/tests/prompt_copy_test.cpp
@@ -14,9 +14,9 @@
 constexpr std::uint32_t long_prompt = 2'000;
 constexpr std::uint32_t shared_part = 1'900;
 
-/// Two workers or more of this VM hold an adapter. Requests whose prompts begin
-/// with the same text go to one of them, the home of that beginning, while it
-/// is free, and to the other when the home is busy.
+/// Two or more workers of this VM hold an adapter. Requests whose prompts share
+/// a prefix go to one of them, the prefix's home by rendezvous hashing, while
+/// it is free, and to another holder while the home is busy.
 struct two_readers : scheduler_world
 {
     explicit two_readers(std::size_t workers = 2) : scheduler_world(workers)
@@ -30,8 +30,7 @@
         end(ticket);
     }
 
-    /// The adapter is loaded there, as requests that may go nowhere else have
-    /// it.
+    /// Loads the adapter at one worker by a request that may go nowhere else.
     void load_at(std::size_t worker)
     {
         std::set<worker_id> const leaving = draining;
@@ -59,8 +58,9 @@
         return ticket;
     }
 
-    /// From where the second of two such requests at a time, which goes to the
-    /// other worker, copies its prompt; empty for nowhere.
+    /// Sends two concurrent requests with the same prefix. Returns the worker
+    /// from which the second, which goes to the other worker, copies its
+    /// prompt; empty for none.
     worker_id copied_from()
     {
         run(1s);
@@ -73,7 +73,7 @@
         return prefix_source(second).id;
     }
 
-    /// The worker starts again, empty, and is given the adapter again.
+    /// Restarts the worker without adapters, and loads the adapter again.
     void restart(worker_id const& worker, weights_version loaded)
     {
         lives[worker] = worker_start(++last_start_);
@@ -100,13 +100,12 @@
 
 } // namespace
 
-// A caller gets an answer made from a prompt that one version of the weights
-// read, and continued by another. A version of the weights is named; a worker
-// starts again and loads it, while the others keep the one before. A request
-// that goes to it names another holder of the adapter to copy its prompt from,
-// chosen by the adapter's name alone: `prompt copied adapter=a6986
-// worker=i-b504dd9c63 weights=...@2 from=i-65eed6da34 from_weights=...@1`, 1.6
-// s after the version was named.
+// Guards against an answer from a prompt that one version of the weights
+// prefilled and another continued: a new version is declared, a worker restarts
+// on it while the others keep the old one, and a request copies its prompt from
+// another holder that was chosen by the adapter's name alone. Seen 1.6 s after
+// the declaration: `prompt copied adapter=a6986 worker=i-b504dd9c63
+// weights=...@2 from=i-65eed6da34 from_weights=...@1`.
 TEST_CASE("a prompt is not copied from a worker with other weights",
           "[prompt_copy]")
 {
@@ -115,23 +114,23 @@
         world.lives[each] = worker_start(1);
     world.list_all();
     REQUIRE(world.copied_from() == world.home);
-    SECTION("the one that reads the prompt has started again")
+    SECTION("the reader of the prompt has restarted")
     {
         world.restart(world.other, weights_version(2));
     }
-    SECTION("the one that keeps it has")
+    SECTION("the source of the copy has restarted")
     {
         world.restart(world.home, weights_version(2));
     }
     CHECK(world.copied_from().empty());
 }
 
-// Workers with the version before go on copying from each other for as long as
-// this VM knows of their lives: a version that was named changes nothing in
-// what they keep.
-TEST_CASE(
-    "workers with the same older weights copy while their lives are known",
-    "[prompt_copy]")
+// Workers with the previous weights go on copying from each other while this VM
+// knows that their incarnations last: a declared version does not change their
+// KV caches.
+TEST_CASE("workers with the same older weights copy while their incarnations "
+          "are known",
+          "[prompt_copy]")
 {
     two_readers world;
     world.scheduler.on_release({base_model_id("base"), {}}, adapter_version(2),
@@ -142,9 +141,10 @@
     CHECK(world.copied_from().empty());
 }
 
-// A VM is cut off from the registry. A version may have been named, and a
-// worker started again on it, without its hearing: it has no prompt copied
-// until it knows again what is named or which workers live.
+// Guards against copies on stale registry data: a VM is cut off from the
+// registry, a version may be declared and a worker restart on it unnoticed.
+// Copies are allowed again once the declared versions or the workers'
+// incarnations are known.
 TEST_CASE("a VM that is cut off from the registry has no prompt copied",
           "[prompt_copy]")
 {
@@ -157,8 +157,8 @@
     CHECK(world.copied_from() == world.home);
 }
 
-// The same with a version of an adapter: one of its two copies is the one
-// before.
+// Guards against a copy between two versions of an adapter, one of which is
+// outdated.
 TEST_CASE("a prompt is not copied from an outdated copy of the adapter",
           "[prompt_copy]")
 {
@@ -171,11 +171,11 @@
     CHECK(world.prefix_source(second).id.empty());
 }
 
-// A worker has crashed where it cannot reach the registry, and starts again:
-// its entry tells of the life before, and other VMs have prompts copied from
-// it. Its owner knows better from a report, and would have it load newer
-// weights.
-TEST_CASE("a worker that starts again loads newer weights once it is listed",
+// A worker crashes while it cannot reach the registry and restarts: its entry
+// shows the previous incarnation, from which other VMs have prompts copied. Its
+// owner learns of the restart from a report, and must not make it load newer
+// weights before that entry is rewritten or has lapsed.
+TEST_CASE("a restarted worker loads newer weights once its entry is current",
           "[prompt_copy]")
 {
     scheduler_world world(1);
@@ -213,22 +213,23 @@
         return;
     }
     CHECK(model_loads(1s) == 0);
-    SECTION("when its entry is written anew")
+    SECTION("once its entry is rewritten")
     {
         world.lives[worker] = worker_start(2);
         world.list_all();
         CHECK(model_loads(1s) == 1);
     }
-    SECTION("or the entry of the life before has lapsed by now")
+    SECTION("once the previous incarnation's entry has lapsed")
     {
         CHECK(model_loads(5s) == 1);
     }
 }
 
-// The home of a beginning has newer weights than two others that hold the
-// adapter. Requests at these have a home of their own among them.
-TEST_CASE("holders with the same weights copy beside a home with others",
-          "[prompt_copy]")
+// A prefix's home has newer weights than two other holders of the adapter. For
+// requests at these holders one of the two is the home.
+TEST_CASE(
+    "holders with the same weights copy among themselves if the home differs",
+    "[prompt_copy]")
 {
     two_readers world(3);
     worker_id const home = world.home;
@@ -241,14 +242,15 @@
             sources.insert(world.prefix_source(ticket).id);
     }
     CHECK(sources.count(home) == 0);
-    // The first of the two copies from nowhere, the second from the first.
+    // The first of the two copies from none, the second from the first.
     CHECK(sources.size() == 2);
 }
 
-// A worker is gone and listed for a while yet; another one has its address and
-// newer weights.
-TEST_CASE("older memory is not copied from an address that two workers list",
-          "[prompt_copy]")
+// Guards against a copy from the wrong worker: a worker that is gone is still
+// listed for a while, and another worker has its address and newer weights.
+TEST_CASE(
+    "older KV caches are not copied from an address listed by two workers",
+    "[prompt_copy]")
 {
     two_readers world(3);
     world.weights[scheduler_world::name(2)] = weights_version(2);
@@ -261,7 +263,7 @@
     CHECK(world.copies(copy_decision::address_shared) > before);
 }
 
-TEST_CASE("memory of a prompt is of use under the versions that made it",
+TEST_CASE("a KV cache is valid only under the versions that computed it",
           "[prompt_copy]")
 {
     constexpr std::chrono::seconds load_time{2};
@@ -276,7 +278,7 @@
             registry_timestamps const& known, duration until_it_begins = {})
     {
         return decide_prompt_copy(source, reader, newest, known, load_time, now,
-                          now + until_it_begins);
+                                  now + until_it_begins);
     };
     served_versions const up_to_date{weights, adapter};
     served_versions const old_pair{old_weights, adapter};
@@ -305,8 +307,8 @@
           copy_decision::registry_data_too_old);
     CHECK(judged(up_to_date, up_to_date, {}) ==
           copy_decision::registry_data_too_old);
-    // What is known holds for half of a load's time, and the old weights only
-    // while no life can have ended by the time that the request begins.
+    // Registry data is valid for half of a load's time; for older weights, no
+    // incarnation may end before the request is expected to begin.
     CHECK(judged(old_pair, old_pair, current, 900ms) == copy_decision::allowed);
     CHECK(judged(old_pair, old_pair, current, 1s) ==
           copy_decision::registry_data_too_old);
--- a/tests/reader_selector_test.cpp
+++ b/tests/reader_selector_test.cpp
@@ -20,7 +20,7 @@
     return vms;
 }
 
-/// Among so many VMs, all alike.
+/// Sets `count` members of equal rank.
 void set_members(reader_selector& selector, int count)
 {
     std::vector<ranked_vm> vms;
@@ -29,7 +29,7 @@
     selector.set_members(vms, vms.size());
 }
 
-/// How many VMs each reader serves; the store counts as an empty name.
+/// Number of VMs that each reader serves; the empty id stands for the store.
 std::map<vm_id, int> served(int count)
 {
     std::map<vm_id, int> result;
@@ -44,8 +44,9 @@
 
 } // namespace
 
-// A hundred VMs of one failure domain start. Few of them ask the store; each
-// of the others asks one of these few, none of which asks another VM.
+// Guards against a hundred VMs of one failure domain that all poll the store:
+// few of them read the store, and each of the others asks one of these, none of
+// which asks another VM.
 TEST_CASE("few VMs read the store for the others", "[reader_choice]")
 {
     std::map<vm_id, int> const counts = served(100);
@@ -62,7 +63,7 @@
     }
 }
 
-TEST_CASE("of two VMs one reads the store, and one that is alone does",
+TEST_CASE("one of two VMs reads the store, and a single VM does",
           "[reader_choice]")
 {
     std::map<vm_id, int> const of_two = served(2);
@@ -71,9 +72,9 @@
     CHECK(served(1) == std::map<vm_id, int>{{vm_id(), 1}});
 }
 
-// The reader is killed. The VM that it read for goes to the next one, to the
-// store when none is left, and back to it once it answers again.
-TEST_CASE("a reader that fails is passed over for a while", "[reader_choice]")
+// A reader is killed. The VMs that it served ask the next reader, then the
+// store if no reader is left, and the first reader again once it answers.
+TEST_CASE("a reader that fails is skipped for a while", "[reader_choice]")
 {
     time_point const now(10s);
     for (vm_id const& vm : names(32))
@@ -99,9 +100,9 @@
     }
 }
 
-// Most VMs have an eighth of a core and a small link; what a reader sends to a
-// dozen others would leave it nothing for its callers.
-TEST_CASE("the VMs with the most processor read for the others",
+// Most VMs have an eighth of a core and a small link; serving a dozen other VMs
+// would leave a reader no capacity for its callers.
+TEST_CASE("the VMs with the most CPU read the store for the others",
           "[reader_choice]")
 {
     std::vector<ranked_vm> vms;
@@ -114,14 +115,15 @@
     {
         reader_selector selector(each.vm);
         selector.set_members(vms, vms.size());
-        if (vm_id const reader = selector.choose(time_point(1s)); !reader.empty())
+        if (vm_id const reader = selector.choose(time_point(1s));
+            !reader.empty())
             asked.insert(reader);
     }
     CHECK(asked ==
           std::set<vm_id>{vm_id("vm-4"), vm_id("vm-20"), vm_id("vm-38")});
 }
 
-// A domain of many VMs has few that may read; all the others ask these.
+// In a domain of many VMs only few are candidates; all other VMs ask these.
 TEST_CASE("only candidates read for others", "[reader_choice]")
 {
     std::vector<ranked_vm> const candidates{{vm_id("vm-1")}, {vm_id("vm-2")}};
--- a/tests/remote_clock_test.cpp
+++ b/tests/remote_clock_test.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TEST_CASE("a quick answer tells when a slow one was made", "[remote_clock]")
+TEST_CASE("a quick answer bounds when a slow one was made", "[remote_clock]")
 {
     remote_clock clock;
     CHECK(clock.made_at(1000ms, start, start + 4ms) == start);
@@ -20,8 +20,9 @@
     CHECK(clock.made_at(4000ms, start + 1ms, start + 3100ms) == start + 3s);
 }
 
-// Guards against what a VM read before it stood still being taken for new.
-TEST_CASE("an answer read long after it was made is as old as it is",
+// Guards against old data that counts as new because a VM was paused before it
+// read the answer.
+TEST_CASE("an answer read late keeps the age at which it was made",
           "[remote_clock]")
 {
     remote_clock clock;
@@ -29,15 +30,15 @@
     CHECK(clock.made_at(1500ms, start + 400ms, start + 9s) == start + 500ms);
 }
 
-TEST_CASE("without a time an answer is as old as its question",
+TEST_CASE("an answer without a timestamp is as old as its question",
           "[remote_clock]")
 {
     remote_clock clock;
     CHECK(clock.made_at(std::nullopt, start, start + 3s) == start);
 }
 
-// Guards against proofs out of a clock that began anew or runs too fast.
-TEST_CASE("a clock that shows the impossible is measured anew",
+// Guards against wrong timestamps from a clock that was reset or runs too fast.
+TEST_CASE("a clock with impossible timestamps is recalibrated",
           "[remote_clock]")
 {
     remote_clock clock;
--- a/tests/row_replica_test.cpp
+++ b/tests/row_replica_test.cpp
@@ -18,7 +18,7 @@
     return {row_kind::worker, std::move(key), row_version(version), {}, true};
 }
 
-/// The part of the value before a slash.
+/// Returns the part of the value before a slash.
 std::string before_slash(stored_row const& each)
 {
     return each.value.substr(0, each.value.find('/'));
@@ -26,11 +26,12 @@
 
 } // namespace
 
-TEST_CASE("a copy tells what changed after a version", "[row_copy]")
+TEST_CASE("a replica returns the changes after a version", "[row_copy]")
 {
     row_replica replica;
     CHECK_FALSE(replica.changes_since(row_version(0)));
-    replica.apply_snapshot({row("a", 3, "1"), row("b", 5, "1")}, row_version(6));
+    replica.apply_snapshot({row("a", 3, "1"), row("b", 5, "1")},
+                           row_version(6));
     CHECK(replica.version() == row_version(6));
     CHECK(replica.changes_since(row_version(6))->empty());
     replica.apply({row("b", 8, "2")}, row_version(9));
@@ -39,7 +40,8 @@
     CHECK(replica.changes_since(row_version(9))->empty());
 }
 
-TEST_CASE("whoever asks for more than is kept is told so", "[row_copy]")
+TEST_CASE("a request for changes older than those kept returns nothing",
+          "[row_copy]")
 {
     row_replica replica;
     replica.apply_snapshot({row("a", 3, "1")}, row_version(6));
@@ -47,9 +49,9 @@
     CHECK(replica.rows() == std::vector<stored_row>{row("a", 3, "1")});
 }
 
-// A worker's heartbeat changes its row each second. Whoever follows the copy
-// is not told, but holds the newest row as soon as the worker drains.
-TEST_CASE("changes that nobody acts on are not told", "[row_copy]")
+// A worker's heartbeat changes its row every second. Followers are not
+// notified, but get the newest row as soon as the worker drains.
+TEST_CASE("irrelevant changes are not reported", "[row_copy]")
 {
     row_replica replica(before_slash);
     replica.apply_snapshot({row("a", 3, "ready/1")}, row_version(6));
@@ -61,7 +63,7 @@
 }
 
 // Answers overtake each other: the row that was read later stays.
-TEST_CASE("a row never gives way to an older version", "[row_copy]")
+TEST_CASE("a row is never replaced by an older version", "[row_copy]")
 {
     row_replica replica;
     replica.apply_snapshot({row("a", 3, "1")}, row_version(6));
@@ -71,17 +73,18 @@
     CHECK(replica.version() == row_version(8));
 }
 
-TEST_CASE("rows that are dropped are told as dropped", "[row_copy]")
+TEST_CASE("deleted rows are reported as deleted", "[row_copy]")
 {
     row_replica replica;
-    replica.apply_snapshot({row("a", 3, "1"), row("b", 4, "1")}, row_version(6));
+    replica.apply_snapshot({row("a", 3, "1"), row("b", 4, "1")},
+                           row_version(6));
     SECTION("by a change")
     {
         replica.apply({deleted_row("a", 9)}, row_version(9));
         CHECK(*replica.changes_since(row_version(6)) ==
               std::vector<stored_row>{deleted_row("a", 9)});
     }
-    SECTION("by being missing when all is read again")
+    SECTION("by being missing in a snapshot")
     {
         CHECK(replica.apply_snapshot({row("b", 4, "1")}, row_version(9)) ==
               std::vector<stored_row>{deleted_row("a", 9)});
@@ -93,9 +96,9 @@
     CHECK(replica.rows().size() == 2);
 }
 
-// Another VM sent all its rows; they show an earlier moment than what this
-// copy has. What it lacks because it is older is not dropped here.
-TEST_CASE("an older reading drops nothing that is newer", "[row_copy]")
+// Another VM sent a snapshot that is older than this replica. Rows missing in
+// it because of its age are not deleted.
+TEST_CASE("an older snapshot deletes no newer row", "[row_copy]")
 {
     row_replica replica;
     replica.apply_snapshot({row("a", 3, "1")}, row_version(6));
@@ -105,7 +108,7 @@
     CHECK(replica.version() == row_version(8));
 }
 
-TEST_CASE("the memory of dropped rows is bounded", "[row_copy]")
+TEST_CASE("the number of tombstones is bounded", "[row_copy]")
 {
     row_replica replica;
     replica.apply_snapshot({}, row_version(1));
--- a/tests/startup_hold_test.cpp
+++ b/tests/startup_hold_test.cpp
@@ -13,9 +13,9 @@
 
 } // namespace
 
-// All VMs are killed and come back; their callers are there before the
-// configuration is. Those of the first half second are kept until it is known.
-TEST_CASE("what arrives right after the start is kept for a moment",
+// All VMs are killed and restart; requests arrive before the configuration is
+// known. Requests of the first half second are held until it is known.
+TEST_CASE("requests right after the start are held for a moment",
           "[start_hold]")
 {
     startup_hold const hold(limits, started);
@@ -25,16 +25,16 @@
     CHECK(hold.hold_until(started, 1s) == started + 250ms);
 }
 
-// The store stays away. Nothing is known of when this VM can serve, so nobody
-// is kept.
-TEST_CASE("what arrives later is turned away at once", "[start_hold]")
+// The store stays down: when this VM can serve is unknown, so no request is
+// held.
+TEST_CASE("later requests are rejected at once", "[start_hold]")
 {
     startup_hold const hold(limits, started);
     CHECK(hold.hold_until(started + 500ms, 5s) == started + 500ms);
     CHECK(hold.hold_until(started + 7s, 5s) == started + 7s);
 }
 
-TEST_CASE("callers come back after as long as the absence has lasted",
+TEST_CASE("the retry delay equals the duration of the outage so far",
           "[start_hold]")
 {
     startup_hold const hold(limits, started);
--- a/tests/worker_adapters_test.cpp
+++ b/tests/worker_adapters_test.cpp
@@ -20,7 +20,7 @@
     return {model, adapter_id(adapter)};
 }
 
-/// One worker that accepts every order; its loads are done when the test says.
+/// A worker that accepts every order; a load completes when the test says so.
 struct ordered_worker
 {
     worker_adapters adapters;
@@ -54,7 +54,7 @@
             worker, [](model_target const&) { return 0.0; }, now);
     }
 
-    /// The loads that are ordered now, in their order.
+    /// Issues all loads that are due and returns their adapters in order.
     std::vector<std::string> order_loads()
     {
         std::vector<std::string> ordered;
@@ -66,7 +66,7 @@
         return ordered;
     }
 
-    /// Every load on its way is done; nothing else is ordered.
+    /// Completes every load in progress; no other order is issued.
     void finish_loads(std::size_t coming)
     {
         for (std::size_t number = 0; number < coming; ++number)
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Has four more adapters fetched, each of which takes that long; how many
-    /// were on their way at a time at the first.
+    /// Requests four more adapters, each of which takes `takes` to load.
+    /// Returns the maximum number of concurrent loads.
     std::size_t fetch_four(duration takes)
     {
         for (int number = 0; number < 4; ++number)
@@ -103,11 +103,11 @@
 
 } // namespace
 
-// The start of all workers at once: each fetches as many adapters as it may,
-// and the weight store sends all of them slowly. A worker whose fetches take
-// four times as long has one on its way at a time, and four again when they
-// are as fast as usual.
-TEST_CASE("the slower fetches are the fewer are on their way",
+// Guards against slow fetches when all workers start at once: each fetches as
+// many adapters as it may, and the weight store sends all of them slowly. A
+// worker whose fetches take four times as long loads one adapter at a time, and
+// four again when fetches are as fast as usual.
+TEST_CASE("slower fetches reduce the number of concurrent loads",
           "[worker_adapters]")
 {
     ordered_worker worker;
@@ -120,10 +120,11 @@
     CHECK(worker.fetch_four(250ms) == 4);
 }
 
-// A hot adapter and rare ones are wanted at the same moment. Twenty requests
-// wait for the hot one, so it comes first; a rare one that has waited for long
-// comes before it.
-TEST_CASE("what more requests wait for is fetched first", "[worker_adapters]")
+// Guards against loads in plain order of arrival: a hot adapter with twenty
+// waiting requests comes before rare adapters that are requested at the same
+// moment, but not before one that has waited for long.
+TEST_CASE("an adapter with more waiting requests is loaded first",
+          "[worker_adapters]")
 {
     ordered_worker worker;
     for (char const* rare : {"a1", "a2", "a3", "a4", "a5"})
@@ -136,7 +137,7 @@
     CHECK(ordered[1] == "a1");
 }
 
-TEST_CASE("what has waited for long is fetched before what many want",
+TEST_CASE("an adapter that has waited for long is loaded before a hot one",
           "[worker_adapters]")
 {
     ordered_worker worker;
@@ -146,10 +147,10 @@
     CHECK(worker.order_loads().front() == "rare");
 }
 
-// The order before last is on its way when a load conflicts twice. The report
-// that is read then shows the worker before that order; it is not believed, and
-// what is on its way is not ordered again.
-TEST_CASE("a report from before the last orders is not believed",
+// Guards against repeated orders: a load conflicts twice while an earlier order
+// is in progress, and the report that is read then shows the worker before that
+// order. The report is rejected, and the load in progress is not ordered again.
+TEST_CASE("a report that predates the last orders is rejected",
           "[worker_adapters]")
 {
     ordered_worker worker;
@@ -172,7 +173,7 @@
     CHECK_FALSE(worker.adapters.synced());
     worker.now += 100ms;
     REQUIRE(worker.adapters.needs_report(worker.now));
-    SECTION("a later one is")
+    SECTION("a later report is accepted")
     {
         report.sequence = 1;
         report.models[model] = {{adapter_id("a1"), adapter_version(1)}};
@@ -180,7 +181,7 @@
         CHECK(worker.adapters.synced());
         CHECK(worker.adapters.stage(target("a1")) == adapter_stage::resident);
     }
-    SECTION("after a while whatever it says is")
+    SECTION("any report is accepted after a while")
     {
         worker.now += 2s;
         worker.adapters.on_report(report, worker.now);
@@ -188,12 +189,11 @@
     }
 }
 
-// A request that another VM sent without asking uses an adapter that this one
-// takes for idle. Its unload is accepted and waits. The worker would answer any
-// other order with a conflict, so that none goes out before the unload is done;
-// the count of orders stays right.
-TEST_CASE("an unload that waits for a request holds back other orders",
-          "[worker_adapters]")
+// Guards against a wrong sequence: a request that another VM sent without a
+// grant uses an adapter that this VM takes for idle, so that the accepted
+// unload waits. The worker would answer any other order with a conflict;
+// therefore none is sent until the unload is complete.
+TEST_CASE("an unload in progress delays other orders", "[worker_adapters]")
 {
     worker_adapters_settings settings;
     settings.adapter_slots = 2;
@@ -229,8 +229,8 @@
     CHECK(load->expected_sequence == unload->expected_sequence + 1);
 }
 
-// Guards against a question for a version that was declared after the order.
-TEST_CASE("a load on its way is asked about under the version it names",
+// Guards against a poll that names a version declared after the order.
+TEST_CASE("a load in progress is polled with the version it names",
           "[worker_adapters]")
 {
     worker_adapters adapters({});
--- a/tests/worker_health_test.cpp
+++ b/tests/worker_health_test.cpp
@@ -19,8 +19,7 @@
 
 } // namespace
 
-TEST_CASE("a worker that leaves everything unanswered is avoided",
-          "[worker_health]")
+TEST_CASE("a worker that answers nothing is avoided", "[worker_health]")
 {
     worker_health health;
     health.sent(start);
@@ -28,7 +27,8 @@
     CHECK(health.is_avoided(start + 3s));
 }
 
-TEST_CASE("a worker that answers others is slow, not silent", "[worker_health]")
+TEST_CASE("a worker that answers other requests does not count as silent",
+          "[worker_health]")
 {
     worker_health health;
     health.sent(start);
@@ -38,7 +38,7 @@
     CHECK_FALSE(health.is_avoided(start + 3s));
 }
 
-TEST_CASE("a worker that cannot be reached is tried with one request first",
+TEST_CASE("an unreachable worker is probed with one request first",
           "[worker_health]")
 {
     worker_health health;
@@ -54,14 +54,14 @@
     CHECK_FALSE(health.is_avoided(start + 2030ms));
 }
 
-TEST_CASE("one failure is not a sick worker", "[worker_health]")
+TEST_CASE("a single failure has little weight", "[worker_health]")
 {
     worker_health health;
     answer(health, start, send_outcome::failed);
     CHECK(health.failure_share(start) < 0.1);
 }
 
-TEST_CASE("failures fade while a worker is left alone", "[worker_health]")
+TEST_CASE("the share of failures decays without requests", "[worker_health]")
 {
     worker_health health;
     for (int number = 0; number < 60; ++number)
@@ -70,7 +70,8 @@
     CHECK(health.failure_share(start + 10s) < 0.05);
 }
 
-TEST_CASE("what this VM gave up says nothing of the worker", "[worker_health]")
+TEST_CASE("requests given up by this VM do not affect a worker's health",
+          "[worker_health]")
 {
     worker_health health;
     for (int number = 0; number < 20; ++number)
@@ -83,10 +84,12 @@
     CHECK(health.outstanding() == 0);
 }
 
-// Two long prompts are sent to a worker, which reads them for 1.4 s before it
-// says anything. Taken for silent after its usual 0.3 s, it would be left by
-// all, and both prompts would be read a second time elsewhere.
-TEST_CASE("a worker that reads long prompts is not silent", "[worker_health]")
+// Guards against prompts that are prefilled twice: two long prompts keep a
+// worker busy for 1.4 s before its first byte. If the worker counted as silent
+// after its usual 0.3 s, all VMs would avoid it and send both prompts
+// elsewhere.
+TEST_CASE("a worker that prefills long prompts does not count as silent",
+          "[worker_health]")
 {
     worker_health health;
     answer(health, start - 1s, send_outcome::served);
@@ -97,7 +100,7 @@
     CHECK(health.is_avoided(start + 6s));
 }
 
-TEST_CASE("a worker with nothing long to read is soon silent",
+TEST_CASE("a worker without long prompts soon counts as silent",
           "[worker_health]")
 {
     worker_health health;
--- a/tests/worker_notices_test.cpp
+++ b/tests/worker_notices_test.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE("a rest ends when the worker said, and a shorter one does not end it",
+TEST_CASE("a backoff ends as announced, and a shorter one does not end it",
           "[worker_notices]")
 {
     worker_notices notices;
@@ -26,7 +26,8 @@
     CHECK(notices.request_backoff(worker, start + 5s, start + 4s));
 }
 
-TEST_CASE("the next end of a rest is the first one to come", "[worker_notices]")
+TEST_CASE("the next backoff end is the earliest one in the future",
+          "[worker_notices]")
 {
     worker_notices notices;
     CHECK(notices.next_backoff_end(start) == never);
@@ -37,7 +38,7 @@
     CHECK(notices.next_backoff_end(start + 3s) == never);
 }
 
-TEST_CASE("a departure counts for the life that told it and those before",
+TEST_CASE("a departure applies to the announcing and earlier incarnations",
           "[worker_notices]")
 {
     worker_notices notices;
@@ -46,12 +47,12 @@
     CHECK(notices.is_leaving(worker, worker_start(4)));
     CHECK(notices.is_leaving(worker, worker_start(5)));
     CHECK_FALSE(notices.is_leaving(worker, worker_start(6)));
-    // An entry that tells no start is of the life that is known.
+    // An entry without a start time counts as the known incarnation.
     CHECK(notices.is_leaving(worker, worker_start()));
 }
 
-// Guards against state that is kept for every worker there ever was.
-TEST_CASE("what was said is forgotten in the end", "[worker_notices]")
+// Guards against state that is kept for every worker that ever existed.
+TEST_CASE("expired notices are removed", "[worker_notices]")
 {
     worker_notices notices;
     notices.record_departure(worker, worker_start(5), start);
