--- a/src/prompt_copy.cpp
+++ b/src/prompt_copy.cpp
@@ -49,11 +49,11 @@
     if (std::min(source.adapter, reader.adapter) < newest.adapter)
         return copy_decision::adapter_differs;
     duration const valid_for = load_time / min_load_time_divisor;
-    bool const newest_until_begin = source.weights >= newest.weights &&
-                                    now < known_as_of.declarations + valid_for;
+    bool const both_newest = source.weights >= newest.weights &&
+                             now < known_as_of.declarations + valid_for;
     bool const same_incarnations =
         std::max(now, begins_at) < known_as_of.workers + valid_for;
-    return newest_until_begin || same_incarnations
+    return both_newest || same_incarnations
                ? copy_decision::allowed
                : copy_decision::registry_data_too_old;
 }
--- a/src/worker_health.cpp
+++ b/src/worker_health.cpp
@@ -25,16 +25,16 @@
 constexpr std::chrono::seconds failure_decay_time{3};
 /// A worker with a full queue has room again after the time of a few requests.
 constexpr milliseconds full_queue_backoff{60};
-/// The silence timeout is a multiple of the usual time to the first byte, so
+/// The first-byte timeout is a multiple of the usual time to the first byte, so
 /// that a service that is slow as a whole does not count as dead.
 constexpr int mean_first_byte_factor = 6;
 constexpr milliseconds min_first_byte_timeout{350};
 constexpr milliseconds max_first_byte_timeout{2000};
 /// An expected time to the first byte may be exceeded by this factor before the
-/// worker counts as silent: a worker reads the prompts of several VMs, and each
-/// VM knows only its own. Load it answers: prompts that take a second to read.
-/// If these were taken for silence and read again by another worker, they would
-/// be a sixth of all prompts read.
+/// worker counts as silent: a worker prefills prompts of several VMs, and each
+/// VM knows only its own. Load it answers: prompts that take a second to
+/// prefill. If these were taken for silence and prefilled again by another
+/// worker, they would be a sixth of all prefilled prompts.
 constexpr int expected_first_byte_factor = 2;
 
 } // namespace
--- a/src/worker_notices.cpp
+++ b/src/worker_notices.cpp
@@ -18,9 +18,9 @@
 {
     forget_past(now);
     time_point& known = backoff_until_[worker];
-    bool const news = known <= now;
+    bool const was_inactive = known <= now;
     known = std::max(known, until);
-    return news;
+    return was_inactive;
 }
 
 time_point worker_notices::backoff_until(worker_id const& worker) const
--- a/tests/prompt_copy_test.cpp
+++ b/tests/prompt_copy_test.cpp
@@ -17,21 +17,21 @@
 /// Two or more workers of this VM hold an adapter. Requests whose prompts share
 /// a prefix go to one of them, the prefix's home by rendezvous hashing, while
 /// it is free, and to another holder while the home is busy.
-struct two_readers : scheduler_world
+struct two_holders : scheduler_world
 {
-    explicit two_readers(std::size_t workers = 2) : scheduler_world(workers)
+    explicit two_holders(std::size_t workers = 2) : scheduler_world(workers)
     {
         for (std::size_t each = 0; each < workers; ++each)
-            load_at(each);
+            load_adapter_at(each);
         begins_at_once = false;
-        ticket_id const ticket = ask_alike();
+        ticket_id const ticket = submit_with_prefix();
         home = worker_of(ticket);
         other = home == name(0) ? name(1) : name(0);
         end(ticket);
     }
 
     /// Loads the adapter at one worker by a request that may go nowhere else.
-    void load_at(std::size_t worker)
+    void load_adapter_at(std::size_t worker)
     {
         std::set<worker_id> const leaving = draining;
         for (std::size_t each = 0; each < workers.size(); ++each)
@@ -47,7 +47,7 @@
         list_all();
     }
 
-    ticket_id ask_alike()
+    ticket_id submit_with_prefix()
     {
         work_item item;
         item.prompt_tokens = long_prompt;
@@ -61,11 +61,11 @@
     /// Sends two concurrent requests with the same prefix. Returns the worker
     /// from which the second, which goes to the other worker, copies its
     /// prompt; empty for none.
-    worker_id copied_from()
+    worker_id copy_source()
     {
         run(1s);
-        ticket_id const first = ask_alike();
-        ticket_id const second = ask_alike();
+        ticket_id const first = submit_with_prefix();
+        ticket_id const second = submit_with_prefix();
         REQUIRE(worker_of(first) == home);
         REQUIRE(worker_of(second) == other);
         end(first);
@@ -82,13 +82,13 @@
         list_all();
         for (std::size_t each = 0; each < workers.size(); ++each)
             if (name(each) == worker)
-                load_at(each);
+                load_adapter_at(each);
     }
 
-    std::uint64_t copies(copy_decision verdict) const
+    std::uint64_t copies(copy_decision decision) const
     {
         return scheduler.counts().prompt_copies.at(
-            static_cast<std::size_t>(verdict));
+            static_cast<std::size_t>(decision));
     }
 
     worker_id home;
@@ -109,11 +109,11 @@
 TEST_CASE("a prompt is not copied from a worker with other weights",
           "[prompt_copy]")
 {
-    two_readers world;
+    two_holders world;
     for (worker_id const& each : {world.home, world.other})
         world.lives[each] = worker_start(1);
     world.list_all();
-    REQUIRE(world.copied_from() == world.home);
+    REQUIRE(world.copy_source() == world.home);
     SECTION("the reader of the prompt has restarted")
     {
         world.restart(world.other, weights_version(2));
@@ -122,7 +122,7 @@
     {
         world.restart(world.home, weights_version(2));
     }
-    CHECK(world.copied_from().empty());
+    CHECK(world.copy_source().empty());
 }
 
 // Workers with the previous weights go on copying from each other while this VM
@@ -132,13 +132,13 @@
           "are known",
           "[prompt_copy]")
 {
-    two_readers world;
+    two_holders world;
     world.scheduler.on_release({base_model_id("base"), {}}, adapter_version(2),
                                world.now);
-    CHECK(world.copied_from() == world.home);
+    CHECK(world.copy_source() == world.home);
     // Half of a load's time in the test world is 125 ms.
     world.workers_age = 200ms;
-    CHECK(world.copied_from().empty());
+    CHECK(world.copy_source().empty());
 }
 
 // Guards against copies on stale registry data: a VM is cut off from the
@@ -148,13 +148,13 @@
 TEST_CASE("a VM that is cut off from the registry has no prompt copied",
           "[prompt_copy]")
 {
-    two_readers world;
+    two_holders world;
     world.declarations_age = 10s;
-    CHECK(world.copied_from() == world.home);
+    CHECK(world.copy_source() == world.home);
     world.workers_age = 10s;
-    CHECK(world.copied_from().empty());
+    CHECK(world.copy_source().empty());
     world.declarations_age = {};
-    CHECK(world.copied_from() == world.home);
+    CHECK(world.copy_source() == world.home);
 }
 
 // Guards against a copy between two versions of an adapter, one of which is
@@ -162,11 +162,11 @@
 TEST_CASE("a prompt is not copied from an outdated copy of the adapter",
           "[prompt_copy]")
 {
-    two_readers world;
+    two_holders world;
     world.scheduler.on_release({base_model_id("base"), adapter_id("a1")},
                                adapter_version(2), world.now);
-    ticket_id const first = world.ask_alike();
-    ticket_id const second = world.ask_alike();
+    ticket_id const first = world.submit_with_prefix();
+    ticket_id const second = world.submit_with_prefix();
     CHECK(world.prefix_source(first).id.empty());
     CHECK(world.prefix_source(second).id.empty());
 }
@@ -183,8 +183,8 @@
     world.lives[worker] = worker_start(1);
     world.list_all();
     bool const newer = GENERATE(true, false);
-    bool const informed = GENERATE(true, false);
-    world.declarations_age = informed ? 0s : 10s;
+    bool const registry_known = GENERATE(true, false);
+    world.declarations_age = registry_known ? 0s : 10s;
     if (newer)
         world.scheduler.on_release({base_model_id("base"), {}},
                                    adapter_version(2), world.now);
@@ -207,7 +207,7 @@
         return loads;
     };
     world.scheduler.on_report(worker, begun, world.now);
-    if (!newer && informed)
+    if (!newer && registry_known)
     {
         CHECK(model_loads(1s) == 1);
         return;
@@ -231,13 +231,13 @@
     "holders with the same weights copy among themselves if the home differs",
     "[prompt_copy]")
 {
-    two_readers world(3);
+    two_holders world(3);
     worker_id const home = world.home;
     world.restart(home, weights_version(2));
     std::set<worker_id> sources;
     for (int count = 0; count < 4; ++count)
     {
-        ticket_id const ticket = world.ask_alike();
+        ticket_id const ticket = world.submit_with_prefix();
         if (world.worker_of(ticket) != home)
             sources.insert(world.prefix_source(ticket).id);
     }
@@ -252,14 +252,14 @@
     "older KV caches are not copied from an address listed by two workers",
     "[prompt_copy]")
 {
-    two_readers world(3);
+    two_holders world(3);
     world.weights[scheduler_world::name(2)] = weights_version(2);
     world.list_all();
     std::size_t const before = world.copies(copy_decision::address_shared);
     world.same_address = true;
     world.list_all();
     for (int count = 0; count < 4; ++count)
-        world.ask_alike();
+        world.submit_with_prefix();
     CHECK(world.copies(copy_decision::address_shared) > before);
 }
 
@@ -273,45 +273,43 @@
     adapter_version const adapter(7);
     newest_versions const newest{weights, adapter};
     registry_timestamps const current{now, now};
-    auto const judged =
+    auto const decide =
         [&](served_versions const& source, served_versions const& reader,
-            registry_timestamps const& known, duration until_it_begins = {})
+            registry_timestamps const& known, duration time_until_begin = {})
     {
         return decide_prompt_copy(source, reader, newest, known, load_time, now,
-                                  now + until_it_begins);
+                                  now + time_until_begin);
     };
     served_versions const up_to_date{weights, adapter};
-    served_versions const old_pair{old_weights, adapter};
-    CHECK(judged(up_to_date, up_to_date, current) == copy_decision::allowed);
-    CHECK(judged(old_pair, old_pair, current) == copy_decision::allowed);
-    CHECK(judged(old_pair, up_to_date, current) ==
-          copy_decision::weights_differ);
-    CHECK(judged(up_to_date, old_pair, current) ==
-          copy_decision::weights_differ);
-    CHECK(judged({{}, adapter}, up_to_date, current) ==
+    served_versions const older{old_weights, adapter};
+    CHECK(decide(up_to_date, up_to_date, current) == copy_decision::allowed);
+    CHECK(decide(older, older, current) == copy_decision::allowed);
+    CHECK(decide(older, up_to_date, current) == copy_decision::weights_differ);
+    CHECK(decide(up_to_date, older, current) == copy_decision::weights_differ);
+    CHECK(decide({{}, adapter}, up_to_date, current) ==
           copy_decision::weights_unknown);
-    CHECK(judged({{}, adapter}, {{}, adapter}, current) ==
+    CHECK(decide({{}, adapter}, {{}, adapter}, current) ==
           copy_decision::weights_unknown);
-    CHECK(judged({weights, {}}, up_to_date, current) ==
+    CHECK(decide({weights, {}}, up_to_date, current) ==
           copy_decision::adapter_differs);
-    CHECK(judged(up_to_date, {weights, adapter_version(6)}, current) ==
+    CHECK(decide(up_to_date, {weights, adapter_version(6)}, current) ==
           copy_decision::adapter_differs);
     registry_timestamps const workers_only{time_point(), now};
     registry_timestamps const declarations_only{now, time_point()};
-    CHECK(judged(up_to_date, up_to_date, workers_only) ==
+    CHECK(decide(up_to_date, up_to_date, workers_only) ==
           copy_decision::allowed);
-    CHECK(judged(up_to_date, up_to_date, declarations_only) ==
+    CHECK(decide(up_to_date, up_to_date, declarations_only) ==
           copy_decision::allowed);
-    CHECK(judged(old_pair, old_pair, workers_only) == copy_decision::allowed);
-    CHECK(judged(old_pair, old_pair, declarations_only) ==
+    CHECK(decide(older, older, workers_only) == copy_decision::allowed);
+    CHECK(decide(older, older, declarations_only) ==
           copy_decision::registry_data_too_old);
-    CHECK(judged(up_to_date, up_to_date, {}) ==
+    CHECK(decide(up_to_date, up_to_date, {}) ==
           copy_decision::registry_data_too_old);
     // Registry data is valid for half of a load's time; for older weights, no
     // incarnation may end before the request is expected to begin.
-    CHECK(judged(old_pair, old_pair, current, 900ms) == copy_decision::allowed);
-    CHECK(judged(old_pair, old_pair, current, 1s) ==
+    CHECK(decide(older, older, current, 900ms) == copy_decision::allowed);
+    CHECK(decide(older, older, current, 1s) ==
           copy_decision::registry_data_too_old);
-    CHECK(judged(up_to_date, up_to_date, {now - 1s, now - 1s}) ==
+    CHECK(decide(up_to_date, up_to_date, {now - 1s, now - 1s}) ==
           copy_decision::registry_data_too_old);
 }
--- a/tests/worker_adapters_test.cpp
+++ b/tests/worker_adapters_test.cpp
@@ -21,12 +21,12 @@
 }
 
 /// A worker that accepts every order; a load completes when the test says so.
-struct ordered_worker
+struct test_worker
 {
     worker_adapters adapters;
     time_point now{std::chrono::hours(1)};
 
-    ordered_worker() : adapters(settings())
+    test_worker() : adapters(settings())
     {
         adapters.on_ownership_acquired(vm_id("vm"), fencing_number(1), now);
         worker_report report;
@@ -67,9 +67,9 @@
     }
 
     /// Completes every load in progress; no other order is issued.
-    void finish_loads(std::size_t coming)
+    void finish_loads(std::size_t count)
     {
-        for (std::size_t number = 0; number < coming; ++number)
+        for (std::size_t number = 0; number < count; ++number)
         {
             auto const order = next();
             REQUIRE(order);
@@ -81,19 +81,19 @@
 
     /// Requests four more adapters, each of which takes `takes` to load.
     /// Returns the maximum number of concurrent loads.
-    std::size_t fetch_four(duration takes)
+    std::size_t load_four(duration takes)
     {
         for (int number = 0; number < 4; ++number)
             request_load("f" + std::to_string(last_++));
-        std::size_t at_a_time = 0;
+        std::size_t max_concurrent = 0;
         while (true)
         {
-            auto const coming = order_loads();
-            if (coming.empty())
-                return at_a_time;
-            at_a_time = std::max(at_a_time, coming.size());
+            auto const loads = order_loads();
+            if (loads.empty())
+                return max_concurrent;
+            max_concurrent = std::max(max_concurrent, loads.size());
             now += takes;
-            finish_loads(coming.size());
+            finish_loads(loads.size());
         }
     }
 
@@ -110,14 +110,14 @@
 TEST_CASE("slower fetches reduce the number of concurrent loads",
           "[worker_adapters]")
 {
-    ordered_worker worker;
-    CHECK(worker.fetch_four(250ms) == 4);
-    worker.fetch_four(1000ms);
-    worker.fetch_four(1000ms);
-    CHECK(worker.fetch_four(1000ms) == 1);
+    test_worker worker;
+    CHECK(worker.load_four(250ms) == 4);
+    worker.load_four(1000ms);
+    worker.load_four(1000ms);
+    CHECK(worker.load_four(1000ms) == 1);
     for (int round = 0; round < 4; ++round)
-        worker.fetch_four(250ms);
-    CHECK(worker.fetch_four(250ms) == 4);
+        worker.load_four(250ms);
+    CHECK(worker.load_four(250ms) == 4);
 }
 
 // Guards against loads in plain order of arrival: a hot adapter with twenty
@@ -126,7 +126,7 @@
 TEST_CASE("an adapter with more waiting requests is loaded first",
           "[worker_adapters]")
 {
-    ordered_worker worker;
+    test_worker worker;
     for (char const* rare : {"a1", "a2", "a3", "a4", "a5"})
         worker.request_load(rare);
     worker.now += 10ms;
@@ -140,7 +140,7 @@
 TEST_CASE("an adapter that has waited for long is loaded before a hot one",
           "[worker_adapters]")
 {
-    ordered_worker worker;
+    test_worker worker;
     worker.request_load("rare");
     worker.now += 3s;
     worker.request_load("hot", 20);
@@ -153,7 +153,7 @@
 TEST_CASE("a report that predates the last orders is rejected",
           "[worker_adapters]")
 {
-    ordered_worker worker;
+    test_worker worker;
     worker.request_load("a1");
     REQUIRE(worker.order_loads().size() == 1);
     worker.request_load("a2");
