--- a/src/crash_keeper.cpp
+++ b/src/crash_keeper.cpp
@@ -9,18 +9,24 @@
 
 using std::chrono::milliseconds;
 
-/// All requests that break off with one worker are told together.
+/// Collects all requests that fail with one worker into one message.
 constexpr milliseconds tell_delay{10};
 constexpr milliseconds write_retry{500};
 constexpr std::chrono::seconds expire_interval{10};
-/// Rows that are of no use are dropped by whichever VM comes first.
+/// Obsolete rows are deleted after a random delay, so that usually only one VM
+/// deletes each: rows of expired crashes, and rows of crashes that an answer
+/// cleared.
 constexpr std::chrono::seconds drop_spread{60};
 constexpr std::chrono::seconds cleared_spread{5};
-/// By then a VM that saw a crash itself has written it, and the others know.
+/// Delay before a VM writes an observation that it only received. By then the
+/// VM that made the observation has normally written it and the others have
+/// read the row.
 constexpr std::chrono::seconds others_write{10};
-/// Of one transaction; the store takes a hundred.
+/// Puts, and as many deletions, in one transaction; the store accepts a
+/// hundred changes.
 constexpr std::size_t most_changes = 50;
-/// A second crash may be the same request's doing.
+/// From this number of crashes on the request may be the cause, and its
+/// observations are written to the store.
 constexpr std::size_t repeated = 2;
 
 } // namespace
@@ -66,7 +72,6 @@
         save({request, each.crashed}, at);
 }
 
-/// What was to be told or written of the request is out of date.
 void crash_keeper::forget(request_digest const& request)
 {
     own_.erase(request);
--- a/src/crash_keeper.hpp
+++ b/src/crash_keeper.hpp
@@ -1,4 +1,4 @@
-/// What one VM knows of requests that crash workers, and whom it tells.
+/// Replicates observations of worker crashes between the VMs and the store.
 #ifndef MULBERRY_CRASH_KEEPER_HPP
 #define MULBERRY_CRASH_KEEPER_HPP
 
@@ -15,19 +15,19 @@
 namespace mulberry
 {
 
-/// What VMs tell each other. Value.
+/// What VMs send each other about crashes. Value.
 struct crash_news
 {
     std::vector<crash_sighting> seen;
-    /// Requests that a worker answered whole although crashes counted against
-    /// them.
+    /// Requests that a worker answered completely although crashes counted
+    /// against them.
     std::vector<request_digest> answered;
 
     bool empty() const { return seen.empty() && answered.empty(); }
     friend bool operator==(crash_news const&, crash_news const&) = default;
 };
 
-/// Which row of the store a sighting is. Value.
+/// Identifies an observation and its row in the store. Value.
 struct crash_key
 {
     request_digest request;
@@ -35,13 +35,14 @@
     friend auto operator<=>(crash_key const&, crash_key const&) = default;
 };
 
-/// Tell every other VM; its outcome goes to told().
+/// Send `news` to every other VM and report the outcome to told().
 struct tell_vms
 {
     crash_news news;
 };
 
-/// Change rows of the store; the outcome goes to on_written(). One at a time.
+/// Change rows of the store in one transaction and report the outcome to
+/// on_written(). At most one is pending at a time.
 struct write_crashes
 {
     std::vector<crash_sighting> put;
@@ -50,12 +51,12 @@
 
 using crash_action = std::variant<tell_vms, write_crashes>;
 
-/// A crash is told to the other VMs at once. It is written to the store when a
-/// second one counts against a request, so that VMs that start again know of
-/// it, and when a VM was not reached, since it may reach the store. VMs that
-/// did not see the crash themselves write later, and only what nobody wrote.
-/// Requests that were in progress at no crash cost no message. Thread safety:
-/// none. No I/O, no clock.
+/// An observation is sent to the other VMs at once. It is written to the store
+/// when a second crash counts against its request, so that restarted VMs learn
+/// of it, and when a VM could not be reached, since that VM may still reach the
+/// store. A VM that only received the observation writes it later, and only if
+/// no other VM has written it by then. Requests that were in progress at no
+/// crash cause no messages. Thread safety: none. No I/O, no clock.
 class crash_keeper
 {
 public:
@@ -66,20 +67,25 @@
 
     /// A worker crashed with requests of this VM in progress.
     void on_crash(std::vector<crash_sighting> const& seen, time_point now);
-    /// A worker answered a request of this VM whole.
+    /// A worker answered a request of this VM completely.
     void on_answered(request_digest const& request, time_point now);
+    /// Another VM sent `news`.
     void on_news(crash_news const& news, time_point now);
-    /// Whether every other VM, and one at least, took the news.
+    /// Outcome of tell_vms. `by_all`: every other VM accepted `news`, and there
+    /// is at least one other VM.
     void told(crash_news const& news, bool by_all, time_point now);
-    /// A row is in the store.
+    /// A row was read from the store.
     void on_row(crash_sighting const& seen, time_point now);
-    /// A row is gone from the store.
+    /// A row was deleted from the store.
     void on_row_dropped(crash_key const& key);
+    /// Outcome of write_crashes; a write that failed is retried.
     void on_written(bool done, time_point now);
 
-    /// What is to be done now.
+    /// Returns the actions that are due. To be called after each event and at
+    /// next_due().
     std::vector<crash_action> run(time_point now);
-    /// When run() may have something to do, if nothing happens before.
+    /// When run() is to be called next if no event occurs before; `never` if
+    /// there is nothing to wait for.
     time_point next_due() const;
 
     crash_record const& record() const { return record_; }
@@ -87,8 +93,11 @@
 private:
     void take(crash_sighting const& seen, time_point now);
     void save_if_repeated(request_digest const& request, time_point now);
+    /// Schedules a write of the row, at `at` or earlier.
     void save(crash_key const& key, time_point at);
+    /// Drops what is queued to be sent or written about the request.
     void forget(request_digest const& request);
+    /// The row changes that are due.
     write_crashes changes(time_point now) const;
 
     crash_record record_;
@@ -96,14 +105,16 @@
     jitter jitter_;
     crash_news outbox_;
     time_point tell_at_ = never;
-    /// Requests that this VM itself saw in progress at a crash.
+    /// Requests of this VM that were in progress at a crash.
     std::set<request_digest> own_;
-    /// What the store is to keep, and when it is written at the earliest.
+    /// Rows to be written, each with the earliest time of the write.
     std::map<crash_key, time_point> unsaved_;
-    /// Rows in the store, and when they are to go.
+    /// Rows in the store, each with the time at which this VM deletes it.
     std::map<crash_key, time_point> saved_;
+    /// The transaction in progress, if `writes_`.
     write_crashes writing_;
     bool writes_ = false;
+    /// No write is started before this time.
     time_point write_at_{};
     time_point expire_at_ = never;
 };
--- a/src/crash_record.cpp
+++ b/src/crash_record.cpp
@@ -7,13 +7,14 @@
 namespace
 {
 
-/// VMs see the connections of a worker close within milliseconds of each
-/// other, and so those of a whole failure domain.
+/// Crashes within this time may have a common cause. When a worker or a whole
+/// failure domain goes down, all VMs see its connections close within
+/// milliseconds of each other.
 constexpr std::chrono::milliseconds together{200};
-/// The moments that several VMs tell are right to this.
+/// Accuracy of times reported by other VMs.
 constexpr std::chrono::milliseconds clock_slack{20};
-/// Of one request so many times the crashes that quarantine it are kept, the
-/// newest.
+/// Per request, only the newest crashes are kept, at most this many times the
+/// quarantine threshold.
 constexpr std::size_t kept_multiple = 8;
 
 } // namespace
@@ -73,9 +74,9 @@
                   });
 }
 
-/// Failure: workers crash all day under ever new requests, and the record
-/// grows with them. Those that the fewest crashes count against go first, among
-/// these the oldest.
+/// Bounds the memory used when workers crash continually under ever new
+/// requests. Requests with the fewest crashes are evicted first, and among
+/// these the one whose last crash is oldest.
 void crash_record::make_room(time_point now)
 {
     if (suspects_.size() < limits_.most && crashes_.size() < limits_.most)
--- a/src/crash_record.hpp
+++ b/src/crash_record.hpp
@@ -1,5 +1,5 @@
-/// Which requests were in progress at workers that crashed, and which of them
-/// are quarantined for it.
+/// Records which requests were in progress at workers that crashed, and decides
+/// which requests are quarantined.
 #ifndef MULBERRY_CRASH_RECORD_HPP
 #define MULBERRY_CRASH_RECORD_HPP
 
@@ -16,7 +16,7 @@
 namespace mulberry
 {
 
-/// One life of a worker, which ended in a crash. Value.
+/// One process lifetime of a worker. Value.
 struct worker_life
 {
     worker_id worker;
@@ -24,14 +24,14 @@
     friend auto operator<=>(worker_life const&, worker_life const&) = default;
 };
 
-/// A request was in progress at a worker when it crashed. Value.
+/// A request was in progress at a worker when the worker crashed. Value.
 struct crash_sighting
 {
     request_digest request;
     worker_life crashed;
-    /// When the request was sent there.
+    /// When the request was last sent to the worker.
     time_point sent_at{};
-    /// When the crash was seen.
+    /// When a VM detected the crash.
     time_point at{};
     friend bool operator==(crash_sighting const&,
                            crash_sighting const&) = default;
@@ -39,71 +39,84 @@
 
 struct crash_limits
 {
-    /// A request in progress at so many crashes is quarantined.
+    /// Number of crashes after which a request is quarantined.
     std::size_t crashes = 3;
-    /// How long a crash counts.
+    /// How long a crash counts against a request.
     duration memory = std::chrono::minutes(10);
-    /// Requests and crashes that are remembered at a time.
+    /// Maximum number of requests kept, and of crashes kept.
     std::size_t most = 4096;
     friend bool operator==(crash_limits const&, crash_limits const&) = default;
 };
 
-/// Load it answers: a request ends each worker that begins to run it, and comes
-/// again. Judged by its tries alone each of them is new, and each ends another
-/// worker with all the requests beside it.
+/// Guards against a poison request: a request that crashes every worker that
+/// runs it and that its caller sends again and again. A limit on the attempts
+/// of one request does not stop it, since each repetition is a new request, and
+/// each crash also fails all other requests in progress at that worker.
 ///
-/// A request beside it is cleared by its own next answer: it is quarantined
-/// only if it was in progress at each of the last crashes and no worker
-/// answered it in between. Workers that end together may do so for one reason,
-/// such as a failure domain that loses power, and count once; one that outlived
-/// the other and was sent the request afterwards counts by itself. Records of
-/// several VMs may be merged in any order. Thread safety: none. Pure: no I/O,
-/// no clock.
+/// Other requests that were in progress at a crashed worker are suspects too,
+/// until a worker answers them: a request is quarantined only if it was in
+/// progress at each of the last crashes and no worker answered it in between.
+/// Crashes within a short time may have a common cause, such as a power loss in
+/// a failure domain, and count once; a worker that outlived another crash and
+/// was sent the request after that crash counts separately. Observations of
+/// several VMs may be merged in any order. Thread safety: none. No I/O, no
+/// clock.
 class crash_record
 {
 public:
     explicit crash_record(crash_limits limits) : limits_(limits) {}
 
-    /// Whether it was not known and counts from now on.
+    /// Adds an observation, or merges it into a known one of the same request
+    /// and worker: the earliest crash time and the latest send time are kept.
+    /// Returns whether the observation is new and counts against the request;
+    /// false for one that has expired or that an answer has cleared.
     bool add(crash_sighting const& seen, time_point now);
-    /// A worker answered the request whole, as of `at`: what was seen until
-    /// then does not count. Whether anything did.
+    /// Removes the request's observations of crashes up to `at`, when a worker
+    /// answered it completely; later add() calls for such crashes are ignored.
+    /// Returns whether any observation was removed.
     bool clear(request_digest const& request, time_point at);
-    /// The sighting is not to count any more.
+    /// Removes one observation.
     void remove(request_digest const& request, worker_life const& crashed);
+    /// Removes crashes older than the retention time.
     void expire(time_point now);
 
+    /// Whether nothing is recorded, neither observations nor answers.
     bool empty() const { return suspects_.empty(); }
+    /// Whether any crash counts against the request.
     bool suspects(request_digest const& request) const;
-    /// Crashes that count against the request, those that may have had a common
-    /// cause as one.
+    /// Number of crashes that count against the request; crashes that may have
+    /// a common cause count once.
     std::size_t crashes(request_digest const& request, time_point now) const;
-    /// Until when the request is quarantined; nothing if it may be sent.
+    /// When the request's quarantine ends; nullopt if it is not quarantined.
     std::optional<time_point> quarantined_until(request_digest const& request,
                                                 time_point now) const;
     std::optional<crash_sighting> find(request_digest const& request,
                                        worker_life const& crashed) const;
-    /// In the order of the crashes.
+    /// The request's observations, ordered by the time of the crash.
     std::vector<crash_sighting> sightings(request_digest const& request) const;
-    /// Requests that crashes count against, and those quarantined.
+    /// Number of requests that any crash counts against.
     std::size_t suspected() const;
+    /// Number of quarantined requests.
     std::size_t quarantined(time_point now) const;
 
 private:
     struct suspect
     {
-        /// With the moment at which the request was last sent there.
+        /// The crashed workers, each with the time at which the request was
+        /// last sent to it.
         std::map<worker_life, time_point> crashes;
+        /// When a worker last answered the request.
         time_point cleared_at = time_point::min();
     };
 
-    /// The moments of the crashes that count, in their order.
+    /// Times of the crashes that count, in ascending order.
     std::vector<time_point> counted(suspect const& of, time_point now) const;
+    /// If a limit is reached, evicts the least important entries.
     void make_room(time_point now);
 
     crash_limits limits_;
     std::map<request_digest, suspect> suspects_;
-    /// The earliest moment at which any VM saw the crash.
+    /// When each crash was first detected by any VM.
     std::map<worker_life, time_point> crashes_;
 };
 
--- a/src/crash_row.hpp
+++ b/src/crash_row.hpp
@@ -1,4 +1,4 @@
-/// The rows of the store that keep crash sightings.
+/// Encodes crash observations as rows of the store.
 #ifndef MULBERRY_CRASH_ROW_HPP
 #define MULBERRY_CRASH_ROW_HPP
 
@@ -14,9 +14,9 @@
 
 inline constexpr char const* crash_prefix = "crash/";
 
-/// The same moment on this VM's clock and as the time of day, which rows are
-/// written in since no clock of a VM outlives it. A time of day that is wrong
-/// by seconds moves the end of a quarantine by as much.
+/// One moment as monotonic time and as time of day. Rows store the time of day,
+/// since monotonic clocks do not continue after a restart. An error of the time
+/// of day shifts the end of a quarantine by as much.
 struct clock_pair
 {
     time_point now{};
@@ -25,12 +25,13 @@
 
 /// crash/DIGEST/STARTED/WORKER
 std::string crash_row_key(crash_key const& key);
-/// {"at_ms": UNIX, "sent_ms": UNIX}
+/// {"at_ms": UNIX, "sent_ms": UNIX}, in milliseconds since the Unix epoch.
 std::string crash_row_text(crash_sighting const& seen, clock_pair const& clock);
 
-/// Nothing for the key of another row.
+/// Returns nullopt if `key` is not the key of a crash row.
 std::optional<crash_key> parse_crash_key(std::string const& key);
-/// Nothing when the text is no such row. A moment in the future counts as now.
+/// Returns nullopt if `key` or `text` is malformed. Times in the future are
+/// replaced by the present time.
 std::optional<crash_sighting> parse_crash_row(std::string const& key,
                                               std::string const& text,
                                               clock_pair const& clock);
--- a/src/crash_watch.cpp
+++ b/src/crash_watch.cpp
@@ -18,8 +18,8 @@
 using asio::ip::tcp;
 using std::chrono::milliseconds;
 
-/// A process that ends closes its connections and its listener one after the
-/// other.
+/// A process that terminates may close its connections before its listening
+/// socket, so the check starts after a delay.
 constexpr milliseconds check_delay{30};
 constexpr milliseconds check_timeout{300};
 
@@ -30,14 +30,16 @@
 
 } // namespace
 
-/// Opens a connection to a worker and closes it.
+/// Checks whether a worker accepts a TCP connection.
 class crash_watch::reach_check
     : public std::enable_shared_from_this<crash_watch::reach_check>
 {
 public:
     explicit reach_check(asio::io_context& io) : socket_(io), timer_(io) {}
 
-    /// False, and nothing is done, if the worker's address is none.
+    /// Starts the check; calls `done` with whether the worker is reachable.
+    /// Returns false, and never calls `done`, if the worker's address is not an
+    /// IP address.
     bool start(backend_entry const& worker, std::function<void(bool)> done)
     {
         asio::error_code unusable;
--- a/src/crash_watch.hpp
+++ b/src/crash_watch.hpp
@@ -1,5 +1,5 @@
-/// Finds out whether a worker crashed when requests broke off with it, and
-/// keeps requests that crash workers from being sent to more.
+/// Detects worker crashes when connections to workers close, and quarantines
+/// requests that crash workers.
 #ifndef MULBERRY_CRASH_WATCH_HPP
 #define MULBERRY_CRASH_WATCH_HPP
 
@@ -22,80 +22,89 @@
 namespace mulberry
 {
 
-/// The other VMs, as the watch sees them.
+/// Connection to the other VMs.
 class crash_peers
 {
 public:
     virtual ~crash_peers() = default;
-    /// Tells them all; calls back, never within this call, whether each of them
-    /// and one at least took it.
+    /// Sends `news` to all other VMs. Calls `done` later, never within this
+    /// call: `by_all` is true if every other VM accepted the message and there
+    /// is at least one other VM.
     virtual void tell_all(crash_news const& news,
                           std::function<void(bool by_all)> done) = 0;
 };
 
-/// Changes the product's own rows; calls back on the thread of the io_context
-/// whether it was done.
+/// Executes a transaction on the rows that the product itself keeps in the
+/// store. Calls back, on the thread of the io_context, whether it succeeded.
 using crash_row_writer =
     std::function<void(table_transaction const&, std::function<void(bool)>)>;
 
 struct crash_watch_options
 {
     crash_limits limits;
+    /// Seed of the random delays of writes and deletions.
     std::uint64_t seed = 1;
-    /// Empty where there is no store.
+    /// Empty if there is no store.
     crash_row_writer write_rows;
 };
 
-/// Why a request is not sent. Value.
+/// Why a request is refused. Value.
 struct quarantine
 {
     time_point until{};
     std::size_t crashes = 0;
-    /// The workers that crashed under it, separated by spaces.
+    /// Ids of the workers that crashed while they ran the request, separated by
+    /// spaces.
     std::string workers;
     friend bool operator==(quarantine const&, quarantine const&) = default;
 };
 
-/// Counts since the start; only rise. Value.
+/// Counters since the start of this process. Value.
 struct crash_counts
 {
     std::uint64_t crashes = 0;
+    /// Checks after which a worker proved to be still reachable.
     std::uint64_t checks_answered = 0;
+    /// Requests refused because of a quarantine.
     std::uint64_t refused = 0;
     friend bool operator==(crash_counts const&, crash_counts const&) = default;
 };
 
-/// A connection that closes within an answer may be the network's fault or the
-/// worker's, and the worker may go on. It has crashed if it takes no new
-/// connection. Thread safety: none; used on the thread that runs the
-/// io_context.
+/// A connection that closes before the answer is complete may have been closed
+/// by the network or by a worker that continues to run. The worker is
+/// considered crashed if it accepts no new connection. Thread safety: none;
+/// used on the thread that runs the io_context.
 class crash_watch
 {
 public:
-    /// The references outlive this object.
+    /// `io`, `peers` and `log` must outlive this object.
     crash_watch(asio::io_context& io, crash_peers& peers,
                 crash_watch_options options, event_log& log);
     ~crash_watch();
     crash_watch(crash_watch const&) = delete;
     crash_watch& operator=(crash_watch const&) = delete;
 
-    /// The request's connection closed within its run at a worker that is not
-    /// known to leave.
+    /// The connection closed while `worker`, which has not announced that it
+    /// leaves, ran the request. Starts a check of the worker unless one is in
+    /// progress.
     void broke_off(request_id const& request, request_identity const& identity,
                    backend_entry const& worker, time_point sent_at);
-    /// A worker answered the request whole.
+    /// A worker answered the request completely.
     void answered(request_identity const& identity);
-    /// Whether any request is suspected; without one no identity is needed.
+    /// True if no crash is recorded; callers then need not compute a request's
+    /// identity.
     bool idle() const { return keeper_.record().empty(); }
-    /// Nothing if the request may be sent.
+    /// Returns nullopt if the request may be sent.
     std::optional<quarantine>
     quarantine_of(request_identity const& identity) const;
     void count_refused() { ++counts_.refused; }
 
+    /// Another VM sent `news`.
     void on_news(crash_news const& news);
-    /// Changed rows of the product's own set.
+    /// Rows of the store that were changed or deleted; rows that are not crash
+    /// rows are ignored.
     void on_rows(std::vector<stored_row> const& rows);
-    /// Prometheus lines.
+    /// The metrics in the Prometheus text format.
     std::string metrics() const;
 
 private:
@@ -118,7 +127,8 @@
     void note_crash(suspected_crash const& crash);
     void note_quarantines(std::vector<crash_sighting> const& news,
                           std::string_view heard_from);
-    /// The workers, separated by spaces.
+    /// Ids of the workers that crashed while they ran the request, separated by
+    /// spaces.
     std::string crashed_under(request_digest const& request) const;
     void run();
     void carry_out(crash_action const& action);
@@ -129,8 +139,9 @@
     crash_watch_options options_;
     event_log& log_;
     crash_keeper keeper_;
+    /// Workers that are being checked.
     std::map<worker_life, suspected_crash> suspected_;
-    /// Quarantines that were logged.
+    /// Quarantines that have been logged, each with its end.
     std::map<request_digest, time_point> noted_;
     asio::steady_timer timer_;
     crash_counts counts_;
--- a/tests/crash_keeper_test.cpp
+++ b/tests/crash_keeper_test.cpp
@@ -9,13 +9,16 @@
 namespace
 {
 
-/// What a VM that can reach the store has to know by then.
+/// Time within which a VM that reaches the store or the other VMs has to learn
+/// of a crash.
 constexpr duration contact = 3s;
 
 } // namespace
 
-// Guards against three VMs seeing one crash each, none of which is enough.
-TEST_CASE("crashes that different VMs see count together", "[crash_keeper]")
+// Guards against counting crashes per VM: three VMs see one crash each, and one
+// crash alone is below the threshold.
+TEST_CASE("crashes seen by different VMs are counted together",
+          "[crash_keeper]")
 {
     crash_world world(7);
     for (int number = 0; number < 3; ++number)
@@ -26,7 +29,8 @@
     CHECK(world.refused_by_all("bad"));
 }
 
-TEST_CASE("all VMs of a large fleet know within the bound", "[crash_keeper]")
+TEST_CASE("all VMs of a large fleet quarantine a request within the bound",
+          "[crash_keeper]")
 {
     crash_world world(195);
     for (int number = 0; number < 3; ++number)
@@ -38,8 +42,9 @@
     CHECK(world.refused_by_all("bad"));
 }
 
-// Guards against a VM that lost its memory sending the request again.
-TEST_CASE("a VM that starts again knows from the store", "[crash_keeper]")
+// Guards against a restarted VM sending a quarantined request again because its
+// in-memory state is lost.
+TEST_CASE("a restarted VM learns of crashes from the store", "[crash_keeper]")
 {
     crash_world world(4);
     world.crash(0, 0, {"bad"});
@@ -55,10 +60,9 @@
     CHECK(world.refused_by_all("bad"));
 }
 
-// Guards against knowledge that is lost with the VMs that had it: both that saw
-// the first crashes start again before the third.
-TEST_CASE("crashes are not forgotten with the VMs that saw them",
-          "[crash_keeper]")
+// Guards against losing crashes when the VMs that saw them restart: both VMs
+// that saw the first two crashes restart before the third.
+TEST_CASE("crashes outlive the VMs that saw them", "[crash_keeper]")
 {
     crash_world world(4);
     world.crash(0, 0, {"bad"});
@@ -72,14 +76,14 @@
     CHECK(world.refused_by_all("bad"));
 }
 
-// Guards against a VM that reaches the store but no other VM: it goes on
-// sending the request, or keeps what it saw to itself.
-TEST_CASE("a VM that is cut off from the others knows from the store",
+// Guards against a VM that reaches the store but no other VM continuing to send
+// the request, or not sharing the crashes that it saw.
+TEST_CASE("a VM partitioned from the others shares crashes through the store",
           "[crash_keeper]")
 {
     crash_world world(4);
     world.cut(3);
-    SECTION("it hears")
+    SECTION("the others see all crashes")
     {
         for (int number = 0; number < 3; ++number)
         {
@@ -87,7 +91,7 @@
             world.pass(300ms);
         }
     }
-    SECTION("it tells")
+    SECTION("the partitioned VM sees all crashes")
     {
         for (int number = 0; number < 3; ++number)
         {
@@ -100,7 +104,8 @@
         world.crash(3, 0, {"bad"});
         world.pass(300ms);
         world.crash(0, 1, {"bad"});
-        // The one that is cut off has just read when the third is written.
+        // The third crash is written just after the partitioned VM has read the
+        // rows.
         world.pass(1300ms);
         world.crash(1, 2, {"bad"});
     }
@@ -108,7 +113,7 @@
     CHECK(world.refused_by_all("bad"));
 }
 
-TEST_CASE("VMs know while the store is away", "[crash_keeper]")
+TEST_CASE("VMs share crashes while the store is unavailable", "[crash_keeper]")
 {
     crash_world world(5);
     world.set_store_away(true);
@@ -118,7 +123,7 @@
         world.pass(400ms);
     }
     CHECK(world.refused_by_all("bad"));
-    // What could not be written meanwhile is there when it is back.
+    // Writes that failed are retried when the store is available again.
     world.set_store_away(false);
     world.pass(2s);
     for (std::size_t vm = 0; vm < 5; ++vm)
@@ -126,7 +131,9 @@
     CHECK(world.refused_by_all("bad"));
 }
 
-TEST_CASE("a VM without the store tells the others", "[crash_keeper]")
+TEST_CASE("crashes seen by a VM without the store reach the others and the "
+          "store",
+          "[crash_keeper]")
 {
     crash_world world(4);
     world.cut_from_store(0);
@@ -136,16 +143,17 @@
         world.pass(400ms);
     }
     CHECK(world.refused_by_all("bad"));
-    // One of those that heard of it writes what the first cannot.
+    // One of the other VMs writes the rows that the first VM cannot write.
     world.pass(10s);
     CHECK(world.rows() == 3);
     world.restart(1);
     CHECK(world.refused(1, "bad"));
 }
 
-// Guards against refusing the requests that were in progress beside the one
-// that crashes its workers, over many crashes.
-TEST_CASE("requests beside a crashing one are not refused", "[crash_keeper]")
+// Guards against quarantining harmless requests that were in progress at the
+// same workers as a poison request, over several crashes.
+TEST_CASE("harmless requests beside a poison request are not refused",
+          "[crash_keeper]")
 {
     crash_world world(7);
     for (int number = 0; number < 3; ++number)
@@ -155,7 +163,7 @@
             beside.push_back("r" + std::to_string(number * 10 + each));
         world.crash(static_cast<std::size_t>(number), number, beside);
         world.pass(300ms);
-        // The poll is answered when it comes again, at any VM.
+        // The poll is repeated and answered, each time at another VM.
         world.answer(static_cast<std::size_t>(number + 3), "polled");
         world.pass(300ms);
     }
@@ -165,9 +173,9 @@
         CHECK_FALSE(world.refused_by_any("r" + std::to_string(each)));
 }
 
-// Guards against refusing equal reads, which all workers of a domain run at a
-// time, when the domain falls.
-TEST_CASE("equal reads are not refused when a failure domain falls",
+// Guards against quarantining identical reads that run on all workers of a
+// failure domain when that domain goes down.
+TEST_CASE("identical reads are not refused when a failure domain goes down",
           "[crash_keeper]")
 {
     crash_world world(7);
@@ -176,7 +184,7 @@
                     {"read", "r" + std::to_string(number)});
     world.pass(contact);
     CHECK_FALSE(world.refused_by_any("read"));
-    // A second domain falls, and a third.
+    // A second and a third domain go down.
     for (int const first : {100, 200})
     {
         world.answer(2, "read");
@@ -189,9 +197,9 @@
     }
 }
 
-// Guards against a request that stays refused at VMs that did not see it
-// answered.
-TEST_CASE("a request that is answered is free at every VM", "[crash_keeper]")
+// Guards against a request staying quarantined at VMs that did not see its
+// answer.
+TEST_CASE("an answer ends the quarantine at every VM", "[crash_keeper]")
 {
     crash_world world(5);
     for (int number = 0; number < 2; ++number)
@@ -199,7 +207,7 @@
         world.crash(static_cast<std::size_t>(number), number, {"read"});
         world.pass(2s);
     }
-    // It was sent before the third crash and is answered after it.
+    // The request was sent before the third crash and is answered after it.
     world.crash(2, 2, {"read"});
     world.pass(500ms);
     CHECK(world.refused_by_all("read"));
@@ -213,7 +221,7 @@
     CHECK_FALSE(world.refused_by_any("read"));
 }
 
-TEST_CASE("requests that are in progress at no crash cost no message",
+TEST_CASE("requests that are in progress at no crash cause no messages",
           "[crash_keeper]")
 {
     crash_world world(7);
@@ -224,7 +232,7 @@
     CHECK(world.writes() == 0);
 }
 
-TEST_CASE("a crash without a second one is not written to the store",
+TEST_CASE("a single crash of a request is not written to the store",
           "[crash_keeper]")
 {
     crash_world world(7);
@@ -234,7 +242,7 @@
     CHECK(world.writes() == 0);
 }
 
-TEST_CASE("what is known of crashes expires everywhere", "[crash_keeper]")
+TEST_CASE("crashes expire at all VMs and in the store", "[crash_keeper]")
 {
     crash_world world(3, {3, 20s, 100});
     for (int number = 0; number < 3; ++number)
--- a/tests/crash_record_test.cpp
+++ b/tests/crash_record_test.cpp
@@ -19,13 +19,13 @@
     return {worker_id("w" + std::to_string(number)), worker_start(1)};
 }
 
-/// A crash of worker `number`; the request had run for 60 ms.
+/// The request was sent to worker `number` 60 ms before the worker crashed.
 crash_sighting seen(request_digest const& request, int number, time_point at)
 {
     return {request, life(number), at - 60ms, at};
 }
 
-/// Three crashes, a second apart.
+/// Adds three crashes, one second apart.
 void crash_three(crash_record& record, request_digest const& request)
 {
     for (int number = 0; number < 3; ++number)
@@ -48,8 +48,7 @@
     CHECK_FALSE(record.quarantined_until(other, start + 2s));
 }
 
-TEST_CASE("one crash counts once, whoever tells of it and how often",
-          "[crash_record]")
+TEST_CASE("a crash that is reported repeatedly counts once", "[crash_record]")
 {
     crash_record record({3, 10min, 100});
     CHECK(record.add(seen(bad, 0, start), start));
@@ -59,8 +58,9 @@
     CHECK(record.sightings(bad).front().at == start);
 }
 
-// Guards against a worker's lives under one id counting as one crash.
-TEST_CASE("each life of a worker counts", "[crash_record]")
+// Guards against counting crashes of a restarted worker once because its id
+// stays the same.
+TEST_CASE("crashes of a restarted worker count separately", "[crash_record]")
 {
     crash_record record({3, 10min, 100});
     for (unsigned number = 0; number < 3; ++number)
@@ -72,9 +72,9 @@
     CHECK(record.quarantined_until(bad, start + 3s));
 }
 
-// Guards against refusing a request that runs beside the one that crashes its
-// workers: callers send it again, and it meets the other one again.
-TEST_CASE("a request that a worker answered is free again", "[crash_record]")
+// Guards against quarantining a harmless request that runs on the same workers
+// as a poison request: callers repeat both, so that they often meet again.
+TEST_CASE("an answer clears a request's earlier crashes", "[crash_record]")
 {
     crash_record record({3, 10min, 100});
     record.add(seen(other, 0, start), start);
@@ -83,23 +83,24 @@
     record.add(seen(other, 2, start + 3s), start + 3s);
     CHECK(record.crashes(other, start + 3s) == 1);
     CHECK_FALSE(record.quarantined_until(other, start + 3s));
-    // What is told late of the time before does not count either.
+    // A late report of a crash before the answer does not count either.
     CHECK_FALSE(record.add(seen(other, 3, start + 1s), start + 4s));
     CHECK(record.crashes(other, start + 4s) == 1);
 }
 
-// Guards against refusing reads that are equal to each other, and that many
-// workers run at a time, when their failure domain loses power.
-TEST_CASE("workers that end together count once", "[crash_record]")
+// Guards against quarantining identical reads that run on many workers at a
+// time when the workers' failure domain loses power.
+TEST_CASE("simultaneous crashes of several workers count once",
+          "[crash_record]")
 {
     crash_record record({3, 10min, 100});
-    SECTION("at one moment")
+    SECTION("within 16 ms")
     {
         for (int number = 0; number < 8; ++number)
             record.add(seen(bad, number, start + number * 2ms), start + 1s);
         CHECK(record.crashes(bad, start + 1s) == 1);
     }
-    SECTION("within a short time in which more of them are sent")
+    SECTION("within 80 ms, while more identical requests are sent")
     {
         for (int number = 0; number < 8; ++number)
             record.add(seen(bad, number, start + number * 10ms), start + 1s);
@@ -107,9 +108,10 @@
     }
 }
 
-// Guards against taking the work of a request that is repeated quickly for that
-// of a power cut.
-TEST_CASE("workers that end one after the other in a short time count each",
+// Guards against mistaking the crashes of a poison request that is repeated
+// quickly for a power loss.
+TEST_CASE("crashes count separately if the request was sent after the previous "
+          "crash",
           "[crash_record]")
 {
     crash_record record({3, 10min, 100});
@@ -118,8 +120,7 @@
     CHECK(record.quarantined_until(bad, start + 1s));
 }
 
-TEST_CASE("a quarantine ends, and one more crash begins it anew",
-          "[crash_record]")
+TEST_CASE("a quarantine ends, and one more crash renews it", "[crash_record]")
 {
     crash_record record({3, 10min, 100});
     crash_three(record, bad);
@@ -133,7 +134,7 @@
     CHECK_FALSE(record.add(seen(bad, 1, start + 1s), start + 1h));
 }
 
-TEST_CASE("of one request the newest crashes are kept", "[crash_record]")
+TEST_CASE("only the newest crashes of a request are kept", "[crash_record]")
 {
     crash_record record({3, 10min, 1000});
     for (int number = 0; number < 500; ++number)
@@ -142,7 +143,7 @@
     CHECK(record.quarantined_until(bad, start + 500s) == start + 497s + 10min);
 }
 
-TEST_CASE("the record is bounded, and keeps those that crashed most",
+TEST_CASE("the record is bounded and keeps the requests with the most crashes",
           "[crash_record]")
 {
     crash_record record({3, 10min, 50});
--- a/tests/crash_row_test.cpp
+++ b/tests/crash_row_test.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("a crash row comes back as it was", "[crash_row]")
+TEST_CASE("a crash row is decoded as it was encoded", "[crash_row]")
 {
     std::string const key = crash_row_key({seen.request, seen.crashed});
     CHECK(key == "crash/0af3/17/rack/w1");
@@ -26,7 +26,7 @@
     CHECK(parse_crash_row(key, crash_row_text(seen, clocks), clocks) == seen);
 }
 
-TEST_CASE("the moment of a crash outlives the process that wrote its row",
+TEST_CASE("a crash time is valid after a restart with another monotonic clock",
           "[crash_row]")
 {
     clock_pair const later{time_point(5s), clocks.time_of_day + 20s};
@@ -41,7 +41,7 @@
               ->at == time_point(5s));
 }
 
-TEST_CASE("what is no crash row is told", "[crash_row]")
+TEST_CASE("malformed crash rows are rejected", "[crash_row]")
 {
     for (char const* key : {"", "vm/a", "crash/", "crash/d", "crash/d/1",
                             "crash/d/x/w", "crash/d//w"})
--- a/tests/crash_world.cpp
+++ b/tests/crash_world.cpp
@@ -13,8 +13,7 @@
 constexpr duration message_time = 3ms;
 constexpr duration peer_timeout = 500ms;
 constexpr duration store_time = 10ms;
-/// How often a VM looks at the product's own rows, as with an order gap of
-/// three seconds.
+/// How often a VM reads the rows, as with an order gap of three seconds.
 constexpr duration row_interval = 2s;
 constexpr duration run_time = 60ms;
 constexpr duration step = 1ms;
@@ -27,7 +26,7 @@
     for (std::size_t vm = 0; vm < vms; ++vm)
     {
         vms_.push_back(std::make_unique<crash_keeper>(limits_, vm + 1));
-        // Not all at the same moment.
+        // Spreads the reads of the VMs over the interval.
         later(row_interval * static_cast<int>(vm) / static_cast<int>(vms),
               [this, vm] { read_rows(vm); });
     }
--- a/tests/crash_world.hpp
+++ b/tests/crash_world.hpp
@@ -1,5 +1,5 @@
-/// Several VMs that know of crashes, the connections between them and the
-/// store, in virtual time.
+/// Simulates several VMs that replicate crash observations, the network between
+/// them and the store, in virtual time.
 #ifndef MULBERRY_TESTS_CRASH_WORLD_HPP
 #define MULBERRY_TESTS_CRASH_WORLD_HPP
 
@@ -24,24 +24,29 @@
     explicit crash_world(std::size_t vms, mulberry::crash_limits limits = {});
 
     mulberry::time_point now() const { return now_; }
+    /// Advances the time and runs all events that are due.
     void pass(mulberry::duration time);
 
     /// A worker crashes with the requests of one VM in progress.
     void crash(std::size_t vm, int worker,
                std::vector<std::string> const& requests);
+    /// A worker answers a request that the VM sent to it.
     void answer(std::size_t vm, std::string const& request);
 
+    /// Whether the request is quarantined at the VM.
     bool refused(std::size_t vm, std::string const& request) const;
     bool refused_by_all(std::string const& request) const;
     bool refused_by_any(std::string const& request) const;
 
-    /// The VM forgets everything and reads the store, if it can.
+    /// The VM loses its state and reads the rows of the store, if the store is
+    /// reachable.
     void restart(std::size_t vm);
-    /// No message passes between the VM and the others.
+    /// Drops all messages between the VM and the other VMs.
     void cut(std::size_t vm) { cut_.insert(vm); }
+    /// Ends cut().
     void join(std::size_t vm) { cut_.erase(vm); }
     void set_store_away(bool away) { store_away_ = away; }
-    /// The VM cannot reach the store.
+    /// Makes the store unreachable from the VM.
     void cut_from_store(std::size_t vm) { no_store_.insert(vm); }
 
     std::size_t messages() const { return messages_; }
@@ -63,14 +68,14 @@
     void run(std::size_t vm);
     void tell(std::size_t from, mulberry::crash_news const& news);
     void write(std::size_t vm, mulberry::write_crashes const& changes);
-    /// What a VM reads of its own rows every so often.
+    /// The periodic read of the crash rows by a VM.
     void read_rows(std::size_t vm);
     bool reaches_store(std::size_t vm) const;
 
     mulberry::crash_limits const limits_;
     mulberry::time_point now_{std::chrono::hours(1)};
     std::vector<std::unique_ptr<mulberry::crash_keeper>> vms_;
-    /// Which rows each VM has seen.
+    /// The rows that each VM found at its last read.
     std::vector<std::set<mulberry::crash_key>> seen_rows_;
     std::vector<event> events_;
     std::map<mulberry::crash_key, mulberry::crash_sighting> rows_;
