--- a/src/crash_watch.cpp
+++ b/src/crash_detector.cpp
@@ -1,4 +1,4 @@
-#include "crash_watch.hpp"
+#include "crash_detector.hpp"
 
 #include "boot_clock.hpp"
 #include "crash_row.hpp"
@@ -31,8 +31,8 @@
 } // namespace
 
 /// Checks whether a worker accepts a TCP connection.
-class crash_watch::reach_check
-    : public std::enable_shared_from_this<crash_watch::reach_check>
+class crash_detector::reach_check
+    : public std::enable_shared_from_this<crash_detector::reach_check>
 {
 public:
     explicit reach_check(asio::io_context& io) : socket_(io), timer_(io) {}
@@ -74,14 +74,14 @@
             [self = shared_from_this()](asio::error_code const& cancelled)
             {
                 if (!cancelled)
-                    self->tell(false);
+                    self->report(false);
             });
         socket_.async_connect(
             to_, [self = shared_from_this()](asio::error_code const& failure)
-            { self->tell(!failure); });
+            { self->report(!failure); });
     }
 
-    void tell(bool reachable)
+    void report(bool reachable)
     {
         auto const done = std::exchange(done_, nullptr);
         cancel();
@@ -95,26 +95,27 @@
     std::function<void(bool)> done_;
 };
 
-crash_watch::crash_watch(asio::io_context& io, crash_peers& peers,
-                         crash_watch_options options, event_log& log)
+crash_detector::crash_detector(asio::io_context& io, crash_peers& peers,
+                               crash_detector_options options, event_log& log)
     : io_(io), peers_(peers), options_(std::move(options)), log_(log),
-      keeper_(options_.limits, options_.seed), timer_(io)
+      replicator_(options_.limits, options_.seed), timer_(io)
 {
 }
 
-crash_watch::~crash_watch()
+crash_detector::~crash_detector()
 {
-    for (auto const& [life, crash] : suspected_)
+    for (auto const& [life, crash] : crashes_to_check_)
         crash.check->cancel();
 }
 
-void crash_watch::broke_off(request_id const& request,
-                            request_identity const& identity,
-                            backend_entry const& worker, time_point sent_at)
+void crash_detector::on_connection_lost(request_id const& request,
+                                        request_identity const& identity,
+                                        backend_entry const& worker,
+                                        time_point sent_at)
 {
-    worker_life const life{worker.id, worker.started};
-    auto const [crash, first] = suspected_.try_emplace(life);
-    if (crash->second.requests.size() < options_.limits.most)
+    worker_incarnation const life{worker.id, worker.started};
+    auto const [crash, first] = crashes_to_check_.try_emplace(life);
+    if (crash->second.requests.size() < options_.limits.max_entries)
         crash->second.requests.push_back({request, identity, sent_at});
     if (!first)
         return;
@@ -130,34 +131,34 @@
                      .add("worker", worker.id.str())
                      .add("address", worker.address),
                  boot_clock::now());
-    suspected_.erase(crash);
+    crashes_to_check_.erase(crash);
 }
 
-void crash_watch::on_checked(worker_life const& life, bool reachable)
+void crash_detector::on_checked(worker_incarnation const& life, bool reachable)
 {
-    auto const found = suspected_.find(life);
-    if (found == suspected_.end())
+    auto const found = crashes_to_check_.find(life);
+    if (found == crashes_to_check_.end())
         return;
     suspected_crash const crash = std::move(found->second);
-    suspected_.erase(found);
+    crashes_to_check_.erase(found);
     if (reachable)
     {
         ++counts_.checks_answered;
         return;
     }
     ++counts_.crashes;
-    std::vector<crash_sighting> seen;
+    std::vector<crash_observation> seen;
     for (broken_request const& each : crash.requests)
         for (request_digest const& digest :
              {each.identity.content, each.identity.of_caller})
             seen.push_back({digest, life, each.sent_at, crash.at});
-    keeper_.on_crash(seen, boot_clock::now());
-    note_crash(crash);
-    note_quarantines(seen, "this VM");
+    replicator_.on_crash(seen, boot_clock::now());
+    log_crash(crash);
+    log_quarantines(seen, "this VM");
     run();
 }
 
-void crash_watch::note_crash(suspected_crash const& crash)
+void crash_detector::log_crash(suspected_crash const& crash)
 {
     time_point const now = boot_clock::now();
     for (broken_request const& each : crash.requests)
@@ -170,44 +171,44 @@
                 .add("started", crash.worker.started.value())
                 .add("domain", crash.worker.domain.str())
                 .add("beside", std::uint64_t{crash.requests.size() - 1})
-                .add("crashes", std::uint64_t{keeper_.record().crashes(
+                .add("crashes", std::uint64_t{replicator_.record().crashes(
                                     each.identity.content, now)}),
             now);
 }
 
-void crash_watch::note_quarantines(std::vector<crash_sighting> const& news,
-                                   std::string_view heard_from)
+void crash_detector::log_quarantines(
+    std::vector<crash_observation> const& update, std::string_view heard_from)
 {
     time_point const now = boot_clock::now();
-    std::erase_if(noted_,
+    std::erase_if(logged_quarantines_,
                   [now](auto const& each) { return each.second <= now; });
-    for (crash_sighting const& each : news)
+    for (crash_observation const& each : update)
     {
         auto const until =
-            keeper_.record().quarantined_until(each.request, now);
-        if (!until || noted_.count(each.request) > 0)
+            replicator_.record().quarantined_until(each.request, now);
+        if (!until || logged_quarantines_.count(each.request) > 0)
             continue;
-        noted_.emplace(each.request, *until);
+        logged_quarantines_.emplace(each.request, *until);
         log_.notable("request quarantined",
                      log_fields()
                          .add("content", each.request.str())
-                         .add("workers", crashed_under(each.request))
+                         .add("workers", workers_crashed_under(each.request))
                          .add("heard_from", heard_from)
                          .add("for_ms", *until - now),
                      now);
     }
 }
 
-void crash_watch::answered(request_identity const& identity)
+void crash_detector::on_answered(request_identity const& identity)
 {
     time_point const now = boot_clock::now();
     bool cleared = false;
     for (request_digest const& each : {identity.content, identity.of_caller})
     {
-        if (!keeper_.record().suspects(each))
+        if (!replicator_.record().is_suspect(each))
             continue;
-        keeper_.on_answered(each, now);
-        noted_.erase(each);
+        replicator_.on_answered(each, now);
+        logged_quarantines_.erase(each);
         cleared = true;
     }
     if (cleared)
@@ -215,40 +216,42 @@
 }
 
 std::optional<quarantine>
-crash_watch::quarantine_of(request_identity const& identity) const
+crash_detector::find_quarantine(request_identity const& identity) const
 {
     time_point const now = boot_clock::now();
     for (request_digest const& each : {identity.of_caller, identity.content})
     {
-        auto const until = keeper_.record().quarantined_until(each, now);
+        auto const until = replicator_.record().quarantined_until(each, now);
         if (!until)
             continue;
-        return quarantine{*until, keeper_.record().crashes(each, now),
-                          crashed_under(each)};
+        return quarantine{*until, replicator_.record().crashes(each, now),
+                          workers_crashed_under(each)};
     }
     return std::nullopt;
 }
 
-std::string crash_watch::crashed_under(request_digest const& request) const
+std::string
+crash_detector::workers_crashed_under(request_digest const& request) const
 {
     std::string workers;
-    for (crash_sighting const& seen : keeper_.record().sightings(request))
+    for (crash_observation const& seen :
+         replicator_.record().observations(request))
         workers += (workers.empty() ? "" : " ") + seen.crashed.worker.str();
     return workers;
 }
 
-void crash_watch::on_news(crash_news const& news)
+void crash_detector::on_crash_update(crash_update const& update)
 {
-    keeper_.on_news(news, boot_clock::now());
-    for (request_digest const& each : news.answered)
-        noted_.erase(each);
-    note_quarantines(news.seen, "another VM");
+    replicator_.on_crash_update(update, boot_clock::now());
+    for (request_digest const& each : update.answered)
+        logged_quarantines_.erase(each);
+    log_quarantines(update.seen, "another VM");
     run();
 }
 
-void crash_watch::on_rows(std::vector<stored_row> const& rows)
+void crash_detector::on_rows(std::vector<stored_row> const& rows)
 {
-    std::vector<crash_sighting> present;
+    std::vector<crash_observation> present;
     clock_pair const clock = clocks();
     for (stored_row const& row : rows)
     {
@@ -257,7 +260,7 @@
             continue;
         if (row.deleted)
         {
-            keeper_.on_row_dropped(*key);
+            replicator_.on_row_deleted(*key);
             continue;
         }
         auto const seen = parse_crash_row(row.key, row.value, clock);
@@ -267,38 +270,38 @@
                          log_fields().add("key", row.key), clock.now);
             continue;
         }
-        keeper_.on_row(*seen, clock.now);
+        replicator_.on_row(*seen, clock.now);
         present.push_back(*seen);
     }
     if (present.empty())
         return;
-    note_quarantines(present, "the store");
+    log_quarantines(present, "the store");
     run();
 }
 
-void crash_watch::run()
+void crash_detector::run()
 {
-    for (crash_action const& action : keeper_.run(boot_clock::now()))
-        carry_out(action);
+    for (crash_action const& action : replicator_.run(boot_clock::now()))
+        execute(action);
     arm_timer();
 }
 
-void crash_watch::carry_out(crash_action const& action)
+void crash_detector::execute(crash_action const& action)
 {
-    if (auto const* tell = std::get_if<tell_vms>(&action))
-        return peers_.tell_all(tell->news,
-                               [this, news = tell->news](bool by_all)
-                               {
-                                   keeper_.told(news, by_all,
-                                                boot_clock::now());
-                                   run();
-                               });
+    if (auto const* report = std::get_if<send_crash_update>(&action))
+        return peers_.broadcast(report->update,
+                                [this, update = report->update](bool by_all)
+                                {
+                                    replicator_.on_update_sent(
+                                        update, by_all, boot_clock::now());
+                                    run();
+                                });
     if (!options_.write_rows)
         return;
-    auto const& write = std::get<write_crashes>(action);
+    auto const& write = std::get<write_crash_rows>(action);
     clock_pair const clock = clocks();
     table_transaction transaction;
-    for (crash_sighting const& each : write.put)
+    for (crash_observation const& each : write.put)
         transaction.writes.push_back(
             {crash_row_key({each.request, each.crashed}),
              crash_row_text(each, clock)});
@@ -307,14 +310,14 @@
     options_.write_rows(transaction,
                         [this](bool done)
                         {
-                            keeper_.on_written(done, boot_clock::now());
+                            replicator_.on_written(done, boot_clock::now());
                             run();
                         });
 }
 
-void crash_watch::arm_timer()
+void crash_detector::arm_timer()
 {
-    time_point const next = keeper_.next_due();
+    time_point const next = replicator_.next_due();
     if (next == never)
         return;
     timer_.expires_after(
@@ -327,17 +330,17 @@
         });
 }
 
-std::string crash_watch::metrics() const
+std::string crash_detector::metrics() const
 {
     time_point const now = boot_clock::now();
-    crash_record const& record = keeper_.record();
+    crash_record const& record = replicator_.record();
     std::string text;
     auto const add = [&text](std::string_view name, std::uint64_t value)
     { text += fmt::format("mulberry_{} {}\n", name, value); };
     add("worker_crashes_seen_total", counts_.crashes);
     add("worker_crash_checks_answered_total", counts_.checks_answered);
-    add("requests_suspected", record.suspected());
-    add("requests_quarantined", record.quarantined(now));
+    add("requests_suspected", record.suspect_count());
+    add("requests_quarantined", record.quarantined_count(now));
     add("quarantine_refusals_total", counts_.refused);
     return text;
 }
--- a/src/crash_watch.hpp
+++ b/src/crash_detector.hpp
@@ -1,10 +1,10 @@
 /// Detects worker crashes when connections to workers close, and quarantines
 /// requests that crash workers.
-#ifndef MULBERRY_CRASH_WATCH_HPP
-#define MULBERRY_CRASH_WATCH_HPP
+#ifndef MULBERRY_CRASH_DETECTOR_HPP
+#define MULBERRY_CRASH_DETECTOR_HPP
 
 #include "backend_entry.hpp"
-#include "crash_keeper.hpp"
+#include "crash_replicator.hpp"
 #include "event_log.hpp"
 #include "relay_request.hpp"
 #include "row_store.hpp"
@@ -27,11 +27,11 @@
 {
 public:
     virtual ~crash_peers() = default;
-    /// Sends `news` to all other VMs. Calls `done` later, never within this
+    /// Sends `update` to all other VMs. Calls `done` later, never within this
     /// call: `by_all` is true if every other VM accepted the message and there
     /// is at least one other VM.
-    virtual void tell_all(crash_news const& news,
-                          std::function<void(bool by_all)> done) = 0;
+    virtual void broadcast(crash_update const& update,
+                           std::function<void(bool by_all)> done) = 0;
 };
 
 /// Executes a transaction on the rows that the product itself keeps in the
@@ -39,7 +39,7 @@
 using crash_row_writer =
     std::function<void(table_transaction const&, std::function<void(bool)>)>;
 
-struct crash_watch_options
+struct crash_detector_options
 {
     crash_limits limits;
     /// Seed of the random delays of writes and deletions.
@@ -74,33 +74,34 @@
 /// by the network or by a worker that continues to run. The worker is
 /// considered crashed if it accepts no new connection. Thread safety: none;
 /// used on the thread that runs the io_context.
-class crash_watch
+class crash_detector
 {
 public:
     /// `io`, `peers` and `log` must outlive this object.
-    crash_watch(asio::io_context& io, crash_peers& peers,
-                crash_watch_options options, event_log& log);
-    ~crash_watch();
-    crash_watch(crash_watch const&) = delete;
-    crash_watch& operator=(crash_watch const&) = delete;
+    crash_detector(asio::io_context& io, crash_peers& peers,
+                   crash_detector_options options, event_log& log);
+    ~crash_detector();
+    crash_detector(crash_detector const&) = delete;
+    crash_detector& operator=(crash_detector const&) = delete;
 
     /// The connection closed while `worker`, which has not announced that it
     /// leaves, ran the request. Starts a check of the worker unless one is in
     /// progress.
-    void broke_off(request_id const& request, request_identity const& identity,
-                   backend_entry const& worker, time_point sent_at);
+    void on_connection_lost(request_id const& request,
+                            request_identity const& identity,
+                            backend_entry const& worker, time_point sent_at);
     /// A worker answered the request completely.
-    void answered(request_identity const& identity);
+    void on_answered(request_identity const& identity);
     /// True if no crash is recorded; callers then need not compute a request's
     /// identity.
-    bool idle() const { return keeper_.record().empty(); }
+    bool has_no_suspects() const { return replicator_.record().empty(); }
     /// Returns nullopt if the request may be sent.
     std::optional<quarantine>
-    quarantine_of(request_identity const& identity) const;
+    find_quarantine(request_identity const& identity) const;
     void count_refused() { ++counts_.refused; }
 
-    /// Another VM sent `news`.
-    void on_news(crash_news const& news);
+    /// Another VM sent `update`.
+    void on_crash_update(crash_update const& update);
     /// Rows of the store that were changed or deleted; rows that are not crash
     /// rows are ignored.
     void on_rows(std::vector<stored_row> const& rows);
@@ -123,26 +124,26 @@
         std::shared_ptr<reach_check> check;
     };
 
-    void on_checked(worker_life const& life, bool reachable);
-    void note_crash(suspected_crash const& crash);
-    void note_quarantines(std::vector<crash_sighting> const& news,
-                          std::string_view heard_from);
+    void on_checked(worker_incarnation const& life, bool reachable);
+    void log_crash(suspected_crash const& crash);
+    void log_quarantines(std::vector<crash_observation> const& update,
+                         std::string_view heard_from);
     /// Ids of the workers that crashed while they ran the request, separated by
     /// spaces.
-    std::string crashed_under(request_digest const& request) const;
+    std::string workers_crashed_under(request_digest const& request) const;
     void run();
-    void carry_out(crash_action const& action);
+    void execute(crash_action const& action);
     void arm_timer();
 
     asio::io_context& io_;
     crash_peers& peers_;
-    crash_watch_options options_;
+    crash_detector_options options_;
     event_log& log_;
-    crash_keeper keeper_;
+    crash_replicator replicator_;
     /// Workers that are being checked.
-    std::map<worker_life, suspected_crash> suspected_;
+    std::map<worker_incarnation, suspected_crash> crashes_to_check_;
     /// Quarantines that have been logged, each with its end.
-    std::map<request_digest, time_point> noted_;
+    std::map<request_digest, time_point> logged_quarantines_;
     asio::steady_timer timer_;
     crash_counts counts_;
 };
--- a/src/crash_record.cpp
+++ b/src/crash_record.cpp
@@ -10,20 +10,20 @@
 /// Crashes within this time may have a common cause. When a worker or a whole
 /// failure domain goes down, all VMs see its connections close within
 /// milliseconds of each other.
-constexpr std::chrono::milliseconds together{200};
+constexpr std::chrono::milliseconds common_cause_window{200};
 /// Accuracy of times reported by other VMs.
-constexpr std::chrono::milliseconds clock_slack{20};
+constexpr std::chrono::milliseconds clock_tolerance{20};
 /// Per request, only the newest crashes are kept, at most this many times the
 /// quarantine threshold.
 constexpr std::size_t kept_multiple = 8;
 
 } // namespace
 
-bool crash_record::add(crash_sighting const& seen, time_point now)
+bool crash_record::add(crash_observation const& seen, time_point now)
 {
-    if (seen.at + limits_.memory <= now)
+    if (seen.at + limits_.retention <= now)
         return false;
-    make_room(now);
+    evict_if_full(now);
     suspect& known = suspects_[seen.request];
     if (seen.at <= known.cleared_at)
         return false;
@@ -52,7 +52,7 @@
 }
 
 void crash_record::remove(request_digest const& request,
-                          worker_life const& crashed)
+                          worker_incarnation const& crashed)
 {
     if (auto const known = suspects_.find(request); known != suspects_.end())
         known->second.crashes.erase(crashed);
@@ -61,7 +61,7 @@
 void crash_record::expire(time_point now)
 {
     std::erase_if(crashes_, [&](auto const& each)
-                  { return each.second + limits_.memory <= now; });
+                  { return each.second + limits_.retention <= now; });
     for (auto& [request, suspect] : suspects_)
         std::erase_if(suspect.crashes, [&](auto const& each)
                       { return crashes_.count(each.first) == 0; });
@@ -70,19 +70,21 @@
                   {
                       return each.second.crashes.empty() &&
                              (each.second.cleared_at == time_point::min() ||
-                              each.second.cleared_at + limits_.memory <= now);
+                              each.second.cleared_at + limits_.retention <=
+                                  now);
                   });
 }
 
 /// Bounds the memory used when workers crash continually under ever new
 /// requests. Requests with the fewest crashes are evicted first, and among
 /// these the one whose last crash is oldest.
-void crash_record::make_room(time_point now)
+void crash_record::evict_if_full(time_point now)
 {
-    if (suspects_.size() < limits_.most && crashes_.size() < limits_.most)
+    if (suspects_.size() < limits_.max_entries &&
+        crashes_.size() < limits_.max_entries)
         return;
     expire(now);
-    if (crashes_.size() >= limits_.most)
+    if (crashes_.size() >= limits_.max_entries)
     {
         auto const oldest = std::min_element(crashes_.begin(), crashes_.end(),
                                              [](auto const& a, auto const& b)
@@ -91,7 +93,7 @@
             suspect.crashes.erase(oldest->first);
         crashes_.erase(oldest);
     }
-    if (suspects_.size() < limits_.most)
+    if (suspects_.size() < limits_.max_entries)
         return;
     auto const newest_crash = [this](suspect const& each)
     {
@@ -110,14 +112,14 @@
         }));
 }
 
-bool crash_record::suspects(request_digest const& request) const
+bool crash_record::is_suspect(request_digest const& request) const
 {
     auto const known = suspects_.find(request);
     return known != suspects_.end() && !known->second.crashes.empty();
 }
 
-std::vector<time_point> crash_record::counted(suspect const& of,
-                                              time_point now) const
+std::vector<time_point> crash_record::counted_crash_times(suspect const& of,
+                                                          time_point now) const
 {
     struct crash
     {
@@ -126,22 +128,22 @@
     };
     std::vector<crash> all;
     for (auto const& [life, sent_at] : of.crashes)
-        if (time_point const at = crashes_.at(life); at + limits_.memory > now)
+        if (time_point const at = crashes_.at(life);
+            at + limits_.retention > now)
             all.push_back({at, sent_at});
     std::sort(all.begin(), all.end(),
               [](crash const& a, crash const& b) { return a.at < b.at; });
     std::vector<time_point> counts;
     for (crash const& each : all)
     {
-        bool const by_itself =
-            std::all_of(counts.begin(), counts.end(),
-                        [&each](time_point before)
-                        {
-                            bool const outlived =
-                                each.at > before + clock_slack &&
-                                each.sent_at + clock_slack >= before;
-                            return outlived || each.at > before + together;
-                        });
+        bool const by_itself = std::all_of(
+            counts.begin(), counts.end(),
+            [&each](time_point before)
+            {
+                bool const outlived = each.at > before + clock_tolerance &&
+                                      each.sent_at + clock_tolerance >= before;
+                return outlived || each.at > before + common_cause_window;
+            });
         if (by_itself)
             counts.push_back(each.at);
     }
@@ -152,7 +154,9 @@
                                   time_point now) const
 {
     auto const known = suspects_.find(request);
-    return known == suspects_.end() ? 0 : counted(known->second, now).size();
+    return known == suspects_.end()
+               ? 0
+               : counted_crash_times(known->second, now).size();
 }
 
 std::optional<time_point>
@@ -162,15 +166,16 @@
     auto const known = suspects_.find(request);
     if (known == suspects_.end())
         return std::nullopt;
-    std::vector<time_point> const moments = counted(known->second, now);
+    std::vector<time_point> const moments =
+        counted_crash_times(known->second, now);
     if (moments.size() < limits_.crashes)
         return std::nullopt;
-    return moments[moments.size() - limits_.crashes] + limits_.memory;
+    return moments[moments.size() - limits_.crashes] + limits_.retention;
 }
 
-std::optional<crash_sighting>
+std::optional<crash_observation>
 crash_record::find(request_digest const& request,
-                   worker_life const& crashed) const
+                   worker_incarnation const& crashed) const
 {
     auto const known = suspects_.find(request);
     if (known == suspects_.end())
@@ -178,37 +183,40 @@
     auto const ran = known->second.crashes.find(crashed);
     if (ran == known->second.crashes.end())
         return std::nullopt;
-    return crash_sighting{request, crashed, ran->second, crashes_.at(crashed)};
+    return crash_observation{request, crashed, ran->second,
+                             crashes_.at(crashed)};
 }
 
-std::vector<crash_sighting>
-crash_record::sightings(request_digest const& request) const
+std::vector<crash_observation>
+crash_record::observations(request_digest const& request) const
 {
-    std::vector<crash_sighting> seen;
+    std::vector<crash_observation> seen;
     auto const known = suspects_.find(request);
     if (known == suspects_.end())
         return seen;
     for (auto const& [life, sent_at] : known->second.crashes)
         seen.push_back({request, life, sent_at, crashes_.at(life)});
     std::sort(seen.begin(), seen.end(),
-              [](crash_sighting const& a, crash_sighting const& b)
+              [](crash_observation const& a, crash_observation const& b)
               { return a.at < b.at; });
     return seen;
 }
 
-std::size_t crash_record::suspected() const
+std::size_t crash_record::suspect_count() const
 {
     return static_cast<std::size_t>(std::count_if(
         suspects_.begin(), suspects_.end(),
         [](auto const& each) { return !each.second.crashes.empty(); }));
 }
 
-std::size_t crash_record::quarantined(time_point now) const
+std::size_t crash_record::quarantined_count(time_point now) const
 {
-    return static_cast<std::size_t>(std::count_if(
-        suspects_.begin(), suspects_.end(),
-        [&](auto const& each)
-        { return counted(each.second, now).size() >= limits_.crashes; }));
+    return static_cast<std::size_t>(
+        std::count_if(suspects_.begin(), suspects_.end(),
+                      [&](auto const& each) {
+                          return counted_crash_times(each.second, now).size() >=
+                                 limits_.crashes;
+                      }));
 }
 
 } // namespace mulberry
--- a/src/crash_record.hpp
+++ b/src/crash_record.hpp
@@ -17,24 +17,25 @@
 {
 
 /// One process lifetime of a worker. Value.
-struct worker_life
+struct worker_incarnation
 {
     worker_id worker;
     worker_start started;
-    friend auto operator<=>(worker_life const&, worker_life const&) = default;
+    friend auto operator<=>(worker_incarnation const&,
+                            worker_incarnation const&) = default;
 };
 
 /// A request was in progress at a worker when the worker crashed. Value.
-struct crash_sighting
+struct crash_observation
 {
     request_digest request;
-    worker_life crashed;
+    worker_incarnation crashed;
     /// When the request was last sent to the worker.
     time_point sent_at{};
     /// When a VM detected the crash.
     time_point at{};
-    friend bool operator==(crash_sighting const&,
-                           crash_sighting const&) = default;
+    friend bool operator==(crash_observation const&,
+                           crash_observation const&) = default;
 };
 
 struct crash_limits
@@ -42,9 +43,9 @@
     /// Number of crashes after which a request is quarantined.
     std::size_t crashes = 3;
     /// How long a crash counts against a request.
-    duration memory = std::chrono::minutes(10);
+    duration retention = std::chrono::minutes(10);
     /// Maximum number of requests kept, and of crashes kept.
-    std::size_t most = 4096;
+    std::size_t max_entries = 4096;
     friend bool operator==(crash_limits const&, crash_limits const&) = default;
 };
 
@@ -70,54 +71,58 @@
     /// and worker: the earliest crash time and the latest send time are kept.
     /// Returns whether the observation is new and counts against the request;
     /// false for one that has expired or that an answer has cleared.
-    bool add(crash_sighting const& seen, time_point now);
+    bool add(crash_observation const& seen, time_point now);
     /// Removes the request's observations of crashes up to `at`, when a worker
     /// answered it completely; later add() calls for such crashes are ignored.
     /// Returns whether any observation was removed.
     bool clear(request_digest const& request, time_point at);
     /// Removes one observation.
-    void remove(request_digest const& request, worker_life const& crashed);
+    void remove(request_digest const& request,
+                worker_incarnation const& crashed);
     /// Removes crashes older than the retention time.
     void expire(time_point now);
 
     /// Whether nothing is recorded, neither observations nor answers.
     bool empty() const { return suspects_.empty(); }
     /// Whether any crash counts against the request.
-    bool suspects(request_digest const& request) const;
+    bool is_suspect(request_digest const& request) const;
     /// Number of crashes that count against the request; crashes that may have
     /// a common cause count once.
     std::size_t crashes(request_digest const& request, time_point now) const;
     /// When the request's quarantine ends; nullopt if it is not quarantined.
     std::optional<time_point> quarantined_until(request_digest const& request,
                                                 time_point now) const;
-    std::optional<crash_sighting> find(request_digest const& request,
-                                       worker_life const& crashed) const;
+    std::optional<crash_observation>
+    find(request_digest const& request,
+         worker_incarnation const& crashed) const;
     /// The request's observations, ordered by the time of the crash.
-    std::vector<crash_sighting> sightings(request_digest const& request) const;
+    std::vector<crash_observation>
+    observations(request_digest const& request) const;
     /// Number of requests that any crash counts against.
-    std::size_t suspected() const;
+    std::size_t suspect_count() const;
     /// Number of quarantined requests.
-    std::size_t quarantined(time_point now) const;
+    std::size_t quarantined_count(time_point now) const;
 
 private:
     struct suspect
     {
         /// The crashed workers, each with the time at which the request was
         /// last sent to it.
-        std::map<worker_life, time_point> crashes;
+        std::map<worker_incarnation, time_point> crashes;
         /// When a worker last answered the request.
         time_point cleared_at = time_point::min();
     };
 
     /// Times of the crashes that count, in ascending order.
-    std::vector<time_point> counted(suspect const& of, time_point now) const;
+    std::vector<time_point> counted_crash_times(suspect const& of,
+                                                time_point now) const;
     /// If a limit is reached, evicts the least important entries.
-    void make_room(time_point now);
+    void evict_if_full(time_point now);
 
     crash_limits limits_;
     std::map<request_digest, suspect> suspects_;
     /// When each crash was first detected by any VM.
-    std::map<worker_life, time_point> crashes_;
+    std::map<worker_incarnation, time_point> crashes_;
 };
 
 } // namespace mulberry
--- /dev/null
+++ b/src/crash_replicator.cpp
@@ -0,0 +1,222 @@
+#include "crash_replicator.hpp"
+
+#include <algorithm>
+
+namespace mulberry
+{
+namespace
+{
+
+using std::chrono::milliseconds;
+
+/// Collects all requests that fail with one worker into one message.
+constexpr milliseconds send_delay{10};
+constexpr milliseconds write_retry{500};
+constexpr std::chrono::seconds expire_interval{10};
+/// Obsolete rows are deleted after a random delay, so that usually only one VM
+/// deletes each: rows of expired crashes, and rows of crashes that an answer
+/// cleared.
+constexpr std::chrono::seconds expired_row_delete_delay{60};
+constexpr std::chrono::seconds cleared_row_delete_delay{5};
+/// Delay before a VM writes an observation that it only received. By then the
+/// VM that made the observation has normally written it and the others have
+/// read the row.
+constexpr std::chrono::seconds received_write_delay{10};
+/// Puts, and as many deletions, in one transaction; the store accepts a
+/// hundred changes.
+constexpr std::size_t max_row_changes = 50;
+/// From this number of crashes on the request may be the cause, and its
+/// observations are written to the store.
+constexpr std::size_t write_threshold = 2;
+
+} // namespace
+
+void crash_replicator::add_observation(crash_observation const& seen,
+                                       time_point now)
+{
+    if (!record_.add(seen, now))
+        return;
+    expire_at_ = std::min(expire_at_, now + expire_interval);
+    schedule_write_if_repeated(seen.request, now);
+}
+
+void crash_replicator::on_crash(std::vector<crash_observation> const& seen,
+                                time_point now)
+{
+    for (crash_observation const& each : seen)
+    {
+        observed_here_.insert(each.request);
+        outbox_.seen.push_back(each);
+        add_observation(each, now);
+    }
+    if (!outbox_.empty())
+        send_at_ = std::min(send_at_, now + send_delay);
+}
+
+void crash_replicator::schedule_write(crash_key const& key, time_point at)
+{
+    if (stored_rows_.count(key) > 0)
+        return;
+    time_point& write_at = pending_rows_.try_emplace(key, never).first->second;
+    write_at = std::min(write_at, at);
+}
+
+void crash_replicator::schedule_write_if_repeated(request_digest const& request,
+                                                  time_point now)
+{
+    std::vector<crash_observation> const seen = record_.observations(request);
+    if (seen.size() < write_threshold)
+        return;
+    time_point const at = observed_here_.count(request) > 0
+                              ? now
+                              : now + jitter_.about(received_write_delay);
+    for (crash_observation const& each : seen)
+        schedule_write({request, each.crashed}, at);
+}
+
+void crash_replicator::discard_pending(request_digest const& request)
+{
+    observed_here_.erase(request);
+    std::erase_if(outbox_.seen, [&](crash_observation const& each)
+                  { return each.request == request; });
+    std::erase_if(pending_rows_, [&](auto const& each)
+                  { return each.first.request == request; });
+}
+
+void crash_replicator::on_answered(request_digest const& request,
+                                   time_point now)
+{
+    if (!record_.is_suspect(request))
+        return;
+    bool const known_to_others =
+        record_.observations(request).size() >= write_threshold;
+    record_.clear(request, now);
+    discard_pending(request);
+    for (auto row = stored_rows_.lower_bound({request, {}});
+         row != stored_rows_.end() && row->first.request == request; ++row)
+        row->second = now;
+    if (!known_to_others)
+        return;
+    outbox_.answered.push_back(request);
+    send_at_ = std::min(send_at_, now + send_delay);
+}
+
+void crash_replicator::on_crash_update(crash_update const& update,
+                                       time_point now)
+{
+    for (crash_observation const& each : update.seen)
+        add_observation(each, now);
+    for (request_digest const& each : update.answered)
+    {
+        record_.clear(each, now);
+        discard_pending(each);
+    }
+}
+
+void crash_replicator::on_update_sent(crash_update const& update, bool by_all,
+                                      time_point now)
+{
+    if (by_all)
+        return;
+    for (crash_observation const& each : update.seen)
+        if (record_.is_suspect(each.request))
+            schedule_write({each.request, each.crashed}, now);
+}
+
+void crash_replicator::on_row(crash_observation const& seen, time_point now)
+{
+    crash_key const key{seen.request, seen.crashed};
+    pending_rows_.erase(key);
+    if (stored_rows_.count(key) > 0 ||
+        stored_rows_.size() >= limits_.max_entries)
+        return;
+    add_observation(seen, now);
+    expire_at_ = std::min(expire_at_, now + expire_interval);
+    bool const counts = record_.is_suspect(seen.request);
+    stored_rows_[key] = counts ? seen.at + limits_.retention +
+                                     jitter_.about(expired_row_delete_delay)
+                               : now + jitter_.about(cleared_row_delete_delay);
+}
+
+void crash_replicator::on_row_deleted(crash_key const& key)
+{
+    if (stored_rows_.erase(key) > 0)
+        record_.remove(key.request, key.crashed);
+}
+
+void crash_replicator::on_written(bool done, time_point now)
+{
+    write_in_progress_ = false;
+    if (!done)
+    {
+        write_at_ = now + write_retry;
+        return;
+    }
+    for (crash_observation const& each : current_write_.put)
+    {
+        crash_key const key{each.request, each.crashed};
+        pending_rows_.erase(key);
+        stored_rows_[key] = each.at + limits_.retention +
+                            jitter_.about(expired_row_delete_delay);
+    }
+    for (crash_key const& each : current_write_.drop)
+        stored_rows_.erase(each);
+}
+
+write_crash_rows crash_replicator::due_changes(time_point now) const
+{
+    write_crash_rows made;
+    for (auto const& [key, write_at] : pending_rows_)
+        if (write_at <= now && made.put.size() < max_row_changes)
+            if (auto const seen = record_.find(key.request, key.crashed))
+                made.put.push_back(*seen);
+    for (auto const& [key, drop_at] : stored_rows_)
+        if (drop_at <= now && made.drop.size() < max_row_changes)
+            made.drop.push_back(key);
+    return made;
+}
+
+std::vector<crash_action> crash_replicator::run(time_point now)
+{
+    std::vector<crash_action> actions;
+    if (now >= expire_at_)
+    {
+        record_.expire(now);
+        auto const counts = [this](request_digest const& request)
+        { return record_.is_suspect(request); };
+        std::erase_if(observed_here_,
+                      [&](auto const& each) { return !counts(each); });
+        expire_at_ = record_.empty() && stored_rows_.empty()
+                         ? never
+                         : now + expire_interval;
+    }
+    if (now >= send_at_)
+    {
+        send_at_ = never;
+        if (!outbox_.empty())
+            actions.push_back(send_crash_update{std::exchange(outbox_, {})});
+    }
+    if (write_in_progress_ || now < write_at_)
+        return actions;
+    std::erase_if(
+        pending_rows_, [this](auto const& each)
+        { return !record_.find(each.first.request, each.first.crashed); });
+    current_write_ = due_changes(now);
+    write_in_progress_ =
+        !current_write_.put.empty() || !current_write_.drop.empty();
+    if (write_in_progress_)
+        actions.push_back(current_write_);
+    return actions;
+}
+
+time_point crash_replicator::next_due() const
+{
+    time_point next = std::min(send_at_, expire_at_);
+    if (write_in_progress_)
+        return next;
+    for (auto const& [key, write_at] : pending_rows_)
+        next = std::min(next, std::max(write_at, write_at_));
+    return next;
+}
+
+} // namespace mulberry
--- a/src/crash_keeper.hpp
+++ b/src/crash_replicator.hpp
@@ -1,6 +1,6 @@
 /// Replicates observations of worker crashes between the VMs and the store.
-#ifndef MULBERRY_CRASH_KEEPER_HPP
-#define MULBERRY_CRASH_KEEPER_HPP
+#ifndef MULBERRY_CRASH_REPLICATOR_HPP
+#define MULBERRY_CRASH_REPLICATOR_HPP
 
 #include "crash_record.hpp"
 #include "jitter.hpp"
@@ -16,40 +16,40 @@
 {
 
 /// What VMs send each other about crashes. Value.
-struct crash_news
+struct crash_update
 {
-    std::vector<crash_sighting> seen;
+    std::vector<crash_observation> seen;
     /// Requests that a worker answered completely although crashes counted
     /// against them.
     std::vector<request_digest> answered;
 
     bool empty() const { return seen.empty() && answered.empty(); }
-    friend bool operator==(crash_news const&, crash_news const&) = default;
+    friend bool operator==(crash_update const&, crash_update const&) = default;
 };
 
 /// Identifies an observation and its row in the store. Value.
 struct crash_key
 {
     request_digest request;
-    worker_life crashed;
+    worker_incarnation crashed;
     friend auto operator<=>(crash_key const&, crash_key const&) = default;
 };
 
-/// Send `news` to every other VM and report the outcome to told().
-struct tell_vms
+/// Send `update` to every other VM and report the outcome to on_update_sent().
+struct send_crash_update
 {
-    crash_news news;
+    crash_update update;
 };
 
 /// Change rows of the store in one transaction and report the outcome to
 /// on_written(). At most one is pending at a time.
-struct write_crashes
+struct write_crash_rows
 {
-    std::vector<crash_sighting> put;
+    std::vector<crash_observation> put;
     std::vector<crash_key> drop;
 };
 
-using crash_action = std::variant<tell_vms, write_crashes>;
+using crash_action = std::variant<send_crash_update, write_crash_rows>;
 
 /// An observation is sent to the other VMs at once. It is written to the store
 /// when a second crash counts against its request, so that restarted VMs learn
@@ -57,28 +57,29 @@
 /// store. A VM that only received the observation writes it later, and only if
 /// no other VM has written it by then. Requests that were in progress at no
 /// crash cause no messages. Thread safety: none. No I/O, no clock.
-class crash_keeper
+class crash_replicator
 {
 public:
-    crash_keeper(crash_limits limits, std::uint64_t seed)
+    crash_replicator(crash_limits limits, std::uint64_t seed)
         : record_(limits), limits_(limits), jitter_(seed)
     {
     }
 
     /// A worker crashed with requests of this VM in progress.
-    void on_crash(std::vector<crash_sighting> const& seen, time_point now);
+    void on_crash(std::vector<crash_observation> const& seen, time_point now);
     /// A worker answered a request of this VM completely.
     void on_answered(request_digest const& request, time_point now);
-    /// Another VM sent `news`.
-    void on_news(crash_news const& news, time_point now);
-    /// Outcome of tell_vms. `by_all`: every other VM accepted `news`, and there
-    /// is at least one other VM.
-    void told(crash_news const& news, bool by_all, time_point now);
+    /// Another VM sent `update`.
+    void on_crash_update(crash_update const& update, time_point now);
+    /// Outcome of send_crash_update. `by_all`: every other VM accepted `update`,
+    /// and there is at least one other VM.
+    void on_update_sent(crash_update const& update, bool by_all,
+                        time_point now);
     /// A row was read from the store.
-    void on_row(crash_sighting const& seen, time_point now);
+    void on_row(crash_observation const& seen, time_point now);
     /// A row was deleted from the store.
-    void on_row_dropped(crash_key const& key);
-    /// Outcome of write_crashes; a write that failed is retried.
+    void on_row_deleted(crash_key const& key);
+    /// Outcome of write_crash_rows; a write that failed is retried.
     void on_written(bool done, time_point now);
 
     /// Returns the actions that are due. To be called after each event and at
@@ -91,29 +92,30 @@
     crash_record const& record() const { return record_; }
 
 private:
-    void take(crash_sighting const& seen, time_point now);
-    void save_if_repeated(request_digest const& request, time_point now);
+    void add_observation(crash_observation const& seen, time_point now);
+    void schedule_write_if_repeated(request_digest const& request,
+                                    time_point now);
     /// Schedules a write of the row, at `at` or earlier.
-    void save(crash_key const& key, time_point at);
+    void schedule_write(crash_key const& key, time_point at);
     /// Drops what is queued to be sent or written about the request.
-    void forget(request_digest const& request);
+    void discard_pending(request_digest const& request);
     /// The row changes that are due.
-    write_crashes changes(time_point now) const;
+    write_crash_rows due_changes(time_point now) const;
 
     crash_record record_;
     crash_limits const limits_;
     jitter jitter_;
-    crash_news outbox_;
-    time_point tell_at_ = never;
+    crash_update outbox_;
+    time_point send_at_ = never;
     /// Requests of this VM that were in progress at a crash.
-    std::set<request_digest> own_;
+    std::set<request_digest> observed_here_;
     /// Rows to be written, each with the earliest time of the write.
-    std::map<crash_key, time_point> unsaved_;
+    std::map<crash_key, time_point> pending_rows_;
     /// Rows in the store, each with the time at which this VM deletes it.
-    std::map<crash_key, time_point> saved_;
-    /// The transaction in progress, if `writes_`.
-    write_crashes writing_;
-    bool writes_ = false;
+    std::map<crash_key, time_point> stored_rows_;
+    /// The transaction in progress, if `write_in_progress_`.
+    write_crash_rows current_write_;
+    bool write_in_progress_ = false;
     /// No write is started before this time.
     time_point write_at_{};
     time_point expire_at_ = never;
--- a/src/crash_row.cpp
+++ b/src/crash_row.cpp
@@ -41,7 +41,8 @@
                        key.crashed.started.value(), key.crashed.worker.str());
 }
 
-std::string crash_row_text(crash_sighting const& seen, clock_pair const& clock)
+std::string crash_row_text(crash_observation const& seen,
+                           clock_pair const& clock)
 {
     Json::Value json;
     json["at_ms"] = Json::UInt64(to_unix_ms(seen.at, clock));
@@ -72,9 +73,9 @@
                       worker_start(started)}};
 }
 
-std::optional<crash_sighting> parse_crash_row(std::string const& key,
-                                              std::string const& text,
-                                              clock_pair const& clock)
+std::optional<crash_observation> parse_crash_row(std::string const& key,
+                                                 std::string const& text,
+                                                 clock_pair const& clock)
 {
     auto const parsed = parse_crash_key(key);
     auto const json = parse_row_text(text);
@@ -84,9 +85,9 @@
     auto const sent_ms = number_member(*json, "sent_ms");
     if (!at_ms || !sent_ms)
         return std::nullopt;
-    return crash_sighting{parsed->request, parsed->crashed,
-                          from_unix_ms(*sent_ms, clock),
-                          from_unix_ms(*at_ms, clock)};
+    return crash_observation{parsed->request, parsed->crashed,
+                             from_unix_ms(*sent_ms, clock),
+                             from_unix_ms(*at_ms, clock)};
 }
 
 } // namespace mulberry
--- a/src/crash_row.hpp
+++ b/src/crash_row.hpp
@@ -2,7 +2,7 @@
 #ifndef MULBERRY_CRASH_ROW_HPP
 #define MULBERRY_CRASH_ROW_HPP
 
-#include "crash_keeper.hpp"
+#include "crash_replicator.hpp"
 #include "time_point.hpp"
 
 #include <chrono>
@@ -26,15 +26,16 @@
 /// crash/DIGEST/STARTED/WORKER
 std::string crash_row_key(crash_key const& key);
 /// {"at_ms": UNIX, "sent_ms": UNIX}, in milliseconds since the Unix epoch.
-std::string crash_row_text(crash_sighting const& seen, clock_pair const& clock);
+std::string crash_row_text(crash_observation const& seen,
+                           clock_pair const& clock);
 
 /// Returns nullopt if `key` is not the key of a crash row.
 std::optional<crash_key> parse_crash_key(std::string const& key);
 /// Returns nullopt if `key` or `text` is malformed. Times in the future are
 /// replaced by the present time.
-std::optional<crash_sighting> parse_crash_row(std::string const& key,
-                                              std::string const& text,
-                                              clock_pair const& clock);
+std::optional<crash_observation> parse_crash_row(std::string const& key,
+                                                 std::string const& text,
+                                                 clock_pair const& clock);
 
 } // namespace mulberry
 
--- a/src/peer_ask.cpp
+++ b/src/peer_ask.cpp
@@ -115,7 +115,7 @@
     return ask;
 }
 
-Json::Value crash_json(crash_sighting const& seen, time_point now)
+Json::Value crash_json(crash_observation const& seen, time_point now)
 {
     Json::Value json(Json::arrayValue);
     json.append(seen.request.str());
@@ -126,21 +126,21 @@
     return json;
 }
 
-std::optional<crash_sighting> parse_crash(Json::Value const& json,
+std::optional<crash_observation> parse_crash(Json::Value const& json,
                                           time_point now)
 {
     if (!json.isArray() || json.size() != crash_fields || !json[0].isString() ||
         !json[1].isString() || !json[2].isUInt64() || !json[3].isUInt64() ||
         !json[4].isUInt64())
         return std::nullopt;
-    return crash_sighting{
+    return crash_observation{
         request_digest(json[0].asString()),
         {worker_id(json[1].asString()), worker_start(json[2].asUInt64())},
         now - parse_ms(json[3]),
         now - parse_ms(json[4])};
 }
 
-bool parse_crashes(Json::Value const& json, time_point now, crash_news& into)
+bool parse_crashes(Json::Value const& json, time_point now, crash_update& into)
 {
     Json::Value const& seen = json["crashes"];
     Json::Value const& answered = json["answered"];
@@ -179,7 +179,7 @@
         pair.append(static_cast<int>(done.outcome));
         json["done"].append(std::move(pair));
     }
-    for (crash_sighting const& each : message.crashes.seen)
+    for (crash_observation const& each : message.crashes.seen)
         json["crashes"].append(crash_json(each, now));
     for (request_digest const& each : message.crashes.answered)
         json["answered"].append(each.str());
--- a/src/peer_ask.hpp
+++ b/src/peer_ask.hpp
@@ -14,11 +14,11 @@
 /// The head of the answer comes at once, the rest when the adapter is there
 /// and the worker has room, or when that is not to be. A call without a worker
 /// only tells what is over and which requests were in progress at workers that
-/// crashed; see crash_keeper.hpp.
+/// crashed; see crash_replicator.hpp.
 #ifndef MULBERRY_PEER_ASK_HPP
 #define MULBERRY_PEER_ASK_HPP
 
-#include "crash_keeper.hpp"
+#include "crash_replicator.hpp"
 #include "ids.hpp"
 #include "relay_request.hpp"
 #include "time_point.hpp"
@@ -72,7 +72,7 @@
     std::optional<peer_ask> ask;
     std::vector<peer_done> done;
     /// Moments are told as ages: the clocks of two VMs have different epochs.
-    crash_news crashes;
+    crash_update crashes;
     friend bool operator==(peer_call const&, peer_call const&) = default;
 };
 
--- a/src/relay.cmake
+++ b/src/relay.cmake
@@ -1,7 +1,7 @@
 # The relay's decisions: routes, waiting, placing, turning away, orders,
 # health, repeats. No I/O.
 mulberry_library(mulberry_scheduling
-  SOURCES adapter_releases.cpp adapter_sightings.cpp allotment_pool.cpp crash_keeper.cpp crash_record.cpp equal_allotment.cpp
+  SOURCES adapter_releases.cpp adapter_sightings.cpp allotment_pool.cpp crash_replicator.cpp crash_record.cpp equal_allotment.cpp
           pooled_allotment.cpp prompt_copy.cpp reader_choice.cpp
           reading_pace.cpp relay_request.cpp remote_clock.cpp
           retry_allowance.cpp route_table.cpp row_copy.cpp
@@ -11,7 +11,7 @@
           worker_adapters.cpp worker_health.cpp worker_notices.cpp worker_reading.cpp
   LINK mulberry_policy)
 mulberry_test(scheduling_test
-  SOURCES adapter_releases_test.cpp adapter_sightings_test.cpp allotment_pool_test.cpp crash_keeper_test.cpp crash_record_test.cpp crash_world.cpp reader_choice_test.cpp reading_pace_test.cpp
+  SOURCES adapter_releases_test.cpp adapter_sightings_test.cpp allotment_pool_test.cpp crash_replicator_test.cpp crash_record_test.cpp crash_world.cpp reader_choice_test.cpp reading_pace_test.cpp
           pooled_allotment_test.cpp prompt_copy_test.cpp relay_request_test.cpp
           remote_clock_test.cpp retry_allowance_test.cpp route_table_test.cpp
           row_copy_test.cpp scheduler_world.cpp
@@ -21,7 +21,7 @@
   LINK mulberry_scheduling)
 # The relay: callers' requests in, workers' answers out.
 mulberry_library(mulberry_relay
-  SOURCES backend_pool.cpp collected_exchange.cpp crash_row.cpp crash_watch.cpp event_log.cpp event_splitter.cpp
+  SOURCES backend_pool.cpp collected_exchange.cpp crash_row.cpp crash_detector.cpp event_log.cpp event_splitter.cpp
           ownership_runner.cpp peer_allotment.cpp peer_ask.cpp peer_rows.cpp registry_watch.cpp relay.cpp relay_admission.cpp
           relay_daemon.cpp
           relay_exchange.cpp relay_metrics.cpp relay_orders.cpp
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -320,8 +320,8 @@
 
 void relay::send_ended(relay_exchange& exchange, send_outcome outcome)
 {
-    if (exchange.answered_whole() && !crashes_.idle())
-        crashes_.answered(exchange.identity());
+    if (exchange.answered_whole() && !crashes_.has_no_suspects())
+        crashes_.on_answered(exchange.identity());
     free_place(exchange, outcome);
 }
 
@@ -348,7 +348,7 @@
                     [&](backend_entry const& each)
                     { return each.id == worker.id && !each.draining; });
     if (stays)
-        crashes_.broke_off(exchange.request().id, exchange.identity(), worker,
+        crashes_.on_connection_lost(exchange.request().id, exchange.identity(), worker,
                            exchange.sent_at());
     log_.notable("worker broke off",
                  log_fields()
--- a/src/relay.hpp
+++ b/src/relay.hpp
@@ -3,7 +3,7 @@
 #define MULBERRY_RELAY_HPP
 
 #include "allotment_keeper.hpp"
-#include "crash_watch.hpp"
+#include "crash_detector.hpp"
 #include "due_index.hpp"
 #include "event_log.hpp"
 #include "latency_meter.hpp"
@@ -51,7 +51,7 @@
     std::uint64_t seed = 1;
     start_limits start;
     /// What is known of requests that crash workers.
-    crash_watch_options crashes;
+    crash_detector_options crashes;
 };
 
 /// Counts since the start; only rise. Value.
@@ -153,7 +153,7 @@
     void note(relay_exchange const& exchange, std::string_view event,
               std::string_view reason) override;
     void finished(relay_exchange& exchange, relay_outcome outcome) override;
-    void tell_all(crash_news const& news,
+    void broadcast(crash_update const& news,
                   std::function<void(bool by_all)> done) override;
 
 private:
@@ -283,7 +283,7 @@
     std::shared_ptr<routing_config const> config_;
     std::map<service_id, service_state> services_;
     std::vector<backend_entry> backends_;
-    crash_watch crashes_;
+    crash_detector crashes_;
     bool backends_known_ = false;
     start_hold const start_;
     std::vector<early_request> early_;
--- a/src/relay_admission.cpp
+++ b/src/relay_admission.cpp
@@ -148,9 +148,9 @@
 
 std::optional<error> relay::refused_for_crashes(relay_exchange const& exchange)
 {
-    if (crashes_.idle())
+    if (crashes_.has_no_suspects())
         return std::nullopt;
-    auto const held = crashes_.quarantine_of(exchange.identity());
+    auto const held = crashes_.find_quarantine(exchange.identity());
     if (!held)
         return std::nullopt;
     crashes_.count_refused();
--- a/src/relay_peers.cpp
+++ b/src/relay_peers.cpp
@@ -114,7 +114,7 @@
     for (peer_done const& done : message->done)
         forget_peer_request(ticket_id(done.grant), done.outcome);
     if (!message->crashes.empty())
-        crashes_.on_news(message->crashes);
+        crashes_.on_crash_update(message->crashes);
     if (!message->ask)
         return answer->respond(json_response(status_ok, encode_peer_reply({})));
     peer_ask const& ask = *message->ask;
@@ -303,7 +303,7 @@
     run_soon();
 }
 
-void relay::tell_all(crash_news const& news,
+void relay::broadcast(crash_update const& news,
                      std::function<void(bool by_all)> done)
 {
     struct round
--- a/src/relay_settings.cpp
+++ b/src/relay_settings.cpp
@@ -79,11 +79,11 @@
 void read_crashes(json_object& root, crash_limits& value)
 {
     root.read_count("crash_limit", value.crashes, {1, 100}, optional);
-    double memory = std::chrono::duration<double>(value.memory).count();
+    double memory = std::chrono::duration<double>(value.retention).count();
     root.read_number("crash_memory_s", memory, {1.0, 86'400.0}, optional);
-    value.memory = std::chrono::duration_cast<duration>(
+    value.retention = std::chrono::duration_cast<duration>(
         std::chrono::duration<double>(memory));
-    root.read_count("crash_records", value.most, {16, 1'000'000}, optional);
+    root.read_count("crash_records", value.max_entries, {16, 1'000'000}, optional);
 }
 
 } // namespace
--- a/tests/crash_record_test.cpp
+++ b/tests/crash_record_test.cpp
@@ -14,13 +14,13 @@
 request_digest const bad("bad");
 request_digest const other("other");
 
-worker_life life(int number)
+worker_incarnation life(int number)
 {
     return {worker_id("w" + std::to_string(number)), worker_start(1)};
 }
 
 /// The request was sent to worker `number` 60 ms before the worker crashed.
-crash_sighting seen(request_digest const& request, int number, time_point at)
+crash_observation seen(request_digest const& request, int number, time_point at)
 {
     return {request, life(number), at - 60ms, at};
 }
@@ -55,7 +55,7 @@
     for (int again = 1; again < 5; ++again)
         CHECK_FALSE(record.add(seen(bad, 0, start + again * 1s), start));
     CHECK(record.crashes(bad, start) == 1);
-    CHECK(record.sightings(bad).front().at == start);
+    CHECK(record.observations(bad).front().at == start);
 }
 
 // Guards against counting crashes of a restarted worker once because its id
@@ -65,7 +65,7 @@
     crash_record record({3, 10min, 100});
     for (unsigned number = 0; number < 3; ++number)
     {
-        crash_sighting again = seen(bad, 0, start + number * 1s);
+        crash_observation again = seen(bad, 0, start + number * 1s);
         again.crashed.started = worker_start(number + 1);
         record.add(again, start + 3s);
     }
@@ -139,7 +139,7 @@
     crash_record record({3, 10min, 1000});
     for (int number = 0; number < 500; ++number)
         record.add(seen(bad, number, start + number * 1s), start + 500s);
-    CHECK(record.sightings(bad).size() == 24);
+    CHECK(record.observations(bad).size() == 24);
     CHECK(record.quarantined_until(bad, start + 500s) == start + 497s + 10min);
 }
 
@@ -152,11 +152,11 @@
         record.add(seen(request_digest("r" + std::to_string(number)),
                         100 + number % 20, start + 4s),
                    start + 4s);
-    CHECK(record.suspected() <= 50);
+    CHECK(record.suspect_count() <= 50);
     CHECK(record.quarantined_until(bad, start + 4s));
     for (int number = 0; number < 1000; ++number)
         record.add(seen(request_digest("s" + std::to_string(number)),
                         200 + number, start + 5s),
                    start + 5s);
-    CHECK(record.suspected() <= 50);
+    CHECK(record.suspect_count() <= 50);
 }
--- a/tests/crash_keeper_test.cpp
+++ b/tests/crash_replicator_test.cpp
@@ -11,7 +11,7 @@
 
 /// Time within which a VM that reaches the store or the other VMs has to learn
 /// of a crash.
-constexpr duration contact = 3s;
+constexpr duration detection_bound = 3s;
 
 } // namespace
 
@@ -26,7 +26,7 @@
         world.crash(static_cast<std::size_t>(number), number, {"bad"});
         world.pass(700ms);
     }
-    CHECK(world.refused_by_all("bad"));
+    CHECK(world.is_refused_by_all("bad"));
 }
 
 TEST_CASE("all VMs of a large fleet quarantine a request within the bound",
@@ -38,8 +38,8 @@
         world.crash(static_cast<std::size_t>(number) * 60, number, {"bad"});
         world.pass(100ms);
     }
-    world.pass(contact);
-    CHECK(world.refused_by_all("bad"));
+    world.pass(detection_bound);
+    CHECK(world.is_refused_by_all("bad"));
 }
 
 // Guards against a restarted VM sending a quarantined request again because its
@@ -53,11 +53,11 @@
     world.pass(1s);
     world.restart(2);
     world.crash(3, 2, {"bad"});
-    world.pass(contact);
-    CHECK(world.refused_by_all("bad"));
+    world.pass(detection_bound);
+    CHECK(world.is_refused_by_all("bad"));
     for (std::size_t vm = 0; vm < 4; ++vm)
         world.restart(vm);
-    CHECK(world.refused_by_all("bad"));
+    CHECK(world.is_refused_by_all("bad"));
 }
 
 // Guards against losing crashes when the VMs that saw them restart: both VMs
@@ -72,8 +72,8 @@
     world.pass(500ms);
     world.restart(1);
     world.crash(2, 2, {"bad"});
-    world.pass(contact);
-    CHECK(world.refused_by_all("bad"));
+    world.pass(detection_bound);
+    CHECK(world.is_refused_by_all("bad"));
 }
 
 // Guards against a VM that reaches the store but no other VM continuing to send
@@ -82,7 +82,7 @@
           "[crash_keeper]")
 {
     crash_world world(4);
-    world.cut(3);
+    world.isolate(3);
     SECTION("the others see all crashes")
     {
         for (int number = 0; number < 3; ++number)
@@ -109,26 +109,26 @@
         world.pass(1300ms);
         world.crash(1, 2, {"bad"});
     }
-    world.pass(contact);
-    CHECK(world.refused_by_all("bad"));
+    world.pass(detection_bound);
+    CHECK(world.is_refused_by_all("bad"));
 }
 
 TEST_CASE("VMs share crashes while the store is unavailable", "[crash_keeper]")
 {
     crash_world world(5);
-    world.set_store_away(true);
+    world.set_store_unavailable(true);
     for (int number = 0; number < 3; ++number)
     {
         world.crash(static_cast<std::size_t>(number), number, {"bad"});
         world.pass(400ms);
     }
-    CHECK(world.refused_by_all("bad"));
+    CHECK(world.is_refused_by_all("bad"));
     // Writes that failed are retried when the store is available again.
-    world.set_store_away(false);
+    world.set_store_unavailable(false);
     world.pass(2s);
     for (std::size_t vm = 0; vm < 5; ++vm)
         world.restart(vm);
-    CHECK(world.refused_by_all("bad"));
+    CHECK(world.is_refused_by_all("bad"));
 }
 
 TEST_CASE("crashes seen by a VM without the store reach the others and the "
@@ -142,12 +142,12 @@
         world.crash(0, number, {"bad"});
         world.pass(400ms);
     }
-    CHECK(world.refused_by_all("bad"));
+    CHECK(world.is_refused_by_all("bad"));
     // One of the other VMs writes the rows that the first VM cannot write.
     world.pass(10s);
     CHECK(world.rows() == 3);
     world.restart(1);
-    CHECK(world.refused(1, "bad"));
+    CHECK(world.is_refused(1, "bad"));
 }
 
 // Guards against quarantining harmless requests that were in progress at the
@@ -167,10 +167,10 @@
         world.answer(static_cast<std::size_t>(number + 3), "polled");
         world.pass(300ms);
     }
-    CHECK(world.refused_by_all("bad"));
-    CHECK_FALSE(world.refused_by_any("polled"));
+    CHECK(world.is_refused_by_all("bad"));
+    CHECK_FALSE(world.is_refused_by_any("polled"));
     for (int each = 0; each < 30; ++each)
-        CHECK_FALSE(world.refused_by_any("r" + std::to_string(each)));
+        CHECK_FALSE(world.is_refused_by_any("r" + std::to_string(each)));
 }
 
 // Guards against quarantining identical reads that run on all workers of a
@@ -182,8 +182,8 @@
     for (int number = 0; number < 14; ++number)
         world.crash(static_cast<std::size_t>(number) % 7, number,
                     {"read", "r" + std::to_string(number)});
-    world.pass(contact);
-    CHECK_FALSE(world.refused_by_any("read"));
+    world.pass(detection_bound);
+    CHECK_FALSE(world.is_refused_by_any("read"));
     // A second and a third domain go down.
     for (int const first : {100, 200})
     {
@@ -192,8 +192,8 @@
         for (int number = 0; number < 14; ++number)
             world.crash(static_cast<std::size_t>(number) % 7, first + number,
                         {"read"});
-        world.pass(contact);
-        CHECK_FALSE(world.refused_by_any("read"));
+        world.pass(detection_bound);
+        CHECK_FALSE(world.is_refused_by_any("read"));
     }
 }
 
@@ -210,15 +210,15 @@
     // The request was sent before the third crash and is answered after it.
     world.crash(2, 2, {"read"});
     world.pass(500ms);
-    CHECK(world.refused_by_all("read"));
+    CHECK(world.is_refused_by_all("read"));
     world.answer(3, "read");
     world.pass(500ms);
-    CHECK_FALSE(world.refused_by_any("read"));
+    CHECK_FALSE(world.is_refused_by_any("read"));
     world.pass(10s);
     CHECK(world.rows() == 0);
     for (std::size_t vm = 0; vm < 5; ++vm)
         world.restart(vm);
-    CHECK_FALSE(world.refused_by_any("read"));
+    CHECK_FALSE(world.is_refused_by_any("read"));
 }
 
 TEST_CASE("requests that are in progress at no crash cause no messages",
@@ -250,10 +250,10 @@
         world.crash(static_cast<std::size_t>(number), number, {"bad"});
         world.pass(300ms);
     }
-    CHECK(world.refused_by_all("bad"));
+    CHECK(world.is_refused_by_all("bad"));
     CHECK(world.rows() == 3);
     world.pass(20s);
-    CHECK_FALSE(world.refused_by_any("bad"));
+    CHECK_FALSE(world.is_refused_by_any("bad"));
     world.pass(90s);
     CHECK(world.rows() == 0);
     for (std::size_t vm = 0; vm < 3; ++vm)
--- a/tests/crash_row_test.cpp
+++ b/tests/crash_row_test.cpp
@@ -11,10 +11,10 @@
 clock_pair const clocks{time_point(1h),
                         std::chrono::system_clock::time_point(1'770'000'000s)};
 
-crash_sighting const seen{request_digest("0af3"),
-                          {worker_id("rack/w1"), worker_start(17)},
-                          clocks.now - 90ms,
-                          clocks.now - 30ms};
+crash_observation const seen{request_digest("0af3"),
+                             {worker_id("rack/w1"), worker_start(17)},
+                             clocks.now - 90ms,
+                             clocks.now - 30ms};
 
 } // namespace
 
--- a/tests/crash_world.cpp
+++ b/tests/crash_world.cpp
@@ -25,16 +25,16 @@
 {
     for (std::size_t vm = 0; vm < vms; ++vm)
     {
-        vms_.push_back(std::make_unique<crash_keeper>(limits_, vm + 1));
+        vms_.push_back(std::make_unique<crash_replicator>(limits_, vm + 1));
         // Spreads the reads of the VMs over the interval.
-        later(row_interval * static_cast<int>(vm) / static_cast<int>(vms),
-              [this, vm] { read_rows(vm); });
+        schedule(row_interval * static_cast<int>(vm) / static_cast<int>(vms),
+                 [this, vm] { read_rows(vm); });
     }
 }
 
-void crash_world::later(duration delay, std::function<void()> happens)
+void crash_world::schedule(duration delay, std::function<void()> callback)
 {
-    events_.push_back({now_ + delay, std::move(happens)});
+    events_.push_back({now_ + delay, std::move(callback)});
 }
 
 void crash_world::pass(duration time)
@@ -48,7 +48,7 @@
         std::move(first, events_.end(), std::back_inserter(due));
         events_.erase(first, events_.end());
         for (event const& each : due)
-            each.happens();
+            each.callback();
         for (std::size_t vm = 0; vm < vms_.size(); ++vm)
             if (vms_[vm]->next_due() <= now_)
                 run(vm);
@@ -58,7 +58,7 @@
 void crash_world::crash(std::size_t vm, int worker,
                         std::vector<std::string> const& requests)
 {
-    std::vector<crash_sighting> seen;
+    std::vector<crash_observation> seen;
     for (std::string const& each : requests)
         seen.push_back(
             {request_digest(each),
@@ -75,7 +75,7 @@
     run(vm);
 }
 
-bool crash_world::refused(std::size_t vm, std::string const& request) const
+bool crash_world::is_refused(std::size_t vm, std::string const& request) const
 {
     return vms_.at(vm)
         ->record()
@@ -83,25 +83,25 @@
         .has_value();
 }
 
-bool crash_world::refused_by_all(std::string const& request) const
+bool crash_world::is_refused_by_all(std::string const& request) const
 {
     for (std::size_t vm = 0; vm < vms_.size(); ++vm)
-        if (!refused(vm, request))
+        if (!is_refused(vm, request))
             return false;
     return true;
 }
 
-bool crash_world::refused_by_any(std::string const& request) const
+bool crash_world::is_refused_by_any(std::string const& request) const
 {
     for (std::size_t vm = 0; vm < vms_.size(); ++vm)
-        if (refused(vm, request))
+        if (is_refused(vm, request))
             return true;
     return false;
 }
 
 void crash_world::restart(std::size_t vm)
 {
-    vms_.at(vm) = std::make_unique<crash_keeper>(limits_, vm + 100);
+    vms_.at(vm) = std::make_unique<crash_replicator>(limits_, vm + 100);
     seen_rows_.at(vm).clear();
     if (reaches_store(vm))
         for (auto const& [key, seen] : rows_)
@@ -114,21 +114,21 @@
 
 bool crash_world::reaches_store(std::size_t vm) const
 {
-    return !store_away_ && no_store_.count(vm) == 0;
+    return !store_unavailable_ && cut_from_store_.count(vm) == 0;
 }
 
 void crash_world::run(std::size_t vm)
 {
     for (crash_action const& action : vms_[vm]->run(now_))
     {
-        if (auto const* told = std::get_if<tell_vms>(&action))
-            tell(vm, told->news);
+        if (auto const* sent = std::get_if<send_crash_update>(&action))
+            send_update(vm, sent->update);
         else
-            write(vm, std::get<write_crashes>(action));
+            write(vm, std::get<write_crash_rows>(action));
     }
 }
 
-void crash_world::tell(std::size_t from, crash_news const& news)
+void crash_world::send_update(std::size_t from, crash_update const& update)
 {
     bool by_all = vms_.size() > 1;
     for (std::size_t to = 0; to < vms_.size(); ++to)
@@ -136,48 +136,48 @@
         if (to == from)
             continue;
         ++messages_;
-        if (cut_.count(from) + cut_.count(to) > 0)
+        if (isolated_.count(from) + isolated_.count(to) > 0)
         {
             by_all = false;
             continue;
         }
-        later(message_time,
-              [this, to, news]
-              {
-                  vms_[to]->on_news(news, now_);
-                  run(to);
-              });
+        schedule(message_time,
+                 [this, to, update]
+                 {
+                     vms_[to]->on_crash_update(update, now_);
+                     run(to);
+                 });
     }
-    later(by_all ? message_time * 2 : peer_timeout,
-          [this, from, news, by_all]
-          {
-              vms_[from]->told(news, by_all, now_);
-              run(from);
-          });
+    schedule(by_all ? message_time * 2 : peer_timeout,
+             [this, from, update, by_all]
+             {
+                 vms_[from]->on_update_sent(update, by_all, now_);
+                 run(from);
+             });
 }
 
-void crash_world::write(std::size_t vm, write_crashes const& changes)
+void crash_world::write(std::size_t vm, write_crash_rows const& changes)
 {
     ++writes_;
     bool const done = reaches_store(vm);
     if (done)
     {
-        for (crash_sighting const& each : changes.put)
+        for (crash_observation const& each : changes.put)
             rows_[{each.request, each.crashed}] = each;
         for (crash_key const& each : changes.drop)
             rows_.erase(each);
     }
-    later(store_time,
-          [this, vm, done]
-          {
-              vms_[vm]->on_written(done, now_);
-              run(vm);
-          });
+    schedule(store_time,
+             [this, vm, done]
+             {
+                 vms_[vm]->on_written(done, now_);
+                 run(vm);
+             });
 }
 
 void crash_world::read_rows(std::size_t vm)
 {
-    later(row_interval, [this, vm] { read_rows(vm); });
+    schedule(row_interval, [this, vm] { read_rows(vm); });
     if (!reaches_store(vm))
         return;
     std::set<crash_key> present;
@@ -188,7 +188,7 @@
     }
     for (crash_key const& each : seen_rows_[vm])
         if (present.count(each) == 0)
-            vms_[vm]->on_row_dropped(each);
+            vms_[vm]->on_row_deleted(each);
     seen_rows_[vm] = std::move(present);
     run(vm);
 }
--- a/tests/crash_world.hpp
+++ b/tests/crash_world.hpp
@@ -3,7 +3,7 @@
 #ifndef MULBERRY_TESTS_CRASH_WORLD_HPP
 #define MULBERRY_TESTS_CRASH_WORLD_HPP
 
-#include "crash_keeper.hpp"
+#include "crash_replicator.hpp"
 
 #include <cstddef>
 #include <functional>
@@ -34,20 +34,20 @@
     void answer(std::size_t vm, std::string const& request);
 
     /// Whether the request is quarantined at the VM.
-    bool refused(std::size_t vm, std::string const& request) const;
-    bool refused_by_all(std::string const& request) const;
-    bool refused_by_any(std::string const& request) const;
+    bool is_refused(std::size_t vm, std::string const& request) const;
+    bool is_refused_by_all(std::string const& request) const;
+    bool is_refused_by_any(std::string const& request) const;
 
     /// The VM loses its state and reads the rows of the store, if the store is
     /// reachable.
     void restart(std::size_t vm);
     /// Drops all messages between the VM and the other VMs.
-    void cut(std::size_t vm) { cut_.insert(vm); }
-    /// Ends cut().
-    void join(std::size_t vm) { cut_.erase(vm); }
-    void set_store_away(bool away) { store_away_ = away; }
+    void isolate(std::size_t vm) { isolated_.insert(vm); }
+    /// Ends isolate().
+    void reconnect(std::size_t vm) { isolated_.erase(vm); }
+    void set_store_unavailable(bool away) { store_unavailable_ = away; }
     /// Makes the store unreachable from the VM.
-    void cut_from_store(std::size_t vm) { no_store_.insert(vm); }
+    void cut_from_store(std::size_t vm) { cut_from_store_.insert(vm); }
 
     std::size_t messages() const { return messages_; }
     std::size_t writes() const { return writes_; }
@@ -61,27 +61,27 @@
     struct event
     {
         mulberry::time_point at{};
-        std::function<void()> happens;
+        std::function<void()> callback;
     };
 
-    void later(mulberry::duration delay, std::function<void()> happens);
+    void schedule(mulberry::duration delay, std::function<void()> callback);
     void run(std::size_t vm);
-    void tell(std::size_t from, mulberry::crash_news const& news);
-    void write(std::size_t vm, mulberry::write_crashes const& changes);
+    void send_update(std::size_t from, mulberry::crash_update const& update);
+    void write(std::size_t vm, mulberry::write_crash_rows const& changes);
     /// The periodic read of the crash rows by a VM.
     void read_rows(std::size_t vm);
     bool reaches_store(std::size_t vm) const;
 
     mulberry::crash_limits const limits_;
     mulberry::time_point now_{std::chrono::hours(1)};
-    std::vector<std::unique_ptr<mulberry::crash_keeper>> vms_;
+    std::vector<std::unique_ptr<mulberry::crash_replicator>> vms_;
     /// The rows that each VM found at its last read.
     std::vector<std::set<mulberry::crash_key>> seen_rows_;
     std::vector<event> events_;
-    std::map<mulberry::crash_key, mulberry::crash_sighting> rows_;
-    std::set<std::size_t> cut_;
-    std::set<std::size_t> no_store_;
-    bool store_away_ = false;
+    std::map<mulberry::crash_key, mulberry::crash_observation> rows_;
+    std::set<std::size_t> isolated_;
+    std::set<std::size_t> cut_from_store_;
+    bool store_unavailable_ = false;
     std::size_t messages_ = 0;
     std::size_t writes_ = 0;
 };
