--- a/bench/allotment_fleet.cpp
+++ b/bench/allotment_fleet.cpp
@@ -1,8 +1,8 @@
 #include "allotment_fleet.hpp"
 
 #include "counter_allotment.hpp"
-#include "equal_allotment.hpp"
-#include "pooled_allotment.hpp"
+#include "equal_share_limiter.hpp"
+#include "pooled_limiter.hpp"
 
 #include <fmt/format.h>
 
@@ -91,7 +91,7 @@
 {
     vm_id name;
     unsigned millicores = small_millicores;
-    std::unique_ptr<allotment_keeper> keeper;
+    std::unique_ptr<allotment_limiter> keeper;
     /// Of its process; a reply to an earlier one is lost.
     std::uint64_t life = 1;
     bool up = true;
@@ -149,7 +149,7 @@
     }
 }
 
-std::unique_ptr<allotment_keeper>
+std::unique_ptr<allotment_limiter>
 allotment_fleet::make_keeper(std::size_t index)
 {
     vm_id const self = vms_.at(index)->name;
@@ -157,9 +157,9 @@
     switch (way_)
     {
     case allotment_way::equal:
-        return std::make_unique<equal_allotment>(terms);
+        return std::make_unique<equal_share_limiter>(terms);
     case allotment_way::pooled:
-        return std::make_unique<pooled_allotment>(self, terms);
+        return std::make_unique<pooled_limiter>(self, terms);
     case allotment_way::counters:
         break;
     }
@@ -341,7 +341,7 @@
     fleet_team& of = *teams_.at(team);
     fleet_vm& at = *vms_.at(vm);
     double const units = draw_units();
-    bool const owed = of.reference.take(units, queue_.now()) &&
+    bool const owed = of.reference.try_take(units, queue_.now()) &&
                       queue_.now() >= time_point(warm_up);
     if (owed)
         of.owed += units;
@@ -361,12 +361,12 @@
     fleet_vm& acting = *vms_.at(vm);
     for (allotment_action const& action : acting.keeper->run(queue_.now()))
     {
-        if (auto const* ask = std::get_if<ask_pool>(&action))
+        if (auto const* ask = std::get_if<query_pool>(&action))
         {
             deliver(vm, *ask);
             continue;
         }
-        auto const& settled = std::get<allotment_settled>(action);
+        auto const& settled = std::get<allotment_decision>(action);
         auto const found = acting.pending_requests.find(settled.ticket);
         if (found == acting.pending_requests.end())
             continue;
@@ -411,14 +411,14 @@
     return numbers_.at(vm);
 }
 
-void allotment_fleet::deliver(std::size_t from, ask_pool const& ask)
+void allotment_fleet::deliver(std::size_t from, query_pool const& ask)
 {
     std::size_t const to = number_of(ask.pool);
     std::uint64_t const life = vms_.at(from)->life;
     if (from != to)
     {
         ++messages_;
-        bytes_ += head_bytes + entry_bytes * ask.question.teams.size();
+        bytes_ += head_bytes + entry_bytes * ask.query.teams.size();
     }
     if (!connected(from, to))
     {
@@ -434,7 +434,7 @@
             if (!vms_.at(to)->up)
                 return;
             auto const given =
-                vms_.at(to)->keeper->answer(ask.question, queue_.now());
+                vms_.at(to)->keeper->answer(ask.query, queue_.now());
             bytes_ += from == to ? 0 : head_bytes + entry_bytes * given.size();
             queue_.after(way, [this, from, life, number = ask.number, given]
                          { reply(from, life, number, given); });
--- a/bench/allotment_fleet.hpp
+++ b/bench/allotment_fleet.hpp
@@ -2,7 +2,7 @@
 #ifndef MULBERRY_ALLOTMENT_FLEET_HPP
 #define MULBERRY_ALLOTMENT_FLEET_HPP
 
-#include "allotment_keeper.hpp"
+#include "allotment_limiter.hpp"
 #include "event_queue.hpp"
 #include "token_bucket.hpp"
 
@@ -105,7 +105,7 @@
     };
 
     void add_vms();
-    std::unique_ptr<allotment_keeper> make_keeper(std::size_t index);
+    std::unique_ptr<allotment_limiter> make_keeper(std::size_t index);
     void add_teams();
     void schedule_callers();
     void schedule_trouble();
@@ -113,7 +113,7 @@
     void request(std::size_t team, std::size_t caller);
     double draw_units();
     void act(std::size_t vm);
-    void deliver(std::size_t from, ask_pool const& ask);
+    void deliver(std::size_t from, query_pool const& ask);
     void reply(std::size_t to, std::uint64_t life, std::uint64_t number,
                std::optional<allotment_reply> const& given);
     void wake(std::size_t vm);
--- a/bench/counter_allotment.cpp
+++ b/bench/counter_allotment.cpp
@@ -63,14 +63,14 @@
     auto const found = teams_.find(team);
     if (found == teams_.end())
     {
-        actions_.emplace_back(allotment_settled{ticket, std::nullopt});
+        actions_.emplace_back(allotment_decision{ticket, std::nullopt});
         return;
     }
     team_state& state = found->second;
     refill(state, now);
     if (state.level < std::min(units, state.limit.burst))
     {
-        actions_.emplace_back(allotment_settled{
+        actions_.emplace_back(allotment_decision{
             ticket, error(error_kind::over_allotment, "used up", ran::no,
                           milliseconds(500))});
         return;
@@ -78,7 +78,7 @@
     state.level -= units;
     counter& own = state.counters[self_];
     own = {own.units + units, now};
-    actions_.emplace_back(allotment_settled{ticket, std::nullopt});
+    actions_.emplace_back(allotment_decision{ticket, std::nullopt});
 }
 
 void counter_allotment::give_back(team_id const& /*team*/, double /*units*/,
@@ -86,10 +86,10 @@
 {
 }
 
-allotment_reply counter_allotment::answer(allotment_question const& question,
+allotment_reply counter_allotment::answer(allotment_query const& query,
                                           time_point now)
 {
-    for (team_question const& told : question.teams)
+    for (team_query const& told : query.teams)
     {
         auto const slash = told.team.str().find('/');
         auto const found =
@@ -99,11 +99,11 @@
             continue;
         team_state& state = found->second;
         counter& known = state.counters[of];
-        if (told.most <= known.units)
+        if (told.max_units <= known.units)
             continue;
         refill(state, now);
-        state.level -= told.most - known.units;
-        known = {told.most, now};
+        state.level -= told.max_units - known.units;
+        known = {told.max_units, now};
     }
     return {};
 }
@@ -113,20 +113,20 @@
     if (now >= tell_at_ && !others_.empty())
     {
         tell_at_ = now + random_.about(tell_interval);
-        allotment_question question{self_, {}, {}};
+        allotment_query query{self_, {}, {}};
         for (auto const& [name, state] : teams_)
             for (auto const& [vm, known] : state.counters)
                 if (known.rose_at + told_span > now)
-                    question.teams.push_back(
+                    query.teams.push_back(
                         {team_id(vm.str() + "/" + name.str()), 0, 0,
                          known.units});
         auto const count = static_cast<std::size_t>(
             std::ceil(std::log(double(others_.size()) + 1) + 2));
-        for (std::size_t sent = 0; sent < count && !question.teams.empty();
+        for (std::size_t sent = 0; sent < count && !query.teams.empty();
              ++sent)
             actions_.emplace_back(
-                ask_pool{others_.at(random_.next() % others_.size()),
-                         ++last_number_, question});
+                query_pool{others_.at(random_.next() % others_.size()),
+                         ++last_number_, query});
     }
     return std::exchange(actions_, {});
 }
--- a/bench/counter_allotment.hpp
+++ b/bench/counter_allotment.hpp
@@ -3,7 +3,7 @@
 #ifndef MULBERRY_COUNTER_ALLOTMENT_HPP
 #define MULBERRY_COUNTER_ALLOTMENT_HPP
 
-#include "allotment_keeper.hpp"
+#include "allotment_limiter.hpp"
 #include "jitter.hpp"
 
 #include <map>
@@ -18,7 +18,7 @@
 /// Its counters only rise, and the highest told is kept. Fails open: who hears
 /// nobody admits the whole allotment. A message carries, in place of parts, the
 /// counters as units under the names VM/TEAM. Thread safety: none.
-class counter_allotment final : public allotment_keeper
+class counter_allotment final : public allotment_limiter
 {
 public:
     counter_allotment(vm_id self, std::vector<vm_id> others,
@@ -30,7 +30,7 @@
     void request(ticket_id ticket, team_id const& team, double units,
                  time_point give_up_at, time_point now) override;
     void give_back(team_id const& team, double units, time_point now) override;
-    allotment_reply answer(allotment_question const& question,
+    allotment_reply answer(allotment_query const& query,
                            time_point now) override;
     std::vector<allotment_action> run(time_point now) override;
     time_point next_due() const override { return tell_at_; }
--- a/src/allotment_keeper.hpp
+++ b/src/allotment_limiter.hpp
@@ -1,6 +1,6 @@
 /// Which requests of a team fit into its allotment, over all VMs together.
-#ifndef MULBERRY_ALLOTMENT_KEEPER_HPP
-#define MULBERRY_ALLOTMENT_KEEPER_HPP
+#ifndef MULBERRY_ALLOTMENT_LIMITER_HPP
+#define MULBERRY_ALLOTMENT_LIMITER_HPP
 
 #include "error_kind.hpp"
 #include "ids.hpp"
@@ -44,78 +44,78 @@
     bool joined = false;
     /// No process ran under this VM's name before, so that others may not count
     /// it yet.
-    bool first_life = false;
+    bool first_incarnation = false;
     friend bool operator==(allotment_members const&,
                            allotment_members const&) = default;
 };
 
 /// What a VM asks of the pool of one team. Value.
-struct team_question
+struct team_query
 {
     team_id team;
     /// The part of the team's allotment that the VM leaves to the pool from
     /// now on; 0: no change.
-    double part = 0;
+    double share = 0;
     /// How many units it needs at least; 0: none.
-    double least = 0;
+    double min_units = 0;
     /// How many it can use.
-    double most = 0;
-    friend bool operator==(team_question const&,
-                           team_question const&) = default;
+    double max_units = 0;
+    friend bool operator==(team_query const&, team_query const&) = default;
 };
 
-struct allotment_question
+struct allotment_query
 {
     vm_id from;
     /// How long the parts are left to the pool.
-    duration left_for{};
-    std::vector<team_question> teams;
-    friend bool operator==(allotment_question const&,
-                           allotment_question const&) = default;
+    duration delegated_for{};
+    std::vector<team_query> teams;
+    friend bool operator==(allotment_query const&,
+                           allotment_query const&) = default;
 };
 
 /// What a pool gives to a VM. Value.
-struct team_given
+struct allotted_units
 {
     team_id team;
     double units = 0;
     /// With units: after how long they may be used. Without: after how long the
     /// least would be there.
-    duration fits_in{};
+    duration available_in{};
     /// Without units: after how long they would be there if everybody who was
     /// sent away before comes back first.
-    duration come_back_in{};
-    friend bool operator==(team_given const&, team_given const&) = default;
+    duration retry_in{};
+    friend bool operator==(allotted_units const&,
+                           allotted_units const&) = default;
 };
 
-using allotment_reply = std::vector<team_given>;
+using allotment_reply = std::vector<allotted_units>;
 
 /// A request waits so long for units that come in, rather than being refused.
-inline constexpr std::chrono::milliseconds longest_unit_wait{200};
+inline constexpr std::chrono::milliseconds max_unit_wait{200};
 
 /// Ask another VM, or this one; the reply goes to on_reply().
-struct ask_pool
+struct query_pool
 {
     vm_id pool;
     std::uint64_t number = 0;
-    allotment_question question;
+    allotment_query query;
 };
 
 /// The request fits, or does not.
-struct allotment_settled
+struct allotment_decision
 {
     ticket_id ticket;
     std::optional<error> refused;
 };
 
-using allotment_action = std::variant<ask_pool, allotment_settled>;
+using allotment_action = std::variant<query_pool, allotment_decision>;
 
 /// A way that keeps nobody waiting and asks nobody leaves out what that needs.
 /// Thread safety: none. No I/O, no clock.
-class allotment_keeper
+class allotment_limiter
 {
 public:
-    virtual ~allotment_keeper() = default;
+    virtual ~allotment_limiter() = default;
 
     /// The teams that have a limit.
     virtual void set_teams(std::map<team_id, allotment> const& teams,
@@ -131,7 +131,7 @@
     virtual void give_back(team_id const& team, double units,
                            time_point now) = 0;
     /// Another VM's question, or this one's own.
-    virtual allotment_reply answer(allotment_question const& /*question*/,
+    virtual allotment_reply answer(allotment_query const& /*question*/,
                                    time_point /*now*/)
     {
         return {};
--- a/src/allotment_pool.cpp
+++ b/src/allotment_pool.cpp
@@ -9,10 +9,10 @@
 
 /// What a caller is told to wait at the most; who asks for more than that is
 /// not expected back.
-constexpr std::chrono::seconds longest_come_back{5};
+constexpr std::chrono::seconds max_retry_delay{5};
 /// With less of an allotment than this, VMs are still leaving their parts here,
 /// or leave them elsewhere.
-constexpr double settled_share = 0.2;
+constexpr double min_settled_share = 0.2;
 constexpr std::chrono::milliseconds unsettled_retry{100};
 
 duration seconds_for(double units, double per_second)
@@ -32,100 +32,101 @@
     {
         team_pool& pool = teams_[name];
         pool.limit = limit;
-        renew(pool, now);
+        update_rate(pool, now);
     }
 }
 
-allotment_reply allotment_pool::answer(allotment_question const& question,
+allotment_reply allotment_pool::answer(allotment_query const& query,
                                        time_point now)
 {
     allotment_reply reply;
-    for (team_question const& each : question.teams)
+    for (team_query const& each : query.teams)
     {
         auto const found = teams_.find(each.team);
         if (found == teams_.end())
             continue;
         team_pool& pool = found->second;
         refill(pool, now);
-        if (each.part > 0)
+        if (each.share > 0)
         {
-            pool.parts[question.from] = {each.part, now + question.left_for};
-            renew(pool, now);
+            pool.shares[query.from] = {each.share, now + query.delegated_for};
+            update_rate(pool, now);
         }
-        if (each.least > 0)
-            reply.push_back(give(pool, each, now));
+        if (each.min_units > 0)
+            reply.push_back(allot(pool, each, now));
     }
     return reply;
 }
 
 /// Parts that ended bring nothing in from then on.
-void allotment_pool::renew(team_pool& pool, time_point now) const
+void allotment_pool::update_rate(team_pool& pool, time_point now) const
 {
-    std::erase_if(pool.parts,
+    std::erase_if(pool.shares,
                   [now](auto const& each) { return each.second.until <= now; });
     double sum = 0;
-    pool.next_end = never;
-    for (auto const& [vm, left] : pool.parts)
+    pool.next_expiry = never;
+    for (auto const& [vm, left] : pool.shares)
     {
-        sum += left.part;
-        pool.next_end = std::min(pool.next_end, left.until);
+        sum += left.share;
+        pool.next_expiry = std::min(pool.next_expiry, left.until);
     }
     // VMs that do not agree on how many there are leave too much together.
-    pool.share = std::min(sum, 1.0);
-    double const most =
+    pool.total_share = std::min(sum, 1.0);
+    double const max_saved =
         pool.limit.burst + pool.limit.per_second *
                                std::chrono::duration<double>(headroom_).count();
-    pool.bucket.set_rate(pool.limit.per_second * pool.share, most * pool.share,
-                         now);
+    pool.bucket.set_rate(pool.limit.per_second * pool.total_share,
+                         max_saved * pool.total_share, now);
 }
 
 void allotment_pool::refill(team_pool& pool, time_point now) const
 {
-    while (pool.next_end <= now)
+    while (pool.next_expiry <= now)
     {
         // Up to its end a part counts in full.
-        pool.bucket.level(pool.next_end);
-        renew(pool, pool.next_end);
+        pool.bucket.level(pool.next_expiry);
+        update_rate(pool, pool.next_expiry);
     }
 }
 
-team_given allotment_pool::give(team_pool& pool, team_question const& question,
-                                time_point now)
+allotted_units allotment_pool::allot(team_pool& pool, team_query const& query,
+                                     time_point now)
 {
-    team_given given{question.team, 0, {}, {}};
+    allotted_units allotted{query.team, 0, {}, {}};
     token_bucket& bucket = pool.bucket;
     double const level = bucket.level(now);
     double const units =
-        std::max(question.least, std::min(question.most, level));
-    if (bucket.take(units, now))
+        std::max(query.min_units, std::min(query.max_units, level));
+    if (bucket.try_take(units, now))
     {
-        given.units = units;
-        return given;
+        allotted.units = units;
+        return allotted;
     }
     // For all who wait there: one by one they would wait for a question each.
     double const ahead = std::max(
-        question.least,
-        std::min(question.most, bucket.within(longest_unit_wait, now)));
-    if (auto const wait = bucket.take_ahead(ahead, longest_unit_wait, now))
+        query.min_units,
+        std::min(query.max_units, bucket.max_reservable(max_unit_wait, now)));
+    if (auto const wait = bucket.reserve(ahead, max_unit_wait, now))
     {
-        given.units = ahead;
-        given.fits_in = *wait;
-        return given;
+        allotted.units = ahead;
+        allotted.available_in = *wait;
+        return allotted;
     }
-    if (pool.share < settled_share)
+    if (pool.total_share < min_settled_share)
     {
-        given.fits_in = unsettled_retry;
-        given.come_back_in = unsettled_retry;
-        return given;
+        allotted.available_in = unsettled_retry;
+        allotted.retry_in = unsettled_retry;
+        return allotted;
     }
-    given.fits_in = std::min<duration>(bucket.until_fits(question.least, now),
-                                       longest_come_back);
-    pool.promised_until = std::max(pool.promised_until, now) +
-                          seconds_for(question.least, bucket.per_second());
-    pool.promised_until =
-        std::min<time_point>(pool.promised_until, now + longest_come_back);
-    given.come_back_in = std::max(given.fits_in, pool.promised_until - now);
-    return given;
+    allotted.available_in = std::min<duration>(
+        bucket.time_until_available(query.min_units, now), max_retry_delay);
+    pool.queue_ends_at = std::max(pool.queue_ends_at, now) +
+                         seconds_for(query.min_units, bucket.per_second());
+    pool.queue_ends_at =
+        std::min<time_point>(pool.queue_ends_at, now + max_retry_delay);
+    allotted.retry_in =
+        std::max(allotted.available_in, pool.queue_ends_at - now);
+    return allotted;
 }
 
 } // namespace mulberry
--- a/src/allotment_pool.hpp
+++ b/src/allotment_pool.hpp
@@ -2,7 +2,7 @@
 #ifndef MULBERRY_ALLOTMENT_POOL_HPP
 #define MULBERRY_ALLOTMENT_POOL_HPP
 
-#include "allotment_keeper.hpp"
+#include "allotment_limiter.hpp"
 #include "token_bucket.hpp"
 
 #include <map>
@@ -21,32 +21,32 @@
 
     /// A limit that is lowered is in force at once.
     void set_teams(std::map<team_id, allotment> const& teams, time_point now);
-    allotment_reply answer(allotment_question const& question, time_point now);
+    allotment_reply answer(allotment_query const& query, time_point now);
 
 private:
-    struct left_part
+    struct delegated_share
     {
-        double part = 0;
+        double share = 0;
         time_point until{};
     };
     struct team_pool
     {
         allotment limit;
-        std::map<vm_id, left_part> parts;
-        time_point next_end = never;
+        std::map<vm_id, delegated_share> shares;
+        time_point next_expiry = never;
         /// The sum of the parts.
-        double share = 0;
+        double total_share = 0;
         token_bucket bucket;
         /// Units that those who were sent away will come back for are there by
         /// then.
-        time_point promised_until{};
+        time_point queue_ends_at{};
     };
 
     /// Up to now, at what the parts brought in until each of them ended.
     void refill(team_pool& pool, time_point now) const;
-    void renew(team_pool& pool, time_point now) const;
-    static team_given give(team_pool& pool, team_question const& question,
-                           time_point now);
+    void update_rate(team_pool& pool, time_point now) const;
+    static allotted_units allot(team_pool& pool, team_query const& query,
+                                time_point now);
 
     duration headroom_;
     std::map<team_id, team_pool> teams_;
--- a/src/crash_replicator.hpp
+++ b/src/crash_replicator.hpp
@@ -71,8 +71,8 @@
     void on_answered(request_digest const& request, time_point now);
     /// Another VM sent `update`.
     void on_crash_update(crash_update const& update, time_point now);
-    /// Outcome of send_crash_update. `by_all`: every other VM accepted `update`,
-    /// and there is at least one other VM.
+    /// Outcome of send_crash_update. `by_all`: every other VM accepted
+    /// `update`, and there is at least one other VM.
     void on_update_sent(crash_update const& update, bool by_all,
                         time_point now);
     /// A row was read from the store.
--- a/src/equal_allotment.hpp
+++ b/src/equal_share_limiter.hpp
@@ -1,8 +1,8 @@
 /// Each VM has an equal part of each allotment, and no more.
-#ifndef MULBERRY_EQUAL_ALLOTMENT_HPP
-#define MULBERRY_EQUAL_ALLOTMENT_HPP
+#ifndef MULBERRY_EQUAL_SHARE_LIMITER_HPP
+#define MULBERRY_EQUAL_SHARE_LIMITER_HPP
 
-#include "allotment_keeper.hpp"
+#include "allotment_limiter.hpp"
 #include "token_bucket.hpp"
 
 namespace mulberry
@@ -10,10 +10,10 @@
 
 /// Needs no messages, and refuses a team whose callers are at few VMs most of
 /// what it may ask for. Thread safety: none. No I/O, no clock.
-class equal_allotment final : public allotment_keeper
+class equal_share_limiter final : public allotment_limiter
 {
 public:
-    explicit equal_allotment(allotment_terms terms) : terms_(terms) {}
+    explicit equal_share_limiter(allotment_terms terms) : terms_(terms) {}
 
     void set_teams(std::map<team_id, allotment> const& teams,
                    time_point now) override;
@@ -24,13 +24,13 @@
     std::vector<allotment_action> run(time_point now) override;
 
 private:
-    void renew(time_point now);
+    void update_rates(time_point now);
 
     allotment_terms const terms_;
     std::size_t count_ = 1;
     std::map<team_id, allotment> limits_;
     std::map<team_id, token_bucket> buckets_;
-    std::vector<allotment_action> settled_;
+    std::vector<allotment_action> decisions_;
 };
 
 } // namespace mulberry
--- a/src/peer_allotment.cpp
+++ b/src/peer_allotment.cpp
@@ -13,10 +13,10 @@
 {
 
 constexpr Json::ArrayIndex entry_fields = 4;
-constexpr Json::ArrayIndex most_teams = 10'000;
-constexpr double most_units = 1e12;
-constexpr std::uint64_t longest_left_ms = 60'000;
-constexpr double longest_wait_ms = 60'000;
+constexpr Json::ArrayIndex max_teams = 10'000;
+constexpr double max_amount = 1e12;
+constexpr std::uint64_t max_delegated_ms = 60'000;
+constexpr double max_wait_ms = 60'000;
 
 Json::Int64 whole_ms(duration span)
 {
@@ -33,7 +33,7 @@
         if (!json[index].isNumeric())
             return false;
         double const amount = json[index].asDouble();
-        if (!std::isfinite(amount) || amount < 0 || amount > most_units)
+        if (!std::isfinite(amount) || amount < 0 || amount > max_amount)
             return false;
     }
     return true;
@@ -41,32 +41,32 @@
 
 bool are_entries(Json::Value const& list)
 {
-    return list.isArray() && list.size() <= most_teams &&
+    return list.isArray() && list.size() <= max_teams &&
            std::all_of(list.begin(), list.end(), is_entry);
 }
 
 duration parse_ms(Json::Value const& json)
 {
     return std::chrono::milliseconds(
-        static_cast<std::int64_t>(std::min(json.asDouble(), longest_wait_ms)));
+        static_cast<std::int64_t>(std::min(json.asDouble(), max_wait_ms)));
 }
 
 } // namespace
 
-std::string encode_allotment_question(allotment_question const& question,
-                                      std::string const& host)
+std::string encode_allotment_query(allotment_query const& query,
+                                   std::string const& host)
 {
     Json::Value json;
-    json["from"] = question.from.str();
-    json["left_ms"] = whole_ms(question.left_for);
+    json["from"] = query.from.str();
+    json["left_ms"] = whole_ms(query.delegated_for);
     json["teams"] = Json::arrayValue;
-    for (team_question const& each : question.teams)
+    for (team_query const& each : query.teams)
     {
         Json::Value entry(Json::arrayValue);
         entry.append(each.team.str());
-        entry.append(each.part);
-        entry.append(each.least);
-        entry.append(each.most);
+        entry.append(each.share);
+        entry.append(each.min_units);
+        entry.append(each.max_units);
         json["teams"].append(std::move(entry));
     }
     std::string const body = to_text(json);
@@ -75,39 +75,38 @@
                        allotment_path, host, body.size(), body);
 }
 
-std::optional<allotment_question>
-decode_allotment_question(std::string const& body)
+std::optional<allotment_query> decode_allotment_query(std::string const& body)
 {
     auto const json = from_text(body);
     if (!json || !json->isObject() || !(*json)["from"].isString() ||
         !(*json)["left_ms"].isUInt64() || !are_entries((*json)["teams"]))
         return std::nullopt;
-    allotment_question question;
-    question.from = vm_id((*json)["from"].asString());
-    question.left_for = std::chrono::milliseconds(
-        std::min((*json)["left_ms"].asUInt64(), longest_left_ms));
+    allotment_query query;
+    query.from = vm_id((*json)["from"].asString());
+    query.delegated_for = std::chrono::milliseconds(
+        std::min((*json)["left_ms"].asUInt64(), max_delegated_ms));
     for (Json::Value const& each : (*json)["teams"])
     {
-        double const part = each[1].asDouble();
-        if (part > 1)
+        double const share = each[1].asDouble();
+        if (share > 1)
             return std::nullopt;
-        question.teams.push_back({team_id(each[0].asString()), part,
-                                  each[2].asDouble(), each[3].asDouble()});
+        query.teams.push_back({team_id(each[0].asString()), share,
+                               each[2].asDouble(), each[3].asDouble()});
     }
-    return question;
+    return query;
 }
 
 std::string encode_allotment_reply(allotment_reply const& reply)
 {
     Json::Value json;
     json["given"] = Json::arrayValue;
-    for (team_given const& each : reply)
+    for (allotted_units const& each : reply)
     {
         Json::Value entry(Json::arrayValue);
         entry.append(each.team.str());
         entry.append(each.units);
-        entry.append(whole_ms(each.fits_in));
-        entry.append(whole_ms(each.come_back_in));
+        entry.append(whole_ms(each.available_in));
+        entry.append(whole_ms(each.retry_in));
         json["given"].append(std::move(entry));
     }
     return to_text(json);
--- /dev/null
+++ b/src/pooled_limiter.cpp
@@ -0,0 +1,486 @@
+#include "pooled_limiter.hpp"
+
+#include "placement.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+namespace mulberry
+{
+namespace
+{
+
+using std::chrono::milliseconds;
+
+/// How often parts are left to pools anew, and for how long each time: one
+/// message may be lost.
+constexpr milliseconds delegation_interval{500};
+constexpr milliseconds delegation_span{1000};
+/// A part may be in use so long beyond its end, for the time that its message
+/// was on its way.
+constexpr milliseconds max_message_delay{300};
+/// A VM that joins is counted by the others by then.
+constexpr milliseconds join_delay{3000};
+/// A request waits so long for units at the most.
+constexpr milliseconds max_request_wait{600};
+/// A pool that did not answer is not asked for so long.
+constexpr milliseconds unresponsive_retry{1000};
+/// VMs for each VM that keeps pools.
+constexpr std::size_t vms_per_pool = 64;
+/// Units are asked for ahead of requests for so much of the recent use.
+constexpr std::chrono::duration<double> prefetch_span{0.25};
+/// The time over which recent use is told.
+constexpr std::chrono::duration<double> use_time_constant{1.0};
+/// Of what a team may use over its allotment: for units in hand, and for saving
+/// up in pools. See allotment_terms::over.
+constexpr double usable_overshoot_share = 0.75;
+constexpr double saved_overshoot_share = 0.25;
+constexpr milliseconds unknown_retry{500};
+
+duration overshoot_span(allotment_terms const& terms, double share)
+{
+    return std::chrono::duration_cast<duration>(terms.window * terms.over *
+                                                share);
+}
+
+error unknown_allotment(char const* text)
+{
+    return {error_kind::allotment_unknown, text, ran::no, unknown_retry};
+}
+
+error exceeded_allotment(duration retry_in)
+{
+    return {error_kind::over_allotment, "the team's allotment is used up",
+            ran::no, std::max<duration>(retry_in, milliseconds(1))};
+}
+
+} // namespace
+
+pooled_limiter::pooled_limiter(vm_id self, allotment_terms terms)
+    : self_(std::move(self)),
+      unit_lifetime_(overshoot_span(terms, usable_overshoot_share)),
+      headroom_(overshoot_span(terms, saved_overshoot_share)),
+      max_debt_per_pool_(terms.slack / double(pools_per_team)), pool_(headroom_)
+{
+}
+
+void pooled_limiter::set_teams(std::map<team_id, allotment> const& teams,
+                               time_point now)
+{
+    pool_.set_teams(teams, now);
+    limits_ = teams;
+    for (auto& [name, state] : teams_)
+        if (limits_.count(name) == 0)
+            settle_waiting(name, now);
+    std::erase_if(teams_, [this](auto const& each)
+                  { return limits_.count(each.first) == 0; });
+    for (auto const& [name, limit] : limits_)
+        teams_.try_emplace(name);
+    if (!teams_.empty() && delegate_at_ == never)
+        delegate_at_ = now;
+    if (teams_.empty())
+        delegate_at_ = never;
+}
+
+void pooled_limiter::set_members(allotment_members members, time_point now)
+{
+    bool const joins = members.joined && !members_.joined;
+    if (joins)
+        shares_valid_from_ =
+            members.first_incarnation ? now + duration(join_delay) : now;
+    if (!members.joined)
+        shares_valid_from_ = never;
+    members_ = std::move(members);
+    choose_pools();
+    if (joins && delegate_at_ != never)
+        delegate_at_ =
+            std::min(delegate_at_, std::max(now, shares_valid_from_));
+    for (auto& [name, state] : teams_)
+        if (!state.waiting.empty())
+            state.review_at = now;
+}
+
+void pooled_limiter::choose_pools()
+{
+    pools_ = by_rank(members_.candidates);
+    std::erase_if(unresponsive_until_,
+                  [this](auto const& each)
+                  {
+                      return std::find(pools_.begin(), pools_.end(),
+                                       each.first) == pools_.end();
+                  });
+}
+
+bool pooled_limiter::is_avoided(vm_id const& pool, time_point now) const
+{
+    auto const found = unresponsive_until_.find(pool);
+    return found != unresponsive_until_.end() && now < found->second;
+}
+
+/// The VMs that keep pools for a team, the same on all VMs that see the same
+/// ones. One that does not answer gives way to the next by rank.
+std::vector<vm_id> pooled_limiter::pools_of(team_id const& team) const
+{
+    std::size_t const wanted =
+        pools_per_team + 1 + members_.count / vms_per_pool;
+    std::vector<vm_id> pools;
+    for (bool const unresponsive : {false, true})
+        for (vm_id const& each : pools_)
+            if (is_unresponsive(each) == unresponsive && pools.size() < wanted)
+                pools.push_back(each);
+    auto const order = [&](vm_id const& pool)
+    {
+        return std::pair(is_unresponsive(pool),
+                         stable_hash(team.str() + "/" + pool.str()));
+    };
+    std::sort(pools.begin(), pools.end(),
+              [&order](vm_id const& left, vm_id const& right)
+              { return order(left) < order(right); });
+    pools.resize(std::min(pools.size(), pools_per_team));
+    return pools;
+}
+
+/// Failure: a pool comes back, and for as long as the parts left to its
+/// substitute last it has nothing to give. So where this VM's own parts are is
+/// asked too: most others' are there.
+std::vector<vm_id> pooled_limiter::pools_to_ask(team_id const& team,
+                                                team_state const& state,
+                                                time_point now) const
+{
+    std::vector<vm_id> pools = pools_of(team);
+    for (delegated_half const& left : state.halves)
+        if (now < left.until &&
+            std::find(pools.begin(), pools.end(), left.pool) == pools.end())
+            pools.push_back(left.pool);
+    std::erase_if(pools, [this, now](vm_id const& each)
+                  { return is_avoided(each, now); });
+    return pools;
+}
+
+/// A half that may be in use at one pool is not left to another.
+void pooled_limiter::delegate_shares(time_point now)
+{
+    delegate_at_ = now + duration(delegation_interval);
+    probe_unresponsive_pools(now);
+    if (now < shares_valid_from_ || pools_.empty())
+        return;
+    double const half = 1.0 / double(pools_per_team) /
+                        double(std::max<std::size_t>(members_.count, 1));
+    std::map<vm_id, std::map<team_id, double>> shares;
+    for (auto& [name, state] : teams_)
+    {
+        std::vector<vm_id> const pools = pools_of(name);
+        for (std::size_t index = 0; index < pools_per_team; ++index)
+        {
+            delegated_half& left = state.halves.at(index);
+            vm_id const& pool = pools.at(index % pools.size());
+            if (left.pool != pool && now < left.until)
+                continue;
+            left = {pool, now + duration(delegation_span + max_message_delay)};
+            shares[pool][name] += half;
+        }
+    }
+    for (auto const& [pool, of_teams] : shares)
+    {
+        allotment_query query{self_, delegation_span, {}};
+        for (auto const& [name, share] : of_teams)
+            query.teams.push_back({name, share, 0, 0});
+        send(pool, {pool, now, {}, 0}, std::move(query));
+    }
+}
+
+/// Those that answer are used again.
+void pooled_limiter::probe_unresponsive_pools(time_point now)
+{
+    for (auto& [pool, until] : unresponsive_until_)
+    {
+        if (now < until)
+            continue;
+        until = now + duration(unresponsive_retry);
+        send(pool, {pool, now, {}, 0}, {self_, {}, {}});
+    }
+}
+
+void pooled_limiter::send(vm_id const& pool, open_query about,
+                          allotment_query query)
+{
+    std::uint64_t const number = ++last_number_;
+    open_queries_.emplace(number, std::move(about));
+    actions_.emplace_back(query_pool{pool, number, std::move(query)});
+}
+
+void pooled_limiter::request(ticket_id ticket, team_id const& team,
+                             double units, time_point give_up_at,
+                             time_point now)
+{
+    auto const found = teams_.find(team);
+    if (found == teams_.end())
+    {
+        actions_.emplace_back(allotment_decision{ticket, std::nullopt});
+        return;
+    }
+    found->second.waiting.push_back(
+        {ticket, units,
+         std::min<time_point>(give_up_at, now + max_request_wait)});
+    settle_waiting(team, now);
+}
+
+void pooled_limiter::withdraw(ticket_id ticket)
+{
+    for (auto& [name, state] : teams_)
+        std::erase_if(state.waiting, [ticket](waiting_request const& each)
+                      { return each.ticket == ticket; });
+}
+
+void pooled_limiter::give_back(team_id const& team, double units,
+                               time_point now)
+{
+    auto const found = teams_.find(team);
+    if (found == teams_.end())
+        return;
+    found->second.usable.push_back({units, now, now + unit_lifetime_});
+    settle_waiting(team, now);
+}
+
+double pooled_limiter::usable_sum(team_state& state, bool later_too,
+                                  time_point now) const
+{
+    std::erase_if(state.usable, [now](usable_units const& each)
+                  { return each.until <= now; });
+    double sum = 0;
+    for (usable_units const& each : state.usable)
+        if (later_too || each.from <= now)
+            sum += each.units;
+    return sum;
+}
+
+bool pooled_limiter::try_use(team_state& state, double units,
+                             time_point now) const
+{
+    if (usable_sum(state, false, now) < units)
+        return false;
+    for (usable_units& each : state.usable)
+    {
+        if (each.from > now)
+            continue;
+        double const taken = std::min(units, each.units);
+        each.units -= taken;
+        units -= taken;
+    }
+    return true;
+}
+
+void pooled_limiter::record_use(team_state& state, double units,
+                                time_point now) const
+{
+    double const passed =
+        std::chrono::duration<double>(now - state.use_as_of).count();
+    state.use = state.use * std::exp(-passed / use_time_constant.count()) +
+                units / use_time_constant.count();
+    state.use_as_of = now;
+}
+
+/// Those that wait longest first. A team without a limit keeps nobody waiting.
+void pooled_limiter::settle_waiting(team_id const& team, time_point now)
+{
+    team_state& state = teams_.at(team);
+    bool const limited = limits_.count(team) > 0;
+    while (!state.waiting.empty())
+    {
+        waiting_request const first = state.waiting.front();
+        if (!limited || try_use(state, first.units, now))
+        {
+            record_use(state, first.units, now);
+            actions_.emplace_back(
+                allotment_decision{first.ticket, std::nullopt});
+            state.waiting.pop_front();
+        }
+        else if (state.query_open || query_pools(team, state, now))
+            return;
+    }
+}
+
+bool pooled_limiter::exceeds_pool_capacity(team_id const& team,
+                                           double units) const
+{
+    allotment const& limit = limits_.at(team);
+    double const saved =
+        limit.burst +
+        limit.per_second * std::chrono::duration<double>(headroom_).count();
+    return units > saved / double(pools_per_team) + max_debt_per_pool_;
+}
+
+bool pooled_limiter::known_short(team_state const& state, vm_id const& pool,
+                                 double min_units, time_point now) const
+{
+    auto const found = state.shortages.find(pool);
+    return found != state.shortages.end() && now < found->second.until &&
+           min_units >= found->second.min_units;
+}
+
+/// What no pool has is refused at once, without another question.
+bool pooled_limiter::query_pools(team_id const& team, team_state& state,
+                                 time_point now)
+{
+    state.review_at = never;
+    // Until the VMs are known there is nobody to ask.
+    if (pools_.empty())
+        return true;
+    double const min_units =
+        state.waiting.front().units - usable_sum(state, true, now);
+    if (min_units <= 0)
+    {
+        schedule_review(state, now);
+        return true;
+    }
+    std::vector<vm_id> pools = pools_to_ask(team, state, now);
+    // Failure: a request that no pool can hold is given by one that is full,
+    // which owes the rest; two such pools owe twice as much.
+    if (exceeds_pool_capacity(team, min_units) && !pools.empty())
+        pools.resize(1);
+    time_point retry_at = never;
+    for (vm_id const& pool : pools)
+    {
+        if (!known_short(state, pool, min_units, now))
+        {
+            ask(pool, team, state, min_units, now);
+            return true;
+        }
+        retry_at = std::min(retry_at, state.shortages[pool].retry_at);
+    }
+    return wait_or_refuse(state, retry_at, now);
+}
+
+/// Units were given that may be used a moment later.
+void pooled_limiter::schedule_review(team_state& state, time_point now)
+{
+    for (usable_units const& each : state.usable)
+        if (each.from > now)
+            state.review_at = std::min(state.review_at, each.from);
+}
+
+void pooled_limiter::ask(vm_id const& pool, team_id const& team,
+                         team_state& state, double min_units, time_point now)
+{
+    double sum = -usable_sum(state, true, now);
+    for (waiting_request const& each : state.waiting)
+        sum += each.units;
+    // Less than a request's worth would be lost before it is used.
+    double const beyond = state.use * prefetch_span.count();
+    if (beyond >= state.waiting.front().units)
+        sum += beyond;
+    state.query_open = true;
+    allotment_query query{self_, {}, {}};
+    query.teams.push_back({team, 0, min_units, sum});
+    send(pool, {pool, now, team, min_units}, std::move(query));
+}
+
+/// No pool has what the first that waits needs. Others may need less.
+bool pooled_limiter::wait_or_refuse(team_state& state, time_point retry_at,
+                                    time_point now)
+{
+    waiting_request const first = state.waiting.front();
+    bool const soon = retry_at <= now + duration(max_unit_wait) &&
+                      retry_at < first.give_up_at;
+    if (soon)
+    {
+        state.review_at = retry_at;
+        return true;
+    }
+    state.waiting.pop_front();
+    actions_.emplace_back(allotment_decision{
+        first.ticket, retry_at == never
+                          ? unknown_allotment("no pool can be asked")
+                          : exceeded_allotment(retry_at - now)});
+    return false;
+}
+
+allotment_reply pooled_limiter::answer(allotment_query const& query,
+                                       time_point now)
+{
+    return pool_.answer(query, now);
+}
+
+void pooled_limiter::on_reply(std::uint64_t number,
+                              std::optional<allotment_reply> const& reply,
+                              time_point now)
+{
+    auto const found = open_queries_.find(number);
+    if (found == open_queries_.end())
+        return;
+    open_query const about = std::move(found->second);
+    open_queries_.erase(found);
+    if (!reply)
+        unresponsive_until_[about.pool] = now + duration(unresponsive_retry);
+    else
+        unresponsive_until_.erase(about.pool);
+    auto const asked = teams_.find(about.team);
+    if (asked == teams_.end())
+        return;
+    team_state& state = asked->second;
+    state.query_open = false;
+    if (reply && reply->empty())
+        // The pool knows of no such team: its configuration is another one.
+        unresponsive_until_[about.pool] = now + duration(unresponsive_retry);
+    for (allotted_units const& allotted : reply.value_or(allotment_reply()))
+    {
+        if (allotted.team != about.team)
+            continue;
+        if (allotted.units > 0)
+        {
+            // It may have been given any time since it was asked for.
+            state.usable.push_back(
+                {allotted.units, now + allotted.available_in,
+                 about.asked_at + allotted.available_in + unit_lifetime_});
+            state.shortages.erase(about.pool);
+        }
+        else
+            state.shortages[about.pool] = {about.min_units,
+                                           now + allotted.available_in,
+                                           now + allotted.retry_in};
+    }
+    settle_waiting(about.team, now);
+}
+
+void pooled_limiter::expire_waiting(time_point now)
+{
+    for (auto& [name, state] : teams_)
+    {
+        auto const over = [now](waiting_request const& each)
+        { return each.give_up_at <= now; };
+        for (waiting_request const& each : state.waiting)
+            if (over(each))
+                actions_.emplace_back(allotment_decision{
+                    each.ticket, unknown_allotment("the pool did not answer")});
+        std::erase_if(state.waiting, over);
+    }
+}
+
+std::vector<allotment_action> pooled_limiter::run(time_point now)
+{
+    if (now >= delegate_at_)
+        delegate_shares(now);
+    expire_waiting(now);
+    for (auto& [name, state] : teams_)
+        if (now >= state.review_at)
+        {
+            state.review_at = never;
+            settle_waiting(name, now);
+        }
+    return std::exchange(actions_, {});
+}
+
+time_point pooled_limiter::next_due() const
+{
+    time_point next = delegate_at_;
+    for (auto const& [name, state] : teams_)
+    {
+        next = std::min(next, state.review_at);
+        for (waiting_request const& each : state.waiting)
+            next = std::min(next, each.give_up_at);
+    }
+    return next;
+}
+
+} // namespace mulberry
--- a/src/relay.cmake
+++ b/src/relay.cmake
@@ -1,8 +1,8 @@
 # The relay's decisions: routes, waiting, placing, turning away, orders,
 # health, repeats. No I/O.
 mulberry_library(mulberry_scheduling
-  SOURCES adapter_releases.cpp adapter_sightings.cpp allotment_pool.cpp crash_replicator.cpp crash_record.cpp equal_allotment.cpp
-          pooled_allotment.cpp prompt_copy.cpp reader_choice.cpp
+  SOURCES adapter_releases.cpp adapter_sightings.cpp allotment_pool.cpp crash_replicator.cpp crash_record.cpp equal_share_limiter.cpp
+          pooled_limiter.cpp prompt_copy.cpp reader_choice.cpp
           reading_pace.cpp relay_request.cpp remote_clock.cpp
           retry_allowance.cpp route_table.cpp row_copy.cpp
           service_estimate.cpp service_notices.cpp service_placing.cpp
@@ -12,7 +12,7 @@
   LINK mulberry_policy)
 mulberry_test(scheduling_test
   SOURCES adapter_releases_test.cpp adapter_sightings_test.cpp allotment_pool_test.cpp crash_replicator_test.cpp crash_record_test.cpp crash_world.cpp reader_choice_test.cpp reading_pace_test.cpp
-          pooled_allotment_test.cpp prompt_copy_test.cpp relay_request_test.cpp
+          pooled_limiter_test.cpp prompt_copy_test.cpp relay_request_test.cpp
           remote_clock_test.cpp retry_allowance_test.cpp route_table_test.cpp
           row_copy_test.cpp scheduler_world.cpp
           service_leaving_test.cpp service_load_test.cpp service_rest_test.cpp service_scheduler_test.cpp service_version_test.cpp start_hold_test.cpp team_directory_test.cpp token_bucket_test.cpp
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -1,7 +1,7 @@
 #include "relay.hpp"
 
 #include "boot_clock.hpp"
-#include "pooled_allotment.hpp"
+#include "pooled_limiter.hpp"
 
 #include <algorithm>
 #include <asio/post.hpp>
@@ -62,7 +62,7 @@
     std::uniform_int_distribution<std::uint64_t> anywhere(1, highest_first);
     last_ticket_ = anywhere(random_);
     allotments_ =
-        std::make_unique<pooled_allotment>(options_.vm, options_.allotments);
+        std::make_unique<pooled_limiter>(options_.vm, options_.allotments);
 }
 
 relay::~relay() = default;
--- a/src/relay.hpp
+++ b/src/relay.hpp
@@ -2,7 +2,7 @@
 #ifndef MULBERRY_RELAY_HPP
 #define MULBERRY_RELAY_HPP
 
-#include "allotment_keeper.hpp"
+#include "allotment_limiter.hpp"
 #include "crash_detector.hpp"
 #include "due_index.hpp"
 #include "event_log.hpp"
@@ -227,12 +227,12 @@
     /// it, at once or when that is known to fit.
     void start_metered(std::shared_ptr<relay_exchange> const& exchange,
                        team const* holder);
-    void on_allotment(allotment_settled const& settled);
+    void on_allotment(allotment_decision const& settled);
     void run_allotments();
     void share_teams();
     void share_members(std::vector<member_view> const& members,
                        bool registered);
-    void send_question(ask_pool const& ask);
+    void send_question(query_pool const& ask);
     /// Whether the request is not to be sent since workers crashed under it;
     /// logged.
     std::optional<error> refused_for_crashes(relay_exchange const& exchange);
@@ -291,7 +291,7 @@
     adapter_releases releases_;
     std::size_t members_ = 1;
     std::unique_ptr<team_directory> teams_;
-    std::unique_ptr<allotment_keeper> allotments_;
+    std::unique_ptr<allotment_limiter> allotments_;
     /// What requests in progress took out of allotments.
     std::unordered_map<ticket_id, metered_request> metered_;
     std::map<worker_id, vm_id> owners_;
--- a/src/relay_peers.cpp
+++ b/src/relay_peers.cpp
@@ -67,7 +67,7 @@
     {
         bool const self = member.vm == options_.vm;
         shared.joined |= self;
-        shared.first_life |=
+        shared.first_incarnation |=
             self && registered && member.life == incarnation(1);
         if (member.state == member_state::live)
             shared.candidates.push_back({member.vm, member.millicores});
--- a/src/relay_settings.hpp
+++ b/src/relay_settings.hpp
@@ -2,7 +2,7 @@
 #ifndef MULBERRY_RELAY_SETTINGS_HPP
 #define MULBERRY_RELAY_SETTINGS_HPP
 
-#include "allotment_keeper.hpp"
+#include "allotment_limiter.hpp"
 #include "crash_record.hpp"
 #include "retry_allowance.hpp"
 #include "settings.hpp"
--- a/src/relay_teams.cpp
+++ b/src/relay_teams.cpp
@@ -19,9 +19,9 @@
 constexpr int status_ok = 200;
 constexpr int status_bad_request = 400;
 /// A pool answers from memory.
-constexpr milliseconds question_timeout{300};
-constexpr milliseconds question_connect_timeout{150};
-constexpr milliseconds question_idle{3000};
+constexpr milliseconds pool_request_timeout{300};
+constexpr milliseconds pool_connect_timeout{150};
+constexpr milliseconds pool_connection_max_idle{3000};
 
 std::uint64_t& count_of(relay_counts& counts, relay_request const& request,
                         error_kind kind)
@@ -101,25 +101,25 @@
 void relay::run_allotments()
 {
     for (allotment_action const& action : allotments_->run(now()))
-        if (auto const* ask = std::get_if<ask_pool>(&action))
+        if (auto const* ask = std::get_if<query_pool>(&action))
             send_question(*ask);
         else
-            on_allotment(std::get<allotment_settled>(action));
+            on_allotment(std::get<allotment_decision>(action));
 }
 
-void relay::on_allotment(allotment_settled const& settled)
+void relay::on_allotment(allotment_decision const& decision)
 {
-    auto const found = exchanges_.find(settled.ticket);
-    auto const metered = metered_.find(settled.ticket);
+    auto const found = exchanges_.find(decision.ticket);
+    auto const metered = metered_.find(decision.ticket);
     if (found == exchanges_.end() || metered == metered_.end())
         return;
     auto const exchange = found->second;
-    if (!settled.refused)
+    if (!decision.refused)
     {
         metered->second.waits = false;
         return exchange->start();
     }
-    error const& why = *settled.refused;
+    error const& why = *decision.refused;
     ++(why.kind() == error_kind::over_allotment ? counts_.over_allotment
                                                 : counts_.allotment_unknown);
     time_point const at = now();
@@ -138,9 +138,9 @@
 }
 
 /// A question to this VM's own pool takes the same way, without the network.
-void relay::send_question(ask_pool const& ask)
+void relay::send_question(query_pool const& ask)
 {
-    auto const told =
+    auto const on_reply =
         [this, number = ask.number](std::optional<allotment_reply> const& reply)
     {
         allotments_->on_reply(number, reply, now());
@@ -150,36 +150,36 @@
     auto const peer = peers_.find(ask.pool);
     if (ask.pool == options_.vm || peer == peers_.end())
         return asio::post(io_,
-                          [this, told, ask]
+                          [this, on_reply, ask]
                           {
-                              told(ask.pool == options_.vm
-                                       ? std::optional(allotments_->answer(
-                                             ask.question, now()))
-                                       : std::nullopt);
+                              on_reply(ask.pool == options_.vm
+                                           ? std::optional(allotments_->answer(
+                                                 ask.query, now()))
+                                           : std::nullopt);
                           });
     collected_call call;
     call.to = peer->second.address;
-    call.bytes = encode_allotment_question(ask.question, call.to.ip);
-    call.options.connect_timeout = question_connect_timeout;
-    call.options.max_idle = question_idle;
-    call.ends_at = [ends = std::chrono::steady_clock::now() + question_timeout]
-    { return ends; };
-    call.on_end = [told](collected_answer const& answer)
+    call.bytes = encode_allotment_query(ask.query, call.to.ip);
+    call.options.connect_timeout = pool_connect_timeout;
+    call.options.max_idle = pool_connection_max_idle;
+    call.ends_at = [ends = std::chrono::steady_clock::now() +
+                           pool_request_timeout] { return ends; };
+    call.on_end = [on_reply](collected_answer const& answer)
     {
-        told(answer.status == status_ok ? decode_allotment_reply(answer.body)
-                                        : std::nullopt);
+        on_reply(answer.status == status_ok
+                     ? decode_allotment_reply(answer.body)
+                     : std::nullopt);
     };
     start_collected(io_, pool_, std::move(call));
 }
 
 void relay::handle_allotment(http_request const& received, http_answer& answer)
 {
-    auto const question = decode_allotment_question(received.body);
-    if (!question)
+    auto const query = decode_allotment_query(received.body);
+    if (!query)
         return answer.respond({status_bad_request, {}, {}});
     answer.respond(json_response(
-        status_ok,
-        encode_allotment_reply(allotments_->answer(*question, now()))));
+        status_ok, encode_allotment_reply(allotments_->answer(*query, now()))));
 }
 
 } // namespace mulberry
--- a/src/retry_allowance.cpp
+++ b/src/retry_allowance.cpp
@@ -10,11 +10,11 @@
 constexpr int slices_per_window = 20;
 /// Of the limit; the rest covers sends that arrive in the next window and VMs
 /// that others do not know of yet.
-constexpr double spent_share = 0.8;
+constexpr double safety_factor = 0.8;
 
 } // namespace
 
-retry_allowance::slice& retry_allowance::current(time_point now)
+retry_allowance::slice& retry_allowance::current_slice(time_point now)
 {
     expire(now);
     if (slices_.empty() || slices_.back().ends <= now)
@@ -30,28 +30,28 @@
 
 void retry_allowance::count_request(time_point now)
 {
-    current(now).requests += 1;
+    current_slice(now).requests += 1;
 }
 
-double retry_allowance::left(std::size_t vms, time_point now)
+double retry_allowance::remaining(std::size_t vms, time_point now)
 {
     expire(now);
     double requests = 0;
-    double repeats = 0;
+    double retries = 0;
     for (slice const& each : slices_)
     {
         requests += each.requests;
-        repeats += each.repeats;
+        retries += each.retries;
     }
     double const share = limits_.slack / double(std::max<std::size_t>(vms, 1));
-    return spent_share * (limits_.ratio * requests + share) - repeats;
+    return safety_factor * (limits_.ratio * requests + share) - retries;
 }
 
 bool retry_allowance::try_take(std::size_t vms, time_point now)
 {
-    if (left(vms, now) < 1)
+    if (remaining(vms, now) < 1)
         return false;
-    current(now).repeats += 1;
+    current_slice(now).retries += 1;
     return true;
 }
 
--- a/src/retry_allowance.hpp
+++ b/src/retry_allowance.hpp
@@ -34,17 +34,17 @@
     void count_request(time_point now);
     /// Takes one repeated send if there is one. `vms` share the slack.
     bool try_take(std::size_t vms, time_point now);
-    double left(std::size_t vms, time_point now);
+    double remaining(std::size_t vms, time_point now);
 
 private:
     struct slice
     {
         time_point ends{};
         double requests = 0;
-        double repeats = 0;
+        double retries = 0;
     };
 
-    slice& current(time_point now);
+    slice& current_slice(time_point now);
     void expire(time_point now);
 
     retry_limits limits_;
--- a/src/team_directory.cpp
+++ b/src/team_directory.cpp
@@ -10,7 +10,7 @@
 /// What is known may be renewed at any moment.
 constexpr std::chrono::milliseconds stale_retry{300};
 /// Of the bound, kept back for clocks that do not run alike.
-constexpr int margin_part = 20;
+constexpr int clock_drift_divisor = 20;
 
 error stale(char const* text)
 {
@@ -20,7 +20,7 @@
 bool too_old(time_point proven_at, duration bound, time_point now)
 {
     return bound > duration(0) &&
-           now >= proven_at + (bound - bound / margin_part);
+           now >= proven_at + (bound - bound / clock_drift_divisor);
 }
 
 } // namespace
@@ -53,7 +53,7 @@
         return stale("the key may have been taken away");
     if (team const* const found = holder(*key))
         return access_granted{found};
-    if (now > known.shown_at + bounds.doubt)
+    if (now > known.shown_at + bounds.unknown_key_max_age)
         return stale("the key may be newer than what this VM knows");
     return error(error_kind::unauthorized, "no team has the key");
 }
--- a/src/team_directory.hpp
+++ b/src/team_directory.hpp
@@ -23,7 +23,7 @@
     duration revocation{};
     /// A VM that may have missed a change for longer than that does not call a
     /// key unknown.
-    duration doubt = std::chrono::milliseconds(1500);
+    duration unknown_key_max_age = std::chrono::milliseconds(1500);
     friend bool operator==(key_bounds const&, key_bounds const&) = default;
 };
 
--- a/src/team_key.cpp
+++ b/src/team_key.cpp
@@ -11,7 +11,7 @@
 {
 
 constexpr std::string_view bearer_scheme = "bearer";
-constexpr std::size_t longest_key = 4096;
+constexpr std::size_t max_key_size = 4096;
 constexpr std::size_t fingerprint_digits = 8;
 
 bool is_token_character(char each)
@@ -19,7 +19,7 @@
     return each > ' ' && each < '\x7f' && each != ',' && each != '"';
 }
 
-std::string_view without_spaces_around(std::string_view text)
+std::string_view trim(std::string_view text)
 {
     auto const first = text.find_first_not_of(" \t");
     if (first == std::string_view::npos)
@@ -30,16 +30,16 @@
 /// The token after the scheme; empty if there is none.
 std::string_view bearer_token(std::string_view field)
 {
-    std::string_view const text = without_spaces_around(field);
+    std::string_view const text = trim(field);
     auto const space = text.find(' ');
     if (space == std::string_view::npos ||
         !same_header_name(text.substr(0, space), bearer_scheme))
         return {};
-    std::string_view const token = without_spaces_around(text.substr(space));
-    bool const sound =
-        token.size() <= longest_key &&
+    std::string_view const token = trim(text.substr(space));
+    bool const valid =
+        token.size() <= max_key_size &&
         std::all_of(token.begin(), token.end(), is_token_character);
-    return sound ? token : std::string_view();
+    return valid ? token : std::string_view();
 }
 
 } // namespace
@@ -56,18 +56,19 @@
 
 std::optional<key_digest> caller_key(http_headers const& headers)
 {
-    std::string const* only = nullptr;
+    std::string const* authorization = nullptr;
     for (auto const& [name, value] : headers.fields())
     {
         if (!same_header_name(name, authorization_header))
             continue;
         // Two keys may be of two teams; which one counts cannot be told.
-        if (only != nullptr)
+        if (authorization != nullptr)
             return std::nullopt;
-        only = &value;
+        authorization = &value;
     }
-    std::string_view const token =
-        only == nullptr ? std::string_view() : bearer_token(*only);
+    std::string_view const token = authorization == nullptr
+                                       ? std::string_view()
+                                       : bearer_token(*authorization);
     if (token.empty())
         return std::nullopt;
     return digest_of_key(token);
--- a/src/token_bucket.cpp
+++ b/src/token_bucket.cpp
@@ -8,7 +8,7 @@
 {
 
 /// Longer than any allotment is asked about.
-constexpr double longest_seconds = 1e6;
+constexpr double max_wait_seconds = 1e6;
 
 double seconds_of(duration span)
 {
@@ -17,56 +17,56 @@
 
 } // namespace
 
-void token_bucket::set_rate(double per_second, double most, time_point now)
+void token_bucket::set_rate(double per_second, double capacity, time_point now)
 {
     level(now);
     per_second_ = per_second;
-    most_ = most;
-    level_ = std::min(level_, most_);
+    capacity_ = capacity;
+    level_ = std::min(level_, capacity_);
 }
 
 double token_bucket::level(time_point now)
 {
-    if (now > as_of_)
+    if (now > updated_at_)
     {
-        level_ =
-            std::min(most_, level_ + per_second_ * seconds_of(now - as_of_));
-        as_of_ = now;
+        level_ = std::min(capacity_,
+                          level_ + per_second_ * seconds_of(now - updated_at_));
+        updated_at_ = now;
     }
     return level_;
 }
 
-double token_bucket::enough_for(double units) const
+double token_bucket::required_level(double units) const
 {
-    return std::min(units, most_);
+    return std::min(units, capacity_);
 }
 
-bool token_bucket::take(double units, time_point now)
+bool token_bucket::try_take(double units, time_point now)
 {
-    return take_ahead(units, duration(0), now).has_value();
+    return reserve(units, duration(0), now).has_value();
 }
 
-std::optional<duration> token_bucket::take_ahead(double units, duration longest,
-                                                 time_point now)
+std::optional<duration> token_bucket::reserve(double units, duration max_wait,
+                                              time_point now)
 {
-    duration const wait = until_fits(units, now);
-    if (wait > longest)
+    duration const wait = time_until_available(units, now);
+    if (wait > max_wait)
         return std::nullopt;
     level_ -= units;
     return wait;
 }
 
-void token_bucket::put(double units, time_point now)
+void token_bucket::refund(double units, time_point now)
 {
-    level_ = std::min(most_, level(now) + units);
+    level_ = std::min(capacity_, level(now) + units);
 }
 
-duration token_bucket::until_fits(double units, time_point now)
+duration token_bucket::time_until_available(double units, time_point now)
 {
-    double const lacking = enough_for(units) - level(now);
+    double const lacking = required_level(units) - level(now);
     if (lacking <= 0 && per_second_ > 0)
         return duration(0);
-    if (per_second_ <= 0 || lacking / per_second_ > longest_seconds)
+    if (per_second_ <= 0 || lacking / per_second_ > max_wait_seconds)
         return duration::max();
     return std::chrono::ceil<duration>(
         std::chrono::duration<double>(lacking / per_second_));
--- a/tests/allotment_pool_test.cpp
+++ b/tests/allotment_pool_test.cpp
@@ -19,15 +19,16 @@
     return pool;
 }
 
-void leave(allotment_pool& pool, char const* vm, double part, time_point now,
-           duration span)
+void delegate_share(allotment_pool& pool, char const* vm, double share,
+                    time_point now, duration span)
 {
-    pool.answer({vm_id(vm), span, {{pits, part, 0, 0}}}, now);
+    pool.answer({vm_id(vm), span, {{pits, share, 0, 0}}}, now);
 }
 
-double take(allotment_pool& pool, double least, time_point now)
+double allot(allotment_pool& pool, double min_units, time_point now)
 {
-    return pool.answer({vm_id("asks"), {}, {{pits, 0, least, least}}}, now)
+    return pool
+        .answer({vm_id("asks"), {}, {{pits, 0, min_units, min_units}}}, now)
         .at(0)
         .units;
 }
@@ -39,11 +40,11 @@
 TEST_CASE("a part brings units in until its end", "[allotment_pool]")
 {
     allotment_pool pool = pool_of(1000, 100'000);
-    leave(pool, "a", 0.5, start, 1s);
-    leave(pool, "b", 0.01, start, 60s);
+    delegate_share(pool, "a", 0.5, start, 1s);
+    delegate_share(pool, "b", 0.01, start, 60s);
     // 500 by a, 200 by b.
-    CHECK(take(pool, 720, start + 20s) == 0);
-    CHECK(take(pool, 690, start + 20s) == 690);
+    CHECK(allot(pool, 720, start + 20s) == 0);
+    CHECK(allot(pool, 690, start + 20s) == 690);
 }
 
 // Guards against an allotment that grows where VMs do not agree on how many
@@ -52,25 +53,25 @@
 {
     allotment_pool pool = pool_of(1000, 100'000);
     for (char const* vm : {"a", "b", "c", "a"})
-        leave(pool, vm, 0.6, start, 2s);
-    CHECK(take(pool, 1300, start + 1s) == 0);
-    CHECK(take(pool, 1000, start + 1s) == 1000);
+        delegate_share(pool, vm, 0.6, start, 2s);
+    CHECK(allot(pool, 1300, start + 1s) == 0);
+    CHECK(allot(pool, 1000, start + 1s) == 1000);
 }
 
 TEST_CASE("a pool says when units are there", "[allotment_pool]")
 {
     allotment_pool pool = pool_of(1000, 1000);
     for (char const* vm : {"a", "b"})
-        leave(pool, vm, 0.5, start, 1s);
+        delegate_share(pool, vm, 0.5, start, 1s);
     auto const reply =
         pool.answer({vm_id("c"), {}, {{pits, 0, 600, 600}}}, start);
     CHECK(reply.at(0).units == 0);
-    CHECK(reply.at(0).fits_in == 600ms);
-    CHECK(reply.at(0).come_back_in >= 600ms);
+    CHECK(reply.at(0).available_in == 600ms);
+    CHECK(reply.at(0).retry_in >= 600ms);
     auto const soon =
         pool.answer({vm_id("c"), {}, {{pits, 0, 600, 600}}}, start + 500ms);
     CHECK(soon.at(0).units == 600);
-    CHECK(soon.at(0).fits_in == 100ms);
+    CHECK(soon.at(0).available_in == 100ms);
     CHECK(pool.answer({vm_id("c"), {}, {{team_id("x"), 0, 1, 1}}}, start)
               .empty());
 }
--- a/tests/peer_allotment_test.cpp
+++ b/tests/peer_allotment_test.cpp
@@ -18,12 +18,12 @@
 TEST_CASE("questions and replies about allotments come back as they were",
           "[peer_allotment]")
 {
-    allotment_question const question{
+    allotment_query const query{
         vm_id("a"),
         2000ms,
         {{team_id("pits"), 0.0625, 0, 0}, {team_id("mills"), 0, 716, 1500.5}}};
-    CHECK(decode_allotment_question(
-              body_of(encode_allotment_question(question, "h"))) == question);
+    CHECK(decode_allotment_query(body_of(encode_allotment_query(query, "h"))) ==
+          query);
     allotment_reply const reply{{team_id("pits"), 716, 0ms, 0ms},
                                 {team_id("mills"), 0, 120ms, 900ms}};
     CHECK(decode_allotment_reply(encode_allotment_reply(reply)) == reply);
@@ -41,7 +41,7 @@
           R"({"from":"a","left_ms":1,"teams":[["t",0,1e300,0]]})"})
     {
         CAPTURE(text);
-        CHECK_FALSE(decode_allotment_question(text));
+        CHECK_FALSE(decode_allotment_query(text));
     }
     for (char const* text :
          {"", "{}", R"({"given":[["t",-5,0,0]]})", R"({"given":[["t",5,0]]})"})
--- a/tests/pooled_allotment_test.cpp
+++ b/tests/pooled_limiter_test.cpp
@@ -1,4 +1,4 @@
-#include "pooled_allotment.hpp"
+#include "pooled_limiter.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -32,7 +32,7 @@
 /// One VM, whose own pool is the only one; questions are answered at once.
 struct lone_vm
 {
-    pooled_allotment keeper{vm_id("a"), allotment_terms()};
+    pooled_limiter keeper{vm_id("a"), allotment_terms()};
     time_point now = start;
     std::map<ticket_id, std::optional<error>> settled;
 
@@ -47,12 +47,12 @@
         for (auto actions = keeper.run(now); !actions.empty();
              actions = keeper.run(now))
             for (allotment_action const& action : actions)
-                if (auto const* ask = std::get_if<ask_pool>(&action))
-                    keeper.on_reply(ask->number,
-                                    keeper.answer(ask->question, now), now);
+                if (auto const* ask = std::get_if<query_pool>(&action))
+                    keeper.on_reply(ask->number, keeper.answer(ask->query, now),
+                                    now);
                 else
                 {
-                    auto const& done = std::get<allotment_settled>(action);
+                    auto const& done = std::get<allotment_decision>(action);
                     settled[done.ticket] = done.refused;
                 }
     }
@@ -70,54 +70,54 @@
     }
 };
 
-std::vector<ask_pool> questions(pooled_allotment& keeper, time_point now)
+std::vector<query_pool> pool_queries(pooled_limiter& keeper, time_point now)
 {
-    std::vector<ask_pool> asked;
+    std::vector<query_pool> asked;
     for (allotment_action const& action : keeper.run(now))
-        if (auto const* ask = std::get_if<ask_pool>(&action))
+        if (auto const* ask = std::get_if<query_pool>(&action))
             asked.push_back(*ask);
     return asked;
 }
 
 /// One of three VMs, which left its parts and got no answer that matters.
-std::unique_ptr<pooled_allotment> asking_vm(double slack = 0)
+std::unique_ptr<pooled_limiter> asking_vm(double slack = 0)
 {
     allotment_terms terms;
     terms.slack = slack;
-    auto keeper = std::make_unique<pooled_allotment>(vm_id("a"), terms);
+    auto keeper = std::make_unique<pooled_limiter>(vm_id("a"), terms);
     keeper->set_members(members({"b", "c"}), start);
     keeper->set_teams(limit(1000, 1000), start);
-    for (ask_pool const& ask : questions(*keeper, start))
+    for (query_pool const& ask : pool_queries(*keeper, start))
         keeper->on_reply(ask.number, allotment_reply(), start);
     return keeper;
 }
 
 /// Questions for units; parts are left all the time.
-std::vector<ask_pool> needs(pooled_allotment& keeper, time_point now)
+std::vector<query_pool> unit_queries(pooled_limiter& keeper, time_point now)
 {
-    std::vector<ask_pool> asked = questions(keeper, now);
+    std::vector<query_pool> asked = pool_queries(keeper, now);
     std::erase_if(asked,
-                  [](ask_pool const& each) {
-                      return each.question.teams.empty() ||
-                             each.question.teams[0].least <= 0;
+                  [](query_pool const& each) {
+                      return each.query.teams.empty() ||
+                             each.query.teams[0].min_units <= 0;
                   });
     return asked;
 }
 
 /// The one question that is asked for a request.
-ask_pool question_for(pooled_allotment& keeper, std::uint64_t ticket,
-                      double units, time_point now)
+query_pool query_for(pooled_limiter& keeper, std::uint64_t ticket, double units,
+                     time_point now)
 {
     keeper.request(ticket_id(ticket), pits, units, now + 5s, now);
-    auto const asked = needs(keeper, now);
+    auto const asked = unit_queries(keeper, now);
     REQUIRE(asked.size() == 1);
     return asked[0];
 }
 
-std::optional<error> refusal(pooled_allotment& keeper, time_point now)
+std::optional<error> refusal(pooled_limiter& keeper, time_point now)
 {
     for (allotment_action const& action : keeper.run(now))
-        if (auto const* done = std::get_if<allotment_settled>(&action))
+        if (auto const* done = std::get_if<allotment_decision>(&action))
             return done->refused;
     return std::nullopt;
 }
@@ -177,9 +177,9 @@
           "[pooled_allotment]")
 {
     auto const keeper = asking_vm();
-    ask_pool const first = question_for(*keeper, 1, 100, start);
+    query_pool const first = query_for(*keeper, 1, 100, start);
     keeper->on_reply(first.number, std::nullopt, start + 300ms);
-    auto const second = questions(*keeper, start + 300ms);
+    auto const second = pool_queries(*keeper, start + 300ms);
     REQUIRE(second.size() == 1);
     CHECK(second[0].pool != first.pool);
     keeper->on_reply(second[0].number, std::nullopt, start + 600ms);
@@ -194,33 +194,33 @@
 TEST_CASE("units that are not used soon are lost", "[pooled_allotment]")
 {
     auto const keeper = asking_vm();
-    ask_pool const first = question_for(*keeper, 1, 100, start);
+    query_pool const first = query_for(*keeper, 1, 100, start);
     keeper->on_reply(first.number, allotment_reply{{pits, 500, 0ms, 0ms}},
                      start);
     CHECK_FALSE(refusal(*keeper, start));
     keeper->request(ticket_id(2), pits, 100, start + 5s, start + 500ms);
-    CHECK(needs(*keeper, start + 500ms).empty());
-    question_for(*keeper, 3, 100, start + 700ms);
+    CHECK(unit_queries(*keeper, start + 500ms).empty());
+    query_for(*keeper, 3, 100, start + 700ms);
 }
 
 // Guards against a part of an allotment that counts in two pools at once.
 TEST_CASE("a part is left to another pool only when it has ended at the first",
           "[pooled_allotment]")
 {
-    pooled_allotment keeper(vm_id("a"), allotment_terms());
+    pooled_limiter keeper(vm_id("a"), allotment_terms());
     keeper.set_members(members({"a", "b", "c"}), start);
     keeper.set_teams(limit(1000, 1000), start);
     std::map<vm_id, time_point> until;
     vm_id lost;
     for (time_point now = start; now < start + 20s; now += 100ms)
     {
-        for (ask_pool const& ask : questions(keeper, now))
+        for (query_pool const& ask : pool_queries(keeper, now))
         {
             if (lost.empty())
                 lost = ask.pool;
-            for (team_question const& each : ask.question.teams)
-                if (each.part > 0)
-                    until[ask.pool] = now + ask.question.left_for;
+            for (team_query const& each : ask.query.teams)
+                if (each.share > 0)
+                    until[ask.pool] = now + ask.query.delegated_for;
             bool const answers = ask.pool != lost || now < start + 5s;
             keeper.on_reply(
                 ask.number,
@@ -238,14 +238,14 @@
 // counted by the others.
 TEST_CASE("a VM in its first life leaves no part at once", "[pooled_allotment]")
 {
-    pooled_allotment keeper(vm_id("a"), allotment_terms());
+    pooled_limiter keeper(vm_id("a"), allotment_terms());
     allotment_members joined = members({"a", "b"});
-    joined.first_life = true;
+    joined.first_incarnation = true;
     keeper.set_members(joined, start);
     keeper.set_teams(limit(1000, 1000), start);
-    CHECK(questions(keeper, start).empty());
-    CHECK(questions(keeper, start + 2s).empty());
-    CHECK_FALSE(questions(keeper, start + 3100ms).empty());
+    CHECK(pool_queries(keeper, start).empty());
+    CHECK(pool_queries(keeper, start + 2s).empty());
+    CHECK_FALSE(pool_queries(keeper, start + 3100ms).empty());
 }
 
 // Guards against requests that are refused although their units come in a
@@ -268,18 +268,18 @@
 TEST_CASE("a VM that was there before leaves its parts at once",
           "[pooled_allotment]")
 {
-    pooled_allotment keeper(vm_id("a"), allotment_terms());
+    pooled_limiter keeper(vm_id("a"), allotment_terms());
     keeper.set_teams(limit(1000, 1000), start);
     keeper.request(ticket_id(1), pits, 10, start + 5s, start);
-    CHECK(questions(keeper, start + 100ms).empty());
+    CHECK(pool_queries(keeper, start + 100ms).empty());
     keeper.set_members(members({"a", "b"}), start + 200ms);
-    auto const asked = questions(keeper, start + 200ms);
+    auto const asked = pool_queries(keeper, start + 200ms);
     CHECK(std::any_of(asked.begin(), asked.end(),
-                      [](ask_pool const& each)
-                      { return each.question.teams.at(0).part > 0; }));
+                      [](query_pool const& each)
+                      { return each.query.teams.at(0).share > 0; }));
     CHECK(std::any_of(asked.begin(), asked.end(),
-                      [](ask_pool const& each)
-                      { return each.question.teams.at(0).least > 0; }));
+                      [](query_pool const& each)
+                      { return each.query.teams.at(0).min_units > 0; }));
 }
 
 // Guards against a team that gets as many requests larger than its burst as
@@ -288,7 +288,7 @@
           "[pooled_allotment]")
 {
     auto const keeper = asking_vm(GENERATE(0.0, 5000.0));
-    ask_pool const asked = question_for(*keeper, 1, 5000, start);
+    query_pool const asked = query_for(*keeper, 1, 5000, start);
     keeper->on_reply(asked.number, allotment_reply{{pits, 0, 3s, 3s}}, start);
     auto const why = refusal(*keeper, start);
     REQUIRE(why);
@@ -298,9 +298,9 @@
 TEST_CASE("a second pool is asked for what it may owe", "[pooled_allotment]")
 {
     auto const keeper = asking_vm(10'000);
-    ask_pool const first = question_for(*keeper, 1, 5000, start);
+    query_pool const first = query_for(*keeper, 1, 5000, start);
     keeper->on_reply(first.number, allotment_reply{{pits, 0, 3s, 3s}}, start);
-    auto const second = questions(*keeper, start);
+    auto const second = pool_queries(*keeper, start);
     REQUIRE(second.size() == 1);
     CHECK(second[0].pool != first.pool);
 }
--- a/tests/retry_allowance_test.cpp
+++ b/tests/retry_allowance_test.cpp
@@ -21,7 +21,7 @@
     retry_limits const limits{0.2, 52, 10s};
     std::vector<retry_allowance> vms(6, retry_allowance(limits));
     int requests = 0;
-    int repeats = 0;
+    int retries = 0;
     for (int ms = 0; ms < 10'000; ms += 10)
         for (std::size_t vm = 0; vm < vms.size(); ++vm)
         {
@@ -31,11 +31,11 @@
                 continue;
             vms[vm].count_request(now);
             ++requests;
-            repeats += vms[vm].try_take(6, now);
-            repeats += vms[vm].try_take(6, now);
+            retries += vms[vm].try_take(6, now);
+            retries += vms[vm].try_take(6, now);
         }
-    CHECK(repeats <= 0.2 * requests + 52);
-    CHECK(repeats > 0.1 * requests);
+    CHECK(retries <= 0.2 * requests + 52);
+    CHECK(retries > 0.1 * requests);
 }
 
 TEST_CASE("old requests stop counting after the window", "[retry_allowance]")
@@ -43,8 +43,8 @@
     retry_allowance allowance({0.5, 0, 10s});
     for (int number = 0; number < 20; ++number)
         allowance.count_request(start);
-    CHECK(allowance.left(1, start) == Approx(8));
-    CHECK(allowance.left(1, start + 11s) == Approx(0));
+    CHECK(allowance.remaining(1, start) == Approx(8));
+    CHECK(allowance.remaining(1, start + 11s) == Approx(0));
     CHECK_FALSE(allowance.try_take(1, start + 11s));
 }
 
--- a/tests/team_directory_test.cpp
+++ b/tests/team_directory_test.cpp
@@ -19,7 +19,7 @@
 {
     key_bounds made;
     made.revocation = 5000ms;
-    made.doubt = 1500ms;
+    made.unknown_key_max_age = 1500ms;
     return made;
 }
 
@@ -31,13 +31,13 @@
     return team_directory(std::move(config));
 }
 
-error_kind refused(access_decision const& decision)
+error_kind error_kind_of(access_decision const& decision)
 {
     auto const* why = std::get_if<error>(&decision);
     return why == nullptr ? error_kind::internal : why->kind();
 }
 
-team_id holder(access_decision const& decision)
+team_id holder_name(access_decision const& decision)
 {
     auto const* granted = std::get_if<access_granted>(&decision);
     return granted == nullptr || granted->holder == nullptr
@@ -55,12 +55,13 @@
 TEST_CASE("a key tells its team", "[team_directory]")
 {
     auto const teams = directory();
-    CHECK(holder(teams.decide({}, known_key, known_since(0ms), bounds(),
-                              start)) == team_id("pits"));
-    CHECK(refused(teams.decide({}, no_key, known_since(0ms), bounds(),
-                               start)) == error_kind::unauthorized);
-    CHECK(refused(teams.decide({}, std::nullopt, known_since(0ms), bounds(),
-                               start)) == error_kind::unauthorized);
+    CHECK(holder_name(teams.decide({}, known_key, known_since(0ms), bounds(),
+                                   start)) == team_id("pits"));
+    CHECK(error_kind_of(teams.decide({}, no_key, known_since(0ms), bounds(),
+                                     start)) == error_kind::unauthorized);
+    CHECK(error_kind_of(teams.decide({}, std::nullopt, known_since(0ms),
+                                     bounds(), start)) ==
+          error_kind::unauthorized);
 }
 
 TEST_CASE("open routes and configurations without teams need no key",
@@ -69,13 +70,13 @@
     route open;
     open.open_to_all = true;
     auto const teams = directory();
-    CHECK(holder(teams.decide(open, known_key, known_since(1h), bounds(),
-                              start)) == team_id());
-    CHECK(refused(teams.decide(open, std::nullopt, known_since(1h), bounds(),
-                               start)) == error_kind::internal);
+    CHECK(holder_name(teams.decide(open, known_key, known_since(1h), bounds(),
+                                   start)) == team_id());
+    CHECK(error_kind_of(teams.decide(open, std::nullopt, known_since(1h),
+                                     bounds(), start)) == error_kind::internal);
     team_directory const none(std::make_shared<routing_config>());
-    CHECK(refused(none.decide({}, no_key, known_since(1h), bounds(), start)) ==
-          error_kind::internal);
+    CHECK(error_kind_of(none.decide({}, no_key, known_since(1h), bounds(),
+                                    start)) == error_kind::internal);
 }
 
 // Guards against a key that is used at a VM cut off from the store after it was
@@ -84,15 +85,15 @@
           "[team_directory]")
 {
     auto const teams = directory();
-    CHECK(holder(teams.decide({}, known_key, known_since(4700ms, 4700ms),
-                              bounds(), start)) == team_id("pits"));
+    CHECK(holder_name(teams.decide({}, known_key, known_since(4700ms, 4700ms),
+                                   bounds(), start)) == team_id("pits"));
     auto const late =
         teams.decide({}, known_key, known_since(4800ms, 0ms), bounds(), start);
-    CHECK(refused(late) == error_kind::configuration_stale);
+    CHECK(error_kind_of(late) == error_kind::configuration_stale);
     CHECK(std::get<error>(late).request_ran() == ran::no);
     CHECK(std::get<error>(late).retry_after());
-    CHECK(holder(teams.decide({}, known_key, known_since(1h), key_bounds{},
-                              start)) == team_id("pits"));
+    CHECK(holder_name(teams.decide({}, known_key, known_since(1h), key_bounds{},
+                                   start)) == team_id("pits"));
 }
 
 // Guards against a new key being called unknown by a VM that has not heard of
@@ -100,10 +101,12 @@
 TEST_CASE("a VM that may be behind calls no key unknown", "[team_directory]")
 {
     auto const teams = directory();
-    CHECK(refused(teams.decide({}, no_key, known_since(2s, 1600ms), bounds(),
-                               start)) == error_kind::configuration_stale);
-    CHECK(refused(teams.decide({}, no_key, known_since(2s, 1400ms), bounds(),
-                               start)) == error_kind::unauthorized);
+    CHECK(error_kind_of(teams.decide({}, no_key, known_since(2s, 1600ms),
+                                     bounds(), start)) ==
+          error_kind::configuration_stale);
+    CHECK(error_kind_of(teams.decide({}, no_key, known_since(2s, 1400ms),
+                                     bounds(), start)) ==
+          error_kind::unauthorized);
 }
 
 TEST_CASE("the team's priority goes before the route's", "[team_directory]")
--- a/tests/team_key_test.cpp
+++ b/tests/team_key_test.cpp
@@ -67,12 +67,12 @@
                     []
                     {
                         auto const token = *rc::gen::arbitrary<std::string>();
-                        bool sound = !token.empty() && token.size() <= 4096;
+                        bool valid = !token.empty() && token.size() <= 4096;
                         for (char const each : token)
-                            sound = sound && each > ' ' && each < '\x7f' &&
+                            valid = valid && each > ' ' && each < '\x7f' &&
                                     each != ',' && each != '"';
                         auto const found = key_in("Bearer " + token);
-                        RC_ASSERT(!sound || found == digest_of_key(token));
+                        RC_ASSERT(!valid || found == digest_of_key(token));
                         caller_key(fields({{"Authorization", token}}));
                     }));
 }
--- a/tests/token_bucket_test.cpp
+++ b/tests/token_bucket_test.cpp
@@ -10,10 +10,10 @@
 
 time_point const start{10s};
 
-token_bucket bucket(double per_second, double most)
+token_bucket bucket(double per_second, double capacity)
 {
     token_bucket made;
-    made.set_rate(per_second, most, start);
+    made.set_rate(per_second, capacity, start);
     return made;
 }
 
@@ -22,11 +22,11 @@
 TEST_CASE("units come in at the rate, up to the most", "[token_bucket]")
 {
     token_bucket filled = bucket(100, 50);
-    CHECK_FALSE(filled.take(1, start));
+    CHECK_FALSE(filled.try_take(1, start));
     CHECK(filled.level(start + 200ms) == Approx(20));
     CHECK(filled.level(start + 10s) == Approx(50));
-    CHECK(filled.take(50, start + 10s));
-    CHECK_FALSE(filled.take(1, start + 10s));
+    CHECK(filled.try_take(50, start + 10s));
+    CHECK_FALSE(filled.try_take(1, start + 10s));
 }
 
 // Guards against a request larger than the burst that is refused for ever.
@@ -34,11 +34,11 @@
           "[token_bucket]")
 {
     token_bucket filled = bucket(100, 50);
-    CHECK_FALSE(filled.take(150, start + 400ms));
-    CHECK(filled.take(150, start + 500ms));
-    CHECK(filled.until_fits(10, start + 500ms) == 1100ms);
-    CHECK_FALSE(filled.take(10, start + 1500ms));
-    CHECK(filled.take(10, start + 1600ms));
+    CHECK_FALSE(filled.try_take(150, start + 400ms));
+    CHECK(filled.try_take(150, start + 500ms));
+    CHECK(filled.time_until_available(10, start + 500ms) == 1100ms);
+    CHECK_FALSE(filled.try_take(10, start + 1500ms));
+    CHECK(filled.try_take(10, start + 1600ms));
 }
 
 TEST_CASE("a rate that changes counts from then on", "[token_bucket]")
@@ -50,6 +50,6 @@
     filled.set_rate(10, 20, start + 1500ms);
     CHECK(filled.level(start + 1500ms) == Approx(20));
     filled.set_rate(0, 20, start + 1500ms);
-    CHECK_FALSE(filled.take(1, start + 2s));
-    CHECK(filled.until_fits(1, start + 2s) == duration::max());
+    CHECK_FALSE(filled.try_take(1, start + 2s));
+    CHECK(filled.time_until_available(1, start + 2s) == duration::max());
 }
