--- a/src/allotment_limiter.hpp
+++ b/src/allotment_limiter.hpp
@@ -1,4 +1,5 @@
-/// Which requests of a team fit into its allotment, over all VMs together.
+/// Decides whether a team's request fits into the team's allotment, which is
+/// shared by all VMs.
 #ifndef MULBERRY_ALLOTMENT_LIMITER_HPP
 #define MULBERRY_ALLOTMENT_LIMITER_HPP
 
@@ -19,46 +20,48 @@
 namespace mulberry
 {
 
-/// How exactly allotments are kept. Value.
+/// How far a team's use may exceed its allotment. Value.
 struct allotment_terms
 {
-    /// In every span of that length a team's requests on all VMs count no more
-    /// than its rate over the span and its burst allow, and a little over.
+    /// In every window of this length the units of a team's requests on all VMs
+    /// stay within its rate times the window plus its burst, plus the overshoot
+    /// below.
     duration window = std::chrono::seconds(8);
-    /// That little, as a share.
-    double over = 0.1;
-    /// And so many units, for single requests larger than a burst.
-    double slack = 0;
+    /// Allowed overshoot as a fraction of rate times window.
+    double overshoot_ratio = 0.1;
+    /// Further allowed overshoot in units, for single requests larger than the
+    /// burst.
+    double overshoot_units = 0;
     friend bool operator==(allotment_terms const&,
                            allotment_terms const&) = default;
 };
 
-/// The VMs among which allotments are shared out. Value.
+/// The VMs that share the allotments. Value.
 struct allotment_members
 {
-    /// Those that may keep a pool.
+    /// VMs that may keep a pool.
     std::vector<ranked_vm> candidates;
-    /// All there are.
+    /// Number of all VMs.
     std::size_t count = 1;
-    /// This VM is one of them.
+    /// Whether this VM is a member.
     bool joined = false;
-    /// No process ran under this VM's name before, so that others may not count
-    /// it yet.
+    /// Whether no process ran under this VM's name before. Other VMs may then
+    /// not count it yet.
     bool first_incarnation = false;
     friend bool operator==(allotment_members const&,
                            allotment_members const&) = default;
 };
 
-/// What a VM asks of the pool of one team. Value.
+/// What a VM asks a pool for one team. Value.
 struct team_query
 {
     team_id team;
-    /// The part of the team's allotment that the VM leaves to the pool from
+    /// Fraction of the team's allotment that the VM delegates to the pool from
     /// now on; 0: no change.
     double share = 0;
-    /// How many units it needs at least; 0: none.
+    /// Minimum number of units that the VM needs; 0: none.
     double min_units = 0;
-    /// How many it can use.
+    /// Maximum number of units that the VM can use.
     double max_units = 0;
     friend bool operator==(team_query const&, team_query const&) = default;
 };
@@ -66,23 +69,24 @@
 struct allotment_query
 {
     vm_id from;
-    /// How long the parts are left to the pool.
+    /// How long the shares are delegated to the pool.
     duration delegated_for{};
     std::vector<team_query> teams;
     friend bool operator==(allotment_query const&,
                            allotment_query const&) = default;
 };
 
-/// What a pool gives to a VM. Value.
+/// Units of one team that a pool gives to a VM, or a refusal if `units` is 0.
+/// Value.
 struct allotted_units
 {
     team_id team;
     double units = 0;
-    /// With units: after how long they may be used. Without: after how long the
-    /// least would be there.
+    /// With units: after how long the units may be used. Refusal: after how
+    /// long `min_units` would be available.
     duration available_in{};
-    /// Without units: after how long they would be there if everybody who was
-    /// sent away before comes back first.
+    /// Refusal only: after how long `min_units` would be available if all
+    /// callers that were refused before retry first.
     duration retry_in{};
     friend bool operator==(allotted_units const&,
                            allotted_units const&) = default;
@@ -90,10 +94,12 @@
 
 using allotment_reply = std::vector<allotted_units>;
 
-/// A request waits so long for units that come in, rather than being refused.
+/// A request waits rather than being refused if its units come in within this
+/// time.
 inline constexpr std::chrono::milliseconds max_unit_wait{200};
 
-/// Ask another VM, or this one; the reply goes to on_reply().
+/// Send `query` to the pool of another VM or of this one and pass the reply to
+/// on_reply().
 struct query_pool
 {
     vm_id pool;
@@ -101,7 +107,7 @@
     allotment_query query;
 };
 
-/// The request fits, or does not.
+/// Whether a request fits into its team's allotment.
 struct allotment_decision
 {
     ticket_id ticket;
@@ -110,41 +116,48 @@
 
 using allotment_action = std::variant<query_pool, allotment_decision>;
 
-/// A way that keeps nobody waiting and asks nobody leaves out what that needs.
-/// Thread safety: none. No I/O, no clock.
+/// Implementations that never let requests wait and never query pools need not
+/// override the methods that have a default. Thread safety: none. No I/O, no
+/// clock.
 class allotment_limiter
 {
 public:
     virtual ~allotment_limiter() = default;
 
-    /// The teams that have a limit.
+    /// Sets the allotments of all teams that have one; requests of other teams
+    /// always fit.
     virtual void set_teams(std::map<team_id, allotment> const& teams,
                            time_point now) = 0;
     virtual void set_members(allotment_members members, time_point now) = 0;
-    /// Whether so many units fit: settled once, in an action of run(), at
-    /// `give_up_at` at the latest. Precondition: the ticket is new.
+    /// Requests a decision on a request that costs `units`. run() returns
+    /// exactly one allotment_decision for the ticket, at `give_up_at` at the
+    /// latest, unless the request is withdrawn. Precondition: the ticket is
+    /// new.
     virtual void request(ticket_id ticket, team_id const& team, double units,
                          time_point give_up_at, time_point now) = 0;
-    /// The request is not wanted any more; nothing is said of it.
+    /// The request is cancelled; no decision follows.
     virtual void withdraw(ticket_id /*ticket*/) {}
-    /// A request that fitted was not run after all.
+    /// Returns the units of a request that was admitted but did not run.
     virtual void give_back(team_id const& team, double units,
                            time_point now) = 0;
-    /// Another VM's question, or this one's own.
-    virtual allotment_reply answer(allotment_query const& /*question*/,
+    /// Answers a query of another VM, or of this VM, to this VM's pool.
+    virtual allotment_reply answer(allotment_query const& /*query*/,
                                    time_point /*now*/)
     {
         return {};
     }
-    /// Nothing: there was no answer.
+    /// Reply to the query_pool action `number`; nullopt if the pool did not
+    /// answer.
     virtual void on_reply(std::uint64_t /*number*/,
                           std::optional<allotment_reply> const& /*reply*/,
                           time_point /*now*/)
     {
     }
-    /// What is to be done now.
+    /// Returns the actions that are due. To be called after each event and at
+    /// next_due().
     virtual std::vector<allotment_action> run(time_point now) = 0;
-    /// When run() may have something to do, if nothing happens before.
+    /// When run() is to be called next if no event occurs before; `never` if
+    /// there is nothing to wait for.
     virtual time_point next_due() const { return never; }
 };
 
--- a/src/allotment_pool.cpp
+++ b/src/allotment_pool.cpp
@@ -7,11 +7,11 @@
 namespace
 {
 
-/// What a caller is told to wait at the most; who asks for more than that is
-/// not expected back.
+/// Longest retry delay given to a caller; a caller that would have to wait
+/// longer is not expected to retry.
 constexpr std::chrono::seconds max_retry_delay{5};
-/// With less of an allotment than this, VMs are still leaving their parts here,
-/// or leave them elsewhere.
+/// With a smaller total share, VMs are still about to delegate their shares to
+/// this pool, or delegate them to another one.
 constexpr double min_settled_share = 0.2;
 constexpr std::chrono::milliseconds unsettled_retry{100};
 
@@ -58,7 +58,6 @@
     return reply;
 }
 
-/// Parts that ended bring nothing in from then on.
 void allotment_pool::update_rate(team_pool& pool, time_point now) const
 {
     std::erase_if(pool.shares,
@@ -70,7 +69,8 @@
         sum += left.share;
         pool.next_expiry = std::min(pool.next_expiry, left.until);
     }
-    // VMs that do not agree on how many there are leave too much together.
+    // VMs that disagree on the number of members may delegate more than the
+    // whole allotment.
     pool.total_share = std::min(sum, 1.0);
     double const max_saved =
         pool.limit.burst + pool.limit.per_second *
@@ -83,7 +83,7 @@
 {
     while (pool.next_expiry <= now)
     {
-        // Up to its end a part counts in full.
+        // A share counts in full until its expiry.
         pool.bucket.level(pool.next_expiry);
         update_rate(pool, pool.next_expiry);
     }
@@ -102,7 +102,8 @@
         allotted.units = units;
         return allotted;
     }
-    // For all who wait there: one by one they would wait for a question each.
+    // Reserves units for all requests that wait at the VM; otherwise each of
+    // them would wait for a query of its own.
     double const ahead = std::max(
         query.min_units,
         std::min(query.max_units, bucket.max_reservable(max_unit_wait, now)));
--- a/src/allotment_pool.hpp
+++ b/src/allotment_pool.hpp
@@ -1,4 +1,4 @@
-/// The parts of teams' allotments that VMs left to this one.
+/// Manages the shares of teams' allotments that VMs delegated to this VM.
 #ifndef MULBERRY_ALLOTMENT_POOL_HPP
 #define MULBERRY_ALLOTMENT_POOL_HPP
 
@@ -10,17 +10,20 @@
 namespace mulberry
 {
 
-/// Gives out no more than what the parts that VMs left to it bring in. Thread
-/// safety: none. No I/O, no clock.
+/// Gives out no more units than the delegated shares bring in. Thread safety:
+/// none. No I/O, no clock.
 class allotment_pool
 {
 public:
-    /// `headroom`: how many seconds' worth of its rate a team may save up
-    /// beside its burst.
+    /// `headroom`: how much time's worth of its rate a team may save up in
+    /// addition to its burst.
     explicit allotment_pool(duration headroom) : headroom_(headroom) {}
 
-    /// A limit that is lowered is in force at once.
+    /// Sets the allotments of all teams that have one. A lowered allotment
+    /// applies at once, also to units saved up before.
     void set_teams(std::map<team_id, allotment> const& teams, time_point now);
+    /// Accepts the delegated shares of `query`, and allots or refuses the units
+    /// requested. The reply leaves out teams that have no allotment here.
     allotment_reply answer(allotment_query const& query, time_point now);
 
 private:
@@ -34,16 +37,17 @@
         allotment limit;
         std::map<vm_id, delegated_share> shares;
         time_point next_expiry = never;
-        /// The sum of the parts.
+        /// Sum of the shares, at most 1.
         double total_share = 0;
         token_bucket bucket;
-        /// Units that those who were sent away will come back for are there by
-        /// then.
+        /// When the units are available for all callers that were refused and
+        /// are expected to retry.
         time_point queue_ends_at{};
     };
 
-    /// Up to now, at what the parts brought in until each of them ended.
+    /// Fills the bucket up to `now`, and counts each share until its expiry.
     void refill(team_pool& pool, time_point now) const;
+    /// Removes expired shares and sets the bucket's rate from the others.
     void update_rate(team_pool& pool, time_point now) const;
     static allotted_units allot(team_pool& pool, team_query const& query,
                                 time_point now);
--- a/src/equal_share_limiter.cpp
+++ b/src/equal_share_limiter.cpp
@@ -24,7 +24,8 @@
 void equal_share_limiter::update_rates(time_point now)
 {
     double const headroom =
-        std::chrono::duration<double>(terms_.window).count() * terms_.over;
+        std::chrono::duration<double>(terms_.window).count() *
+        terms_.overshoot_ratio;
     for (auto const& [name, limit] : limits_)
         buckets_[name].set_rate(
             limit.per_second / double(count_),
@@ -44,7 +45,7 @@
     decisions_.emplace_back(allotment_decision{
         ticket,
         error(error_kind::over_allotment,
-              "this VM's part of the team's allotment is used up", ran::no,
+              "this VM's share of the team's allotment is used up", ran::no,
               found->second.time_until_available(units, now))});
 }
 
--- a/src/equal_share_limiter.hpp
+++ b/src/equal_share_limiter.hpp
@@ -1,4 +1,4 @@
-/// Each VM has an equal part of each allotment, and no more.
+/// Limits each VM to an equal share of each allotment.
 #ifndef MULBERRY_EQUAL_SHARE_LIMITER_HPP
 #define MULBERRY_EQUAL_SHARE_LIMITER_HPP
 
@@ -8,8 +8,8 @@
 namespace mulberry
 {
 
-/// Needs no messages, and refuses a team whose callers are at few VMs most of
-/// what it may ask for. Thread safety: none. No I/O, no clock.
+/// Needs no messages between VMs, but refuses most of the allotment of a team
+/// whose callers use only a few VMs. Thread safety: none. No I/O, no clock.
 class equal_share_limiter final : public allotment_limiter
 {
 public:
--- a/src/peer_allotment.cpp
+++ b/src/peer_allotment.cpp
@@ -23,7 +23,7 @@
     return std::chrono::ceil<std::chrono::milliseconds>(span).count();
 }
 
-/// Whether a list's entry is a name and three amounts within bounds.
+/// Whether `json` is a team's name followed by three amounts within bounds.
 bool is_entry(Json::Value const& json)
 {
     if (!json.isArray() || json.size() != entry_fields || !json[0].isString())
--- a/src/pooled_limiter.cpp
+++ b/src/pooled_limiter.cpp
@@ -13,35 +13,35 @@
 
 using std::chrono::milliseconds;
 
-/// How often parts are left to pools anew, and for how long each time: one
-/// message may be lost.
+/// How often delegations are renewed, and for how long: a delegation outlasts
+/// the loss of one message.
 constexpr milliseconds delegation_interval{500};
 constexpr milliseconds delegation_span{1000};
-/// A part may be in use so long beyond its end, for the time that its message
-/// was on its way.
+/// A pool may use a share for this long beyond its expiry at this VM, because
+/// of the time its message was in transit.
 constexpr milliseconds max_message_delay{300};
-/// A VM that joins is counted by the others by then.
+/// By then the other VMs count a VM that joined.
 constexpr milliseconds join_delay{3000};
-/// A request waits so long for units at the most.
+/// Longest time that a request waits for units.
 constexpr milliseconds max_request_wait{600};
-/// A pool that did not answer is not asked for so long.
+/// How long a pool that did not answer is not queried.
 constexpr milliseconds unresponsive_retry{1000};
-/// VMs for each VM that keeps pools.
+/// One more VM keeps pools for every this many VMs.
 constexpr std::size_t vms_per_pool = 64;
-/// Units are asked for ahead of requests for so much of the recent use.
+/// Units are requested in advance for this time at the recent rate of use.
 constexpr std::chrono::duration<double> prefetch_span{0.25};
-/// The time over which recent use is told.
+/// Time constant of the average of recent use.
 constexpr std::chrono::duration<double> use_time_constant{1.0};
-/// Of what a team may use over its allotment: for units in hand, and for saving
-/// up in pools. See allotment_terms::over.
+/// How the allowed overshoot (allotment_terms::overshoot_ratio) is split:
+/// between units that VMs hold for use, and units saved up in pools.
 constexpr double usable_overshoot_share = 0.75;
 constexpr double saved_overshoot_share = 0.25;
 constexpr milliseconds unknown_retry{500};
 
 duration overshoot_span(allotment_terms const& terms, double share)
 {
-    return std::chrono::duration_cast<duration>(terms.window * terms.over *
-                                                share);
+    return std::chrono::duration_cast<duration>(terms.window *
+                                                terms.overshoot_ratio * share);
 }
 
 error unknown_allotment(char const* text)
@@ -61,7 +61,8 @@
     : self_(std::move(self)),
       unit_lifetime_(overshoot_span(terms, usable_overshoot_share)),
       headroom_(overshoot_span(terms, saved_overshoot_share)),
-      max_debt_per_pool_(terms.slack / double(pools_per_team)), pool_(headroom_)
+      max_debt_per_pool_(terms.overshoot_units / double(pools_per_team)),
+      pool_(headroom_)
 {
 }
 
@@ -104,7 +105,7 @@
 void pooled_limiter::choose_pools()
 {
     pools_ = by_rank(members_.candidates);
-    std::erase_if(unresponsive_until_,
+    std::erase_if(next_probe_at_,
                   [this](auto const& each)
                   {
                       return std::find(pools_.begin(), pools_.end(),
@@ -112,22 +113,21 @@
                   });
 }
 
-bool pooled_limiter::is_avoided(vm_id const& pool, time_point now) const
+bool pooled_limiter::query_suspended(vm_id const& pool, time_point now) const
 {
-    auto const found = unresponsive_until_.find(pool);
-    return found != unresponsive_until_.end() && now < found->second;
+    auto const found = next_probe_at_.find(pool);
+    return found != next_probe_at_.end() && now < found->second;
 }
 
-/// The VMs that keep pools for a team, the same on all VMs that see the same
-/// ones. One that does not answer gives way to the next by rank.
 std::vector<vm_id> pooled_limiter::pools_of(team_id const& team) const
 {
-    std::size_t const wanted =
+    std::size_t const candidate_count =
         pools_per_team + 1 + members_.count / vms_per_pool;
     std::vector<vm_id> pools;
     for (bool const unresponsive : {false, true})
         for (vm_id const& each : pools_)
-            if (is_unresponsive(each) == unresponsive && pools.size() < wanted)
+            if (is_unresponsive(each) == unresponsive &&
+                pools.size() < candidate_count)
                 pools.push_back(each);
     auto const order = [&](vm_id const& pool)
     {
@@ -141,12 +141,12 @@
     return pools;
 }
 
-/// Failure: a pool comes back, and for as long as the parts left to its
-/// substitute last it has nothing to give. So where this VM's own parts are is
-/// asked too: most others' are there.
-std::vector<vm_id> pooled_limiter::pools_to_ask(team_id const& team,
-                                                team_state const& state,
-                                                time_point now) const
+/// Includes the pools to which this VM's own shares are delegated, where most
+/// other VMs' shares are too. Otherwise, when a pool comes back, it has no
+/// units until the shares delegated to its substitute have expired.
+std::vector<vm_id> pooled_limiter::pools_to_query(team_id const& team,
+                                                  team_state const& state,
+                                                  time_point now) const
 {
     std::vector<vm_id> pools = pools_of(team);
     for (delegated_half const& left : state.halves)
@@ -154,11 +154,11 @@
             std::find(pools.begin(), pools.end(), left.pool) == pools.end())
             pools.push_back(left.pool);
     std::erase_if(pools, [this, now](vm_id const& each)
-                  { return is_avoided(each, now); });
+                  { return query_suspended(each, now); });
     return pools;
 }
 
-/// A half that may be in use at one pool is not left to another.
+/// A half that one pool may still use is not delegated to another pool.
 void pooled_limiter::delegate_shares(time_point now)
 {
     delegate_at_ = now + duration(delegation_interval);
@@ -190,10 +190,9 @@
     }
 }
 
-/// Those that answer are used again.
 void pooled_limiter::probe_unresponsive_pools(time_point now)
 {
-    for (auto& [pool, until] : unresponsive_until_)
+    for (auto& [pool, until] : next_probe_at_)
     {
         if (now < until)
             continue;
@@ -281,7 +280,8 @@
     state.use_as_of = now;
 }
 
-/// Those that wait longest first. A team without a limit keeps nobody waiting.
+/// Serves the waiting requests first in, first out. Requests of a team without
+/// an allotment never wait.
 void pooled_limiter::settle_waiting(team_id const& team, time_point now)
 {
     team_state& state = teams_.at(team);
@@ -319,12 +319,13 @@
            min_units >= found->second.min_units;
 }
 
-/// What no pool has is refused at once, without another question.
+/// A request for more units than any pool is known to have is refused at once,
+/// without another query.
 bool pooled_limiter::query_pools(team_id const& team, team_state& state,
                                  time_point now)
 {
     state.review_at = never;
-    // Until the VMs are known there is nobody to ask.
+    // There is no pool to query until the members are known.
     if (pools_.empty())
         return true;
     double const min_units =
@@ -334,9 +335,9 @@
         schedule_review(state, now);
         return true;
     }
-    std::vector<vm_id> pools = pools_to_ask(team, state, now);
-    // Failure: a request that no pool can hold is given by one that is full,
-    // which owes the rest; two such pools owe twice as much.
+    std::vector<vm_id> pools = pools_to_query(team, state, now);
+    // A full pool gives a request more units than the pool can hold and goes
+    // into debt; two such pools would be in debt for twice as much.
     if (exceeds_pool_capacity(team, min_units) && !pools.empty())
         pools.resize(1);
     time_point retry_at = never;
@@ -344,7 +345,7 @@
     {
         if (!known_short(state, pool, min_units, now))
         {
-            ask(pool, team, state, min_units, now);
+            query_pool_for(pool, team, state, min_units, now);
             return true;
         }
         retry_at = std::min(retry_at, state.shortages[pool].retry_at);
@@ -352,7 +353,7 @@
     return wait_or_refuse(state, retry_at, now);
 }
 
-/// Units were given that may be used a moment later.
+/// Schedules a review for when units that are not yet usable become usable.
 void pooled_limiter::schedule_review(team_state& state, time_point now)
 {
     for (usable_units const& each : state.usable)
@@ -360,13 +361,14 @@
             state.review_at = std::min(state.review_at, each.from);
 }
 
-void pooled_limiter::ask(vm_id const& pool, team_id const& team,
-                         team_state& state, double min_units, time_point now)
+void pooled_limiter::query_pool_for(vm_id const& pool, team_id const& team,
+                                    team_state& state, double min_units,
+                                    time_point now)
 {
     double sum = -usable_sum(state, true, now);
     for (waiting_request const& each : state.waiting)
         sum += each.units;
-    // Less than a request's worth would be lost before it is used.
+    // Units for less than one request would expire unused.
     double const beyond = state.use * prefetch_span.count();
     if (beyond >= state.waiting.front().units)
         sum += beyond;
@@ -376,7 +378,9 @@
     send(pool, {pool, now, team, min_units}, std::move(query));
 }
 
-/// No pool has what the first that waits needs. Others may need less.
+/// Handles the first waiting request when no pool has enough units: waits for
+/// the units if they are available soon, otherwise refuses the request and
+/// returns false. Later requests may need fewer units.
 bool pooled_limiter::wait_or_refuse(team_state& state, time_point retry_at,
                                     time_point now)
 {
@@ -412,24 +416,25 @@
     open_query const about = std::move(found->second);
     open_queries_.erase(found);
     if (!reply)
-        unresponsive_until_[about.pool] = now + duration(unresponsive_retry);
+        next_probe_at_[about.pool] = now + duration(unresponsive_retry);
     else
-        unresponsive_until_.erase(about.pool);
+        next_probe_at_.erase(about.pool);
     auto const asked = teams_.find(about.team);
     if (asked == teams_.end())
         return;
     team_state& state = asked->second;
     state.query_open = false;
     if (reply && reply->empty())
-        // The pool knows of no such team: its configuration is another one.
-        unresponsive_until_[about.pool] = now + duration(unresponsive_retry);
+        // The pool does not know the team, so its configuration differs.
+        next_probe_at_[about.pool] = now + duration(unresponsive_retry);
     for (allotted_units const& allotted : reply.value_or(allotment_reply()))
     {
         if (allotted.team != about.team)
             continue;
         if (allotted.units > 0)
         {
-            // It may have been given any time since it was asked for.
+            // The lifetime counts from the query, since the pool may have
+            // allotted the units at any time since then.
             state.usable.push_back(
                 {allotted.units, now + allotted.available_in,
                  about.asked_at + allotted.available_in + unit_lifetime_});
--- a/src/pooled_limiter.hpp
+++ b/src/pooled_limiter.hpp
@@ -1,5 +1,5 @@
-/// VMs leave their equal parts of each allotment to pools, and ask the pools
-/// for what their requests need.
+/// Limits teams by pools: VMs delegate their equal shares of each allotment to
+/// pools, and query the pools for the units that their requests need.
 #ifndef MULBERRY_POOLED_LIMITER_HPP
 #define MULBERRY_POOLED_LIMITER_HPP
 
@@ -15,15 +15,17 @@
 namespace mulberry
 {
 
-/// Load it answers: a team's callers are at a few of many VMs, and not the same
-/// ones for long. Each VM has an equal part of each allotment. It leaves half
-/// of it to each of two VMs that keep pools for that team, for a short time at
-/// a time, and never to two VMs at once; units that a pool gives are used soon
-/// or lost. So all VMs together use no more than the allotment whoever hears
-/// whom: a VM that is cut off or gone leaves nothing to a pool and gets nothing
-/// out of it. When a pool is lost the other has half of the allotment, and the
-/// next VM in turn the rest as soon as the parts left to the lost one have
-/// ended. Thread safety: none. No I/O, no clock.
+/// Lets a team use its whole allotment although its callers use only a few of
+/// many VMs, and change these VMs often. Each VM has an equal share of each
+/// allotment. It delegates one half of the share to each of two VMs that keep
+/// pools for the team, for a short time at a time; a half is never delegated to
+/// two VMs at once. Units that a pool gives expire soon if they are not used.
+/// All VMs together therefore stay within the allotment under any network
+/// partition: a VM that is partitioned or down neither delegates a share to a
+/// pool nor receives units. When one pool is lost the other pool has half of
+/// the allotment, and the next VM by rank gets the rest as soon as the shares
+/// delegated to the lost pool have expired. Thread safety: none. No I/O, no
+/// clock.
 class pooled_limiter final : public allotment_limiter
 {
 public:
@@ -53,21 +55,21 @@
         double units = 0;
         time_point give_up_at{};
     };
-    /// Units that one reply gave; used between two moments.
+    /// Units of one reply, with the time span in which they may be used.
     struct usable_units
     {
         double units = 0;
         time_point from{};
         time_point until{};
     };
-    /// The half of this VM's part that one pool gets.
+    /// One half of this VM's share of a team's allotment.
     struct delegated_half
     {
         vm_id pool;
-        /// Until then it may be in use there.
+        /// Until when the pool may use the half.
         time_point until{};
     };
-    /// A pool had less than that, and will until then.
+    /// A pool has less than `min_units` available until `until`.
     struct shortage
     {
         double min_units = 0;
@@ -81,9 +83,10 @@
         std::deque<waiting_request> waiting;
         std::map<vm_id, shortage> shortages;
         bool query_open = false;
-        /// Those that wait are looked at again then.
+        /// When the waiting requests are examined again.
         time_point review_at = never;
-        /// Units a second that were used here lately.
+        /// Recent use at this VM in units per second, as an exponentially
+        /// decaying average.
         double use = 0;
         time_point use_as_of{};
     };
@@ -91,61 +94,74 @@
     {
         vm_id pool;
         time_point asked_at{};
-        /// The team that units were asked for; empty for none.
+        /// The team that units were requested for; empty for none.
         team_id team;
         double min_units = 0;
     };
 
     void choose_pools();
+    /// The VMs that keep pools for a team, the same on all VMs that see the
+    /// same members. Unresponsive VMs are replaced by the next by rank.
     std::vector<vm_id> pools_of(team_id const& team) const;
     bool is_unresponsive(vm_id const& pool) const
     {
-        return unresponsive_until_.count(pool) > 0;
+        return next_probe_at_.count(pool) > 0;
     }
-    bool is_avoided(vm_id const& pool, time_point now) const;
-    /// Where a team's units are to be had, the likeliest first.
-    std::vector<vm_id> pools_to_ask(team_id const& team,
-                                    team_state const& state,
-                                    time_point now) const;
+    /// Whether the pool did not answer recently and is not queried yet.
+    bool query_suspended(vm_id const& pool, time_point now) const;
+    /// Pools that may have units of the team, in the order in which they are
+    /// queried.
+    std::vector<vm_id> pools_to_query(team_id const& team,
+                                      team_state const& state,
+                                      time_point now) const;
+    /// Renews the delegations of this VM's shares.
     void delegate_shares(time_point now);
+    /// Sends empty queries to pools that did not answer, since a pool that
+    /// answers is used again.
     void probe_unresponsive_pools(time_point now);
+    /// Whether the pool is known to have fewer than `min_units` available.
     bool known_short(team_state const& state, vm_id const& pool,
                      double min_units, time_point now) const;
     void settle_waiting(team_id const& team, time_point now);
-    /// Whether pools that give so many units would together owe more than a
-    /// team may use over its allotment.
+    /// Whether two pools that both give so many units would together be in debt
+    /// for more than the team may exceed its allotment by.
     bool exceeds_pool_capacity(team_id const& team, double units) const;
-    /// Whether those that wait have something to wait for; else the first of
-    /// them was refused.
+    /// Queries a pool for the waiting requests, unless usable units or a
+    /// pool's units will be available soon. Returns false if the first waiting
+    /// request was refused instead.
     bool query_pools(team_id const& team, team_state& state, time_point now);
     static void schedule_review(team_state& state, time_point now);
-    void ask(vm_id const& pool, team_id const& team, team_state& state,
-             double min_units, time_point now);
+    void query_pool_for(vm_id const& pool, team_id const& team,
+                        team_state& state, double min_units, time_point now);
     bool wait_or_refuse(team_state& state, time_point retry_at, time_point now);
+    /// Refuses the waiting requests that have reached their `give_up_at`.
     void expire_waiting(time_point now);
     bool try_use(team_state& state, double units, time_point now) const;
-    /// Units in hand; with those that may be used later, if they are wanted.
+    /// Sum of the units that may be used now; with `later_too`, also of those
+    /// that may be used later.
     double usable_sum(team_state& state, bool later_too, time_point now) const;
     void record_use(team_state& state, double units, time_point now) const;
     void send(vm_id const& pool, open_query about, allotment_query query);
 
     vm_id const self_;
-    /// How long units that were given may be used.
+    /// How long units of a reply may be used.
     duration const unit_lifetime_;
-    /// How much of its rate a team may save up beside its burst.
+    /// How much time's worth of its rate a team may save up in addition to its
+    /// burst.
     duration const headroom_;
-    /// Units that one pool may owe.
+    /// Units that one pool may be in debt for.
     double const max_debt_per_pool_;
     allotment_pool pool_;
     allotment_members members_;
-    /// This VM's parts count from then on.
+    /// When this VM may begin to delegate its shares.
     time_point shares_valid_from_ = never;
     std::map<team_id, allotment> limits_;
     std::map<team_id, team_state> teams_;
     /// VMs that may keep pools, by rank.
     std::vector<vm_id> pools_;
-    /// VMs that did not answer, until they do.
-    std::map<vm_id, time_point> unresponsive_until_;
+    /// VMs that did not answer, each with the time of the next probe; an entry
+    /// is removed when the VM answers.
+    std::map<vm_id, time_point> next_probe_at_;
     std::map<std::uint64_t, open_query> open_queries_;
     std::uint64_t last_number_ = 0;
     time_point delegate_at_ = never;
--- a/src/relay_settings.cpp
+++ b/src/relay_settings.cpp
@@ -72,8 +72,8 @@
     root.read_number("allotment_window_s", window, {0.1, 600.0}, optional);
     value.window = std::chrono::duration_cast<duration>(
         std::chrono::duration<double>(window));
-    root.read_number("allotment_over", value.over, {0.001, 1.0}, optional);
-    root.read_number("allotment_slack", value.slack, {0.0, 1e12}, optional);
+    root.read_number("allotment_over", value.overshoot_ratio, {0.001, 1.0}, optional);
+    root.read_number("allotment_slack", value.overshoot_units, {0.0, 1e12}, optional);
 }
 
 void read_crashes(json_object& root, crash_limits& value)
--- a/src/token_bucket.cpp
+++ b/src/token_bucket.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// Longer than any allotment is asked about.
+/// Longer waits count as never.
 constexpr double max_wait_seconds = 1e6;
 
 double seconds_of(duration span)
--- a/tests/allotment_pool_test.cpp
+++ b/tests/allotment_pool_test.cpp
@@ -35,21 +35,21 @@
 
 } // namespace
 
-// Guards against a part that counts on at a pool whose VM has gone, or has left
-// it elsewhere.
-TEST_CASE("a part brings units in until its end", "[allotment_pool]")
+// Guards against a share that still counts at a pool after its VM has gone or
+// has delegated the share to another pool.
+TEST_CASE("a share brings in units until it expires", "[allotment_pool]")
 {
     allotment_pool pool = pool_of(1000, 100'000);
     delegate_share(pool, "a", 0.5, start, 1s);
     delegate_share(pool, "b", 0.01, start, 60s);
-    // 500 by a, 200 by b.
+    // 500 units from a and 200 from b.
     CHECK(allot(pool, 720, start + 20s) == 0);
     CHECK(allot(pool, 690, start + 20s) == 690);
 }
 
-// Guards against an allotment that grows where VMs do not agree on how many
-// there are, and against a part that counts twice when it is left anew.
-TEST_CASE("parts bring in no more than the allotment", "[allotment_pool]")
+// Guards against exceeding the allotment when VMs disagree on the number of
+// members, and against a renewed share that counts twice.
+TEST_CASE("shares bring in no more than the allotment", "[allotment_pool]")
 {
     allotment_pool pool = pool_of(1000, 100'000);
     for (char const* vm : {"a", "b", "c", "a"})
@@ -58,7 +58,7 @@
     CHECK(allot(pool, 1000, start + 1s) == 1000);
 }
 
-TEST_CASE("a pool says when units are there", "[allotment_pool]")
+TEST_CASE("a pool reports when units are available", "[allotment_pool]")
 {
     allotment_pool pool = pool_of(1000, 1000);
     for (char const* vm : {"a", "b"})
--- a/tests/peer_allotment_test.cpp
+++ b/tests/peer_allotment_test.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("questions and replies about allotments come back as they were",
+TEST_CASE("allotment queries and replies are decoded as they were encoded",
           "[peer_allotment]")
 {
     allotment_query const query{
@@ -29,8 +29,8 @@
     CHECK(decode_allotment_reply(encode_allotment_reply(reply)) == reply);
 }
 
-// Guards against units out of nothing by a message that makes no sense.
-TEST_CASE("what is no message about allotments is told", "[peer_allotment]")
+// Guards against units that appear because of a malformed message.
+TEST_CASE("malformed allotment messages are rejected", "[peer_allotment]")
 {
     for (char const* text :
          {"", "[]", "{}", R"({"from":"a","left_ms":-1,"teams":[]})",
--- a/tests/pooled_limiter_test.cpp
+++ b/tests/pooled_limiter_test.cpp
@@ -29,7 +29,7 @@
     return made;
 }
 
-/// One VM, whose own pool is the only one; questions are answered at once.
+/// A single VM whose own pool is the only one. Queries are answered at once.
 struct lone_vm
 {
     pooled_limiter keeper{vm_id("a"), allotment_terms()};
@@ -79,11 +79,12 @@
     return asked;
 }
 
-/// One of three VMs, which left its parts and got no answer that matters.
+/// A VM with two other members, after it has delegated its shares to them and
+/// received empty replies.
 std::unique_ptr<pooled_limiter> asking_vm(double slack = 0)
 {
     allotment_terms terms;
-    terms.slack = slack;
+    terms.overshoot_units = slack;
     auto keeper = std::make_unique<pooled_limiter>(vm_id("a"), terms);
     keeper->set_members(members({"b", "c"}), start);
     keeper->set_teams(limit(1000, 1000), start);
@@ -92,7 +93,7 @@
     return keeper;
 }
 
-/// Questions for units; parts are left all the time.
+/// The queries that request units, without those that only renew delegations.
 std::vector<query_pool> unit_queries(pooled_limiter& keeper, time_point now)
 {
     std::vector<query_pool> asked = pool_queries(keeper, now);
@@ -104,7 +105,7 @@
     return asked;
 }
 
-/// The one question that is asked for a request.
+/// The query that is sent for a new request.
 query_pool query_for(pooled_limiter& keeper, std::uint64_t ticket, double units,
                      time_point now)
 {
@@ -124,7 +125,7 @@
 
 } // namespace
 
-TEST_CASE("a team may ask for its rate and its burst, and no more",
+TEST_CASE("a team may use its rate and its burst, and no more",
           "[pooled_allotment]")
 {
     lone_vm vm(1000, 2000);
@@ -141,7 +142,8 @@
     CHECK(vm.fits(3, 1000));
 }
 
-TEST_CASE("a team without a limit is not kept waiting", "[pooled_allotment]")
+TEST_CASE("requests of a team without a limit do not wait",
+          "[pooled_allotment]")
 {
     lone_vm vm(1000, 0);
     vm.keeper.set_teams({}, vm.now);
@@ -149,7 +151,8 @@
     CHECK(vm.fits(1, 1e9));
 }
 
-TEST_CASE("what was not run is there for the next", "[pooled_allotment]")
+TEST_CASE("units of a request that did not run are used by the next request",
+          "[pooled_allotment]")
 {
     lone_vm vm(1000, 1000);
     vm.pass(3s);
@@ -159,9 +162,9 @@
     CHECK(vm.fits(3, 1000));
 }
 
-// Guards against a limit that is lowered and comes into force only when what
-// was saved up before is used.
-TEST_CASE("a lowered limit takes what was saved up with it",
+// Guards against a lowered limit that applies only after the units saved up
+// before are used.
+TEST_CASE("a lowered limit also applies to units saved up before",
           "[pooled_allotment]")
 {
     lone_vm vm(1000, 10'000);
@@ -171,9 +174,10 @@
     CHECK_FALSE(vm.fits(2, 100));
 }
 
-// Guards against a caller that waits in vain for a pool that does not answer,
-// and against a VM that hears nobody and lets requests pass.
-TEST_CASE("without a pool's answer the next is asked, then the request refused",
+// Guards against a request that waits for a pool that does not answer, and
+// against an isolated VM that admits requests unchecked.
+TEST_CASE("if no pool answers, the next is queried and then the request is "
+          "refused",
           "[pooled_allotment]")
 {
     auto const keeper = asking_vm();
@@ -189,9 +193,9 @@
     CHECK(why->request_ran() == ran::no);
 }
 
-// Guards against a team that saves up units in many VMs' hands and uses them
-// all at once.
-TEST_CASE("units that are not used soon are lost", "[pooled_allotment]")
+// Guards against a team that saves up units at many VMs and uses all of them
+// at once.
+TEST_CASE("units that are not used soon expire", "[pooled_allotment]")
 {
     auto const keeper = asking_vm();
     query_pool const first = query_for(*keeper, 1, 100, start);
@@ -203,8 +207,9 @@
     query_for(*keeper, 3, 100, start + 700ms);
 }
 
-// Guards against a part of an allotment that counts in two pools at once.
-TEST_CASE("a part is left to another pool only when it has ended at the first",
+// Guards against a share of an allotment that counts in two pools at once.
+TEST_CASE("a share is delegated to another pool only after it has expired at "
+          "the first",
           "[pooled_allotment]")
 {
     pooled_limiter keeper(vm_id("a"), allotment_terms());
@@ -234,9 +239,9 @@
     CHECK(until.size() == 3);
 }
 
-// Guards against an allotment that grows while VMs that joined are not yet
-// counted by the others.
-TEST_CASE("a VM in its first life leaves no part at once", "[pooled_allotment]")
+// Guards against exceeding the allotment while the other VMs do not count a new
+// VM yet.
+TEST_CASE("a new VM does not delegate its shares at once", "[pooled_allotment]")
 {
     pooled_limiter keeper(vm_id("a"), allotment_terms());
     allotment_members joined = members({"a", "b"});
@@ -248,8 +253,7 @@
     CHECK_FALSE(pool_queries(keeper, start + 3100ms).empty());
 }
 
-// Guards against requests that are refused although their units come in a
-// moment later.
+// Guards against refusing requests whose units come in a moment later.
 TEST_CASE("a request waits for units that are about to come in",
           "[pooled_allotment]")
 {
@@ -263,10 +267,9 @@
     CHECK_FALSE(vm.settled[ticket_id(2)]);
 }
 
-// Guards against a whole fleet that starts again and refuses what its teams may
-// ask for until everybody's parts are counted anew.
-TEST_CASE("a VM that was there before leaves its parts at once",
-          "[pooled_allotment]")
+// Guards against a restarted fleet that refuses requests within the allotments
+// until all VMs have been counted again.
+TEST_CASE("a restarted VM delegates its shares at once", "[pooled_allotment]")
 {
     pooled_limiter keeper(vm_id("a"), allotment_terms());
     keeper.set_teams(limit(1000, 1000), start);
@@ -282,9 +285,10 @@
                       { return each.query.teams.at(0).min_units > 0; }));
 }
 
-// Guards against a team that gets as many requests larger than its burst as
-// there are pools, beyond what it may use over its allotment.
-TEST_CASE("what no pool can hold or owe is asked of one pool only",
+// Guards against a team that gets one request larger than its burst from each
+// pool, beyond the allowed overshoot.
+TEST_CASE("units that exceed the capacity and debt of a pool are requested "
+          "from one pool only",
           "[pooled_allotment]")
 {
     auto const keeper = asking_vm(GENERATE(0.0, 5000.0));
@@ -295,7 +299,8 @@
     CHECK(why->kind() == error_kind::over_allotment);
 }
 
-TEST_CASE("a second pool is asked for what it may owe", "[pooled_allotment]")
+TEST_CASE("a second pool is queried for units that it may be in debt for",
+          "[pooled_allotment]")
 {
     auto const keeper = asking_vm(10'000);
     query_pool const first = query_for(*keeper, 1, 5000, start);
--- a/tests/token_bucket_test.cpp
+++ b/tests/token_bucket_test.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("units come in at the rate, up to the most", "[token_bucket]")
+TEST_CASE("a bucket fills at its rate up to its capacity", "[token_bucket]")
 {
     token_bucket filled = bucket(100, 50);
     CHECK_FALSE(filled.try_take(1, start));
@@ -29,8 +29,8 @@
     CHECK_FALSE(filled.try_take(1, start + 10s));
 }
 
-// Guards against a request larger than the burst that is refused for ever.
-TEST_CASE("a full bucket gives what it can never hold, and owes the rest",
+// Guards against a request larger than the burst being refused forever.
+TEST_CASE("a full bucket gives more than its capacity and goes into debt",
           "[token_bucket]")
 {
     token_bucket filled = bucket(100, 50);
@@ -41,7 +41,8 @@
     CHECK(filled.try_take(10, start + 1600ms));
 }
 
-TEST_CASE("a rate that changes counts from then on", "[token_bucket]")
+TEST_CASE("a new rate and capacity apply from the time of the change",
+          "[token_bucket]")
 {
     token_bucket filled = bucket(100, 100);
     filled.set_rate(10, 100, start + 500ms);
