--- a/src/crash_detector.cpp
+++ b/src/crash_detector.cpp
@@ -31,11 +31,13 @@
 } // namespace
 
 /// Checks whether a worker accepts a TCP connection.
-class crash_detector::reach_check
-    : public std::enable_shared_from_this<crash_detector::reach_check>
+class crash_detector::reachability_check
+    : public std::enable_shared_from_this<crash_detector::reachability_check>
 {
 public:
-    explicit reach_check(asio::io_context& io) : socket_(io), timer_(io) {}
+    explicit reachability_check(asio::io_context& io) : socket_(io), timer_(io)
+    {
+    }
 
     /// Starts the check; calls `done` with whether the worker is reachable.
     /// Returns false, and never calls `done`, if the worker's address is not an
@@ -104,7 +106,7 @@
 
 crash_detector::~crash_detector()
 {
-    for (auto const& [life, crash] : crashes_to_check_)
+    for (auto const& [checked_worker, crash] : crashes_to_check_)
         crash.check->cancel();
 }
 
@@ -113,17 +115,18 @@
                                         backend_entry const& worker,
                                         time_point sent_at)
 {
-    worker_incarnation const life{worker.id, worker.started};
-    auto const [crash, first] = crashes_to_check_.try_emplace(life);
+    worker_incarnation const checked_worker{worker.id, worker.started};
+    auto const [crash, first] = crashes_to_check_.try_emplace(checked_worker);
     if (crash->second.requests.size() < options_.limits.max_entries)
         crash->second.requests.push_back({request, identity, sent_at});
     if (!first)
         return;
     crash->second.worker = worker;
     crash->second.at = boot_clock::now();
-    crash->second.check = std::make_shared<reach_check>(io_);
+    crash->second.check = std::make_shared<reachability_check>(io_);
     bool const checked = crash->second.check->start(
-        worker, [this, life](bool reachable) { on_checked(life, reachable); });
+        worker, [this, checked_worker](bool reachable)
+        { on_checked(checked_worker, reachable); });
     if (checked)
         return;
     log_.notable("worker cannot be checked",
@@ -134,9 +137,10 @@
     crashes_to_check_.erase(crash);
 }
 
-void crash_detector::on_checked(worker_incarnation const& life, bool reachable)
+void crash_detector::on_checked(worker_incarnation const& checked_worker,
+                                bool reachable)
 {
-    auto const found = crashes_to_check_.find(life);
+    auto const found = crashes_to_check_.find(checked_worker);
     if (found == crashes_to_check_.end())
         return;
     suspected_crash const crash = std::move(found->second);
@@ -148,10 +152,10 @@
     }
     ++counts_.crashes;
     std::vector<crash_observation> seen;
-    for (broken_request const& each : crash.requests)
+    for (interrupted_request const& each : crash.requests)
         for (request_digest const& digest :
              {each.identity.content, each.identity.of_caller})
-            seen.push_back({digest, life, each.sent_at, crash.at});
+            seen.push_back({digest, checked_worker, each.sent_at, crash.at});
     replicator_.on_crash(seen, boot_clock::now());
     log_crash(crash);
     log_quarantines(seen, "this VM");
@@ -161,7 +165,7 @@
 void crash_detector::log_crash(suspected_crash const& crash)
 {
     time_point const now = boot_clock::now();
-    for (broken_request const& each : crash.requests)
+    for (interrupted_request const& each : crash.requests)
         log_.notable(
             "worker crashed under request",
             log_fields()
--- a/src/crash_detector.hpp
+++ b/src/crash_detector.hpp
@@ -109,8 +109,8 @@
     std::string metrics() const;
 
 private:
-    class reach_check;
-    struct broken_request
+    class reachability_check;
+    struct interrupted_request
     {
         request_id request;
         request_identity identity;
@@ -120,11 +120,11 @@
     {
         backend_entry worker;
         time_point at{};
-        std::vector<broken_request> requests;
-        std::shared_ptr<reach_check> check;
+        std::vector<interrupted_request> requests;
+        std::shared_ptr<reachability_check> check;
     };
 
-    void on_checked(worker_incarnation const& life, bool reachable);
+    void on_checked(worker_incarnation const& checked_worker, bool reachable);
     void log_crash(suspected_crash const& crash);
     void log_quarantines(std::vector<crash_observation> const& update,
                          std::string_view heard_from);
--- a/src/crash_record.cpp
+++ b/src/crash_record.cpp
@@ -15,7 +15,7 @@
 constexpr std::chrono::milliseconds clock_tolerance{20};
 /// Per request, only the newest crashes are kept, at most this many times the
 /// quarantine threshold.
-constexpr std::size_t kept_multiple = 8;
+constexpr std::size_t kept_threshold_multiple = 8;
 
 } // namespace
 
@@ -30,15 +30,15 @@
     auto const [crash, first] = crashes_.emplace(seen.crashed, seen.at);
     if (!first)
         crash->second = std::min(crash->second, seen.at);
-    auto const [run, counts] =
+    auto const [observed, is_new] =
         known.crashes.emplace(seen.crashed, seen.sent_at);
-    run->second = std::max(run->second, seen.sent_at);
-    if (known.crashes.size() > limits_.crashes * kept_multiple)
+    observed->second = std::max(observed->second, seen.sent_at);
+    if (known.crashes.size() > limits_.crashes * kept_threshold_multiple)
         known.crashes.erase(std::min_element(
             known.crashes.begin(), known.crashes.end(),
             [this](auto const& a, auto const& b)
             { return crashes_.at(a.first) < crashes_.at(b.first); }));
-    return counts;
+    return is_new;
 }
 
 bool crash_record::clear(request_digest const& request, time_point at)
@@ -98,8 +98,8 @@
     auto const newest_crash = [this](suspect const& each)
     {
         time_point newest = each.cleared_at;
-        for (auto const& [life, sent_at] : each.crashes)
-            newest = std::max(newest, crashes_.at(life));
+        for (auto const& [crashed_worker, sent_at] : each.crashes)
+            newest = std::max(newest, crashes_.at(crashed_worker));
         return newest;
     };
     suspects_.erase(std::min_element(
@@ -127,27 +127,27 @@
         time_point sent_at;
     };
     std::vector<crash> all;
-    for (auto const& [life, sent_at] : of.crashes)
-        if (time_point const at = crashes_.at(life);
+    for (auto const& [crashed_worker, sent_at] : of.crashes)
+        if (time_point const at = crashes_.at(crashed_worker);
             at + limits_.retention > now)
             all.push_back({at, sent_at});
     std::sort(all.begin(), all.end(),
               [](crash const& a, crash const& b) { return a.at < b.at; });
-    std::vector<time_point> counts;
+    std::vector<time_point> times;
     for (crash const& each : all)
     {
-        bool const by_itself = std::all_of(
-            counts.begin(), counts.end(),
+        bool const counts_separately = std::all_of(
+            times.begin(), is_new.end(),
             [&each](time_point before)
             {
                 bool const outlived = each.at > before + clock_tolerance &&
                                       each.sent_at + clock_tolerance >= before;
                 return outlived || each.at > before + common_cause_window;
             });
-        if (by_itself)
-            counts.push_back(each.at);
+        if (counts_separately)
+            times.push_back(each.at);
     }
-    return counts;
+    return times;
 }
 
 std::size_t crash_record::crashes(request_digest const& request,
@@ -180,10 +180,10 @@
     auto const known = suspects_.find(request);
     if (known == suspects_.end())
         return std::nullopt;
-    auto const ran = known->second.crashes.find(crashed);
-    if (ran == known->second.crashes.end())
+    auto const sent = known->second.crashes.find(crashed);
+    if (sent == known->second.crashes.end())
         return std::nullopt;
-    return crash_observation{request, crashed, ran->second,
+    return crash_observation{request, crashed, sent->second,
                              crashes_.at(crashed)};
 }
 
@@ -194,8 +194,9 @@
     auto const known = suspects_.find(request);
     if (known == suspects_.end())
         return seen;
-    for (auto const& [life, sent_at] : known->second.crashes)
-        seen.push_back({request, life, sent_at, crashes_.at(life)});
+    for (auto const& [crashed_worker, sent_at] : known->second.crashes)
+        seen.push_back(
+            {request, crashed_worker, sent_at, crashes_.at(crashed_worker)});
     std::sort(seen.begin(), seen.end(),
               [](crash_observation const& a, crash_observation const& b)
               { return a.at < b.at; });
--- a/src/relay_teams.cpp
+++ b/src/relay_teams.cpp
@@ -1,4 +1,4 @@
-// Whose requests are, and what they count against teams' allotments.
+// Checks callers' keys and charges requests to teams' allotments.
 #include "boot_clock.hpp"
 #include "collected_exchange.hpp"
 #include "peer_allotment.hpp"
@@ -18,13 +18,13 @@
 
 constexpr int status_ok = 200;
 constexpr int status_bad_request = 400;
-/// A pool answers from memory.
+/// Short, since a pool answers from memory.
 constexpr milliseconds pool_request_timeout{300};
 constexpr milliseconds pool_connect_timeout{150};
 constexpr milliseconds pool_connection_max_idle{3000};
 
-std::uint64_t& count_of(relay_counts& counts, relay_request const& request,
-                        error_kind kind)
+std::uint64_t& refusal_counter(relay_counts& counts,
+                               relay_request const& request, error_kind kind)
 {
     if (kind == error_kind::configuration_stale)
         return counts.key_in_doubt;
@@ -45,7 +45,7 @@
     auto const* refused = std::get_if<error>(&decision);
     if (refused == nullptr)
         return decision;
-    ++count_of(counts_, request, refused->kind());
+    ++refusal_counter(counts_, request, refused->kind());
     log_.notable("key refused",
                  log_fields()
                      .add("request", request.id.str())
@@ -70,7 +70,8 @@
     auto const* const holder = std::get<access_granted>(access).holder;
     if (holder != nullptr && holder->name == *team)
         return std::nullopt;
-    return error(error_kind::unauthorized, "the key is another team's now");
+    return error(error_kind::unauthorized,
+                 "the key now belongs to another team");
 }
 
 void relay::share_teams()
@@ -137,7 +138,8 @@
               spread(why.retry_after().value_or(duration(0)))));
 }
 
-/// A question to this VM's own pool takes the same way, without the network.
+/// A query to this VM's own pool is answered asynchronously too, but without
+/// the network.
 void relay::send_question(query_pool const& ask)
 {
     auto const on_reply =
--- a/src/retry_allowance.cpp
+++ b/src/retry_allowance.cpp
@@ -8,8 +8,8 @@
 {
 
 constexpr int slices_per_window = 20;
-/// Of the limit; the rest covers sends that arrive in the next window and VMs
-/// that others do not know of yet.
+/// Fraction of the limit that is used. The rest covers retries that arrive in
+/// the next window, and VMs that the others do not count yet.
 constexpr double safety_factor = 0.8;
 
 } // namespace
--- a/src/retry_allowance.hpp
+++ b/src/retry_allowance.hpp
@@ -1,4 +1,4 @@
-/// This VM's part of the limit on repeated sends that all VMs share.
+/// This VM's share of the retry budget of all VMs.
 #ifndef MULBERRY_RETRY_ALLOWANCE_HPP
 #define MULBERRY_RETRY_ALLOWANCE_HPP
 
@@ -12,31 +12,35 @@
 
 struct retry_limits
 {
-    /// Repeated sends allowed for each request of the window.
+    /// Retries allowed per request in the window.
     double ratio = 0.2;
-    /// And besides, over all VMs.
+    /// Additional retries allowed per window, for all VMs together.
     double slack = 0;
     duration window = std::chrono::seconds(10);
     friend bool operator==(retry_limits const&, retry_limits const&) = default;
 };
 
-/// Load it answers: workers fail a large share of requests while callers
-/// repeat, so that every VM wants to send everything twice, and the repeats
-/// alone saturate the workers. Each VM spends the ratio of its own requests
-/// and an even share of the slack: the sum keeps the limit without a message
-/// between VMs, also when they are partitioned or restart, since a restarted
-/// VM counts from nothing and is allowed less. Thread safety: none.
+/// Prevents retry storms: when workers fail many requests and callers repeat
+/// them as well, every VM would send every request twice, and the retries alone
+/// would saturate the workers. Each VM may retry the given ratio of its own
+/// requests, plus an equal share of the slack. The sum over all VMs stays
+/// within the limit without messages between VMs, also if VMs are partitioned
+/// or restart, since a restarted VM counts from zero and is allowed less.
+/// Thread safety: none. No clock; the times passed must not decrease.
 class retry_allowance
 {
 public:
     explicit retry_allowance(retry_limits limits) : limits_(limits) {}
 
     void count_request(time_point now);
-    /// Takes one repeated send if there is one. `vms` share the slack.
+    /// Counts one retry and returns true if the budget allows it. `vms` is the
+    /// number of VMs that share the slack.
     bool try_take(std::size_t vms, time_point now);
+    /// Number of retries that are still allowed; may be negative.
     double remaining(std::size_t vms, time_point now);
 
 private:
+    /// Counts of one part of the window.
     struct slice
     {
         time_point ends{};
--- a/src/team.hpp
+++ b/src/team.hpp
@@ -1,4 +1,4 @@
-/// Teams: whose a request is, how urgent, and how much each may ask for.
+/// Teams with their keys, priorities and allotments.
 #ifndef MULBERRY_TEAM_HPP
 #define MULBERRY_TEAM_HPP
 
@@ -16,31 +16,32 @@
 enum class allotment_unit
 {
     requests,
-    /// The tokens of a prompt and the most of its answer.
+    /// The tokens of the prompt plus the maximum number of tokens of the
+    /// answer.
     tokens
 };
 
-/// How much a team may ask for on all VMs together. Value.
+/// Rate limit of a team over all VMs together. Value.
 struct allotment
 {
     allotment_unit unit = allotment_unit::requests;
-    /// Units a second; above 0.
+    /// Units per second; above 0.
     double per_second = 1;
-    /// Units beyond that which may be asked for at once.
+    /// Units that may be used at once in addition to the rate.
     double burst = 0;
-    /// What a request counts that does not say how many tokens it has.
+    /// Cost in tokens of a request that does not state its number of tokens.
     double plain_tokens = 1;
     friend bool operator==(allotment const&, allotment const&) = default;
 };
 
-/// Value.
+/// A group of callers that share keys, a priority and an allotment. Value.
 struct team
 {
     team_id name;
     std::set<key_digest> keys;
-    /// Goes before the route's; 0 is the most urgent.
+    /// Compared before the route's priority; 0 is the most urgent.
     int priority = 0;
-    /// Absent: no limit.
+    /// nullopt: no limit.
     std::optional<allotment> limit;
     friend bool operator==(team const&, team const&) = default;
 };
--- a/src/team_directory.cpp
+++ b/src/team_directory.cpp
@@ -7,9 +7,9 @@
 namespace
 {
 
-/// What is known may be renewed at any moment.
+/// Short, since newer declarations may be read at any time.
 constexpr std::chrono::milliseconds stale_retry{300};
-/// Of the bound, kept back for clocks that do not run alike.
+/// The bound divided by this is reserved for clock drift between VMs.
 constexpr int clock_drift_divisor = 20;
 
 error stale(char const* text)
--- a/src/team_directory.hpp
+++ b/src/team_directory.hpp
@@ -1,4 +1,5 @@
-/// Decides whose a request is, and whether it may be sent at all.
+/// Finds the team whose key a request carries, and decides whether the request
+/// may be sent.
 #ifndef MULBERRY_TEAM_DIRECTORY_HPP
 #define MULBERRY_TEAM_DIRECTORY_HPP
 
@@ -15,51 +16,56 @@
 namespace mulberry
 {
 
-/// Until when what is known of keys may be used.
+/// How old the known declarations may be when keys are checked against them.
 struct key_bounds
 {
-    /// A key that was taken away is used nowhere that long after it was. 0:
-    /// there is no such bound.
+    /// Time after its revocation from which a key is accepted nowhere. 0: no
+    /// bound.
     duration revocation{};
-    /// A VM that may have missed a change for longer than that does not call a
-    /// key unknown.
+    /// A VM whose declarations may be out of date for longer than this does not
+    /// reject a key as unknown, since the key may be new.
     duration unknown_key_max_age = std::chrono::milliseconds(1500);
     friend bool operator==(key_bounds const&, key_bounds const&) = default;
 };
 
-/// As of when the declarations are known.
+/// How recent the known declarations are.
 struct declarations_known
 {
-    /// The store is known to have held no others then.
+    /// Latest time at which the store is proven to have held just these
+    /// declarations.
     time_point proven_at{};
-    /// As far as can be told the store held no others then.
+    /// Latest time at which the store held just these declarations as far as
+    /// this VM knows.
     time_point shown_at{};
 };
 
-/// Whose a request is; without a team where none is needed.
+/// The request may be sent.
 struct access_granted
 {
+    /// The team whose request it is; null if the route needs no team.
     team const* holder = nullptr;
 };
 
 using access_decision = std::variant<access_granted, error>;
 
-/// The teams of one configuration. Immutable. Thread safety: const calls from
-/// any thread.
+/// The teams of one configuration, by key. Immutable. Thread safety: const
+/// calls from any thread.
 class team_directory
 {
 public:
     explicit team_directory(std::shared_ptr<routing_config const> config);
 
-    /// Without teams callers need no key.
+    /// Whether there are no teams; callers then need no key.
     bool empty() const { return config_->teams.empty(); }
-    /// Null when no team has the key.
+    /// The team that has the key; null if there is none.
     team const* holder(key_digest const& key) const;
 
-    /// Failure: a VM is cut off from the store, and a caller whose key was
-    /// taken away is served there for as long as it is. So a key is used only
-    /// while what the VM knows is known to be younger than the bound, and asked
-    /// again before each send.
+    /// Guards against a VM that is partitioned from the store and continues to
+    /// accept a revoked key: a key is accepted only while the declarations are
+    /// proven to be younger than `bounds.revocation`, and the relay calls this
+    /// function again before each send. Errors: unauthorized if the key is
+    /// missing or unknown, configuration_stale if the declarations are too old
+    /// to decide.
     access_decision decide(route const& matched,
                            std::optional<key_digest> const& key,
                            declarations_known const& known,
--- a/src/team_key.cpp
+++ b/src/team_key.cpp
@@ -27,7 +27,7 @@
     return text.substr(first, text.find_last_not_of(" \t") - first + 1);
 }
 
-/// The token after the scheme; empty if there is none.
+/// Returns the token after the scheme; empty if `field` is not valid.
 std::string_view bearer_token(std::string_view field)
 {
     std::string_view const text = trim(field);
@@ -61,7 +61,7 @@
     {
         if (!same_header_name(name, authorization_header))
             continue;
-        // Two keys may be of two teams; which one counts cannot be told.
+        // Two keys may belong to two teams, so that the team is ambiguous.
         if (authorization != nullptr)
             return std::nullopt;
         authorization = &value;
--- a/src/team_key.hpp
+++ b/src/team_key.hpp
@@ -1,4 +1,4 @@
-/// The keys by which callers show whose requests they are.
+/// The API keys with which callers authenticate as a team.
 #ifndef MULBERRY_TEAM_KEY_HPP
 #define MULBERRY_TEAM_KEY_HPP
 
@@ -14,15 +14,17 @@
 
 inline constexpr char const* authorization_header = "Authorization";
 
-/// What is kept of a key. Any thread.
+/// Returns the digest that is stored instead of the key. Thread safety: any
+/// thread.
 key_digest digest_of_key(std::string_view key);
 
-/// A short part of the digest, for logs. Any thread.
+/// Returns the first digits of the digest, for logs. Thread safety: any thread.
 std::string fingerprint(key_digest const& key);
 
-/// The digest of the key in a request's Authorization field. Nothing without a
-/// field, with several, with another scheme than Bearer, or with a text that is
-/// no single token of visible ASCII. Any thread.
+/// Returns the digest of the key in a request's Authorization header. Returns
+/// nullopt if there is no such header or more than one, if the scheme is not
+/// Bearer, or if the key is not a single token of visible ASCII characters or
+/// is too long. Thread safety: any thread.
 std::optional<key_digest> caller_key(http_headers const& headers);
 
 } // namespace mulberry
--- a/tests/crash_record_test.cpp
+++ b/tests/crash_record_test.cpp
@@ -14,7 +14,7 @@
 request_digest const bad("bad");
 request_digest const other("other");
 
-worker_incarnation life(int number)
+worker_incarnation first_incarnation_of(int number)
 {
     return {worker_id("w" + std::to_string(number)), worker_start(1)};
 }
@@ -22,7 +22,7 @@
 /// The request was sent to worker `number` 60 ms before the worker crashed.
 crash_observation seen(request_digest const& request, int number, time_point at)
 {
-    return {request, life(number), at - 60ms, at};
+    return {request, first_incarnation_of(number), at - 60ms, at};
 }
 
 /// Adds three crashes, one second apart.
--- a/tests/relay_teams_test.cpp
+++ b/tests/relay_teams_test.cpp
@@ -1,4 +1,4 @@
-// Keys of requests that wait in one relay.
+// Tests of key checks for requests that wait in a relay.
 #include "relay.hpp"
 #include "relay_callers.hpp"
 #include "team_key.hpp"
@@ -16,9 +16,9 @@
 namespace
 {
 
-constexpr std::chrono::seconds generous_wait{20};
+constexpr std::chrono::seconds test_timeout{20};
 
-/// Passes the path on, and reads the key.
+/// Reads the caller's key and sends the request's path and team to the worker.
 class keyed_codec final : public plain_codec
 {
 public:
@@ -51,8 +51,8 @@
     }
 };
 
-/// A relay before one worker that runs one request at a time and answers when
-/// it is told to.
+/// A relay with one worker, which runs one request at a time and answers when
+/// the test calls finish_first().
 struct busy_relay
 {
     busy_relay()
@@ -88,7 +88,7 @@
         options.declarations_as_of = [this]
         {
             time_point const now = vm.now();
-            return declarations_known{now - known_for, now};
+            return declarations_known{now - declarations_age, now};
         };
         return options;
     }
@@ -124,18 +124,19 @@
         return answer;
     }
     template <class Condition>
-    bool until(Condition const& holds)
+    bool run_until(Condition const& holds)
     {
-        auto const limit = std::chrono::steady_clock::now() + generous_wait;
+        auto const limit = std::chrono::steady_clock::now() + test_timeout;
         while (!holds() && std::chrono::steady_clock::now() < limit)
             io.run_one_for(10ms);
         return holds();
     }
-    /// Fills the worker and its queue at the relay: the last one waits.
-    std::shared_ptr<recorded_answer> ask_behind(std::string const& key)
+    /// Sends one request to the worker and a second one with `key`, which waits
+    /// in the relay. Returns the answer to the second request.
+    std::shared_ptr<recorded_answer> request_behind(std::string const& key)
     {
         ask("/a/first", "k-two");
-        REQUIRE(until([this] { return running.size() == 1; }));
+        REQUIRE(run_until([this] { return running.size() == 1; }));
         auto const waiting = ask("/a/second", key);
         io.poll();
         REQUIRE(ran.size() == 1);
@@ -149,7 +150,7 @@
     event_log log{"test", 1000,
                   [](log_level, std::string_view, std::string_view,
                      std::string const&) {}};
-    duration known_for{};
+    duration declarations_age{};
     std::vector<std::string> ran;
     std::vector<std::shared_ptr<http_answer>> running;
     http_server worker;
@@ -158,40 +159,41 @@
 
 } // namespace
 
-TEST_CASE("a request that waited is sent for its team", "[relay_teams]")
+TEST_CASE("a request that waited is sent with its team", "[relay_teams]")
 {
     busy_relay world;
-    auto const waiting = world.ask_behind("k-one");
+    auto const waiting = world.request_behind("k-one");
     world.finish_first();
-    REQUIRE(world.until([&] { return world.ran.size() == 2; }));
+    REQUIRE(world.run_until([&] { return world.ran.size() == 2; }));
     CHECK(world.ran.back() == "/a/second/pits");
     CHECK_FALSE(waiting->response);
 }
 
-// Guards against a key that is taken away while its request waits, and still
-// runs it.
-TEST_CASE("a request whose key is taken away while it waits is not sent",
+// Guards against sending a request whose key was revoked while the request
+// waited.
+TEST_CASE("a request whose key is revoked while it waits is not sent",
           "[relay_teams]")
 {
     busy_relay world;
-    auto const waiting = world.ask_behind("k-one");
+    auto const waiting = world.request_behind("k-one");
     world.configure(2, {"k-two"});
     world.finish_first();
-    REQUIRE(world.until([&] { return waiting->response.has_value(); }));
+    REQUIRE(world.run_until([&] { return waiting->response.has_value(); }));
     CHECK(waiting->response->status == 401);
     CHECK(world.ran.size() == 1);
 }
 
-// Guards against a request that waits until what its VM knows is too old, and
-// is sent on it.
-TEST_CASE("a request is not sent on knowledge that grew old while it waited",
+// Guards against sending a request after its VM's declarations became too old
+// while the request waited.
+TEST_CASE("a request is not sent if the declarations became too old while it "
+          "waited",
           "[relay_teams]")
 {
     busy_relay world;
-    auto const waiting = world.ask_behind("k-one");
-    world.known_for = 6s;
+    auto const waiting = world.request_behind("k-one");
+    world.declarations_age = 6s;
     world.finish_first();
-    REQUIRE(world.until([&] { return waiting->response.has_value(); }));
+    REQUIRE(world.run_until([&] { return waiting->response.has_value(); }));
     CHECK(waiting->response->status == 503);
     CHECK(world.ran.size() == 1);
 }
--- a/tests/retry_allowance_test.cpp
+++ b/tests/retry_allowance_test.cpp
@@ -12,10 +12,10 @@
 
 } // namespace
 
-// Every request fails at its worker while callers repeat. Six VMs that cannot
-// see each other each spend their part; together they must stay under the
-// limit in any window.
-TEST_CASE("the sum over all VMs keeps the limit without messages",
+// Guards against a retry storm when all requests fail: six VMs that cannot
+// reach each other use up their shares and must together stay within the limit
+// in any window.
+TEST_CASE("the retries of all VMs stay within the limit without messages",
           "[retry_allowance]")
 {
     retry_limits const limits{0.2, 52, 10s};
@@ -26,7 +26,7 @@
         for (std::size_t vm = 0; vm < vms.size(); ++vm)
         {
             time_point const now = start + std::chrono::milliseconds(ms);
-            // Callers are spread unevenly.
+            // The first VM gets four times as many requests as each other VM.
             if (ms % (vm == 0 ? 10 : 40) != 0)
                 continue;
             vms[vm].count_request(now);
@@ -38,7 +38,7 @@
     CHECK(retries > 0.1 * requests);
 }
 
-TEST_CASE("old requests stop counting after the window", "[retry_allowance]")
+TEST_CASE("requests stop counting after the window", "[retry_allowance]")
 {
     retry_allowance allowance({0.5, 0, 10s});
     for (int number = 0; number < 20; ++number)
@@ -48,7 +48,7 @@
     CHECK_FALSE(allowance.try_take(1, start + 11s));
 }
 
-TEST_CASE("a VM that just started may spend its part of the slack",
+TEST_CASE("a VM that just started may use its share of the slack",
           "[retry_allowance]")
 {
     retry_allowance allowance({0.2, 52, 10s});
--- a/tests/team_directory_test.cpp
+++ b/tests/team_directory_test.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("a key tells its team", "[team_directory]")
+TEST_CASE("a key identifies its team", "[team_directory]")
 {
     auto const teams = directory();
     CHECK(holder_name(teams.decide({}, known_key, known_since(0ms), bounds(),
@@ -79,9 +79,10 @@
                                     start)) == error_kind::internal);
 }
 
-// Guards against a key that is used at a VM cut off from the store after it was
-// taken away.
-TEST_CASE("a key is used only while what is known is younger than the bound",
+// Guards against a VM partitioned from the store that accepts a key after its
+// revocation.
+TEST_CASE("a key is accepted only while the declarations are younger than the "
+          "bound",
           "[team_directory]")
 {
     auto const teams = directory();
@@ -96,9 +97,9 @@
                                    start)) == team_id("pits"));
 }
 
-// Guards against a new key being called unknown by a VM that has not heard of
-// it yet.
-TEST_CASE("a VM that may be behind calls no key unknown", "[team_directory]")
+// Guards against rejecting a new key at a VM that has not received it yet.
+TEST_CASE("a VM with outdated declarations does not reject unknown keys",
+          "[team_directory]")
 {
     auto const teams = directory();
     CHECK(error_kind_of(teams.decide({}, no_key, known_since(2s, 1600ms),
@@ -109,7 +110,8 @@
           error_kind::unauthorized);
 }
 
-TEST_CASE("the team's priority goes before the route's", "[team_directory]")
+TEST_CASE("the team's priority is compared before the route's",
+          "[team_directory]")
 {
     auto config = std::make_shared<routing_config>();
     for (int const priority : {0, 1, 2})
--- a/tests/team_key_test.cpp
+++ b/tests/team_key_test.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("a bearer key is read, whatever the case of field and scheme",
+TEST_CASE("a bearer key is read regardless of the case of header and scheme",
           "[team_key]")
 {
     key_digest const expected = digest_of_key("k7b2");
@@ -32,9 +32,8 @@
     CHECK(caller_key(fields({{"aUTHORIZATION", "BEARER k7b2"}})) == expected);
 }
 
-// Guards against a caller that is taken for the holder of a key which it did
-// not clearly show.
-TEST_CASE("what shows no single key shows none", "[team_key]")
+// Guards against authenticating a caller by a malformed or ambiguous header.
+TEST_CASE("a header without exactly one valid key is rejected", "[team_key]")
 {
     CHECK_FALSE(caller_key({}));
     for (std::string const& field :
@@ -51,7 +50,7 @@
         {{"Authorization", "Bearer a"}, {"authorization", "Bearer a"}})));
 }
 
-TEST_CASE("neither digest nor fingerprint holds the key", "[team_key]")
+TEST_CASE("neither digest nor fingerprint contains the key", "[team_key]")
 {
     std::string const key = "asnmgkcuyj8pjbvk9m68";
     key_digest const digest = digest_of_key(key);
@@ -61,9 +60,9 @@
     CHECK(digest != digest_of_key(key + "x"));
 }
 
-TEST_CASE("any bytes are read without a fault", "[team_key]")
+TEST_CASE("arbitrary header values are handled", "[team_key]")
 {
-    CHECK(rc::check("a key is found only as one visible token after the scheme",
+    CHECK(rc::check("a valid token after the scheme is found",
                     []
                     {
                         auto const token = *rc::gen::arbitrary<std::string>();
