--- a/src/crash_record.cpp
+++ b/src/crash_record.cpp
@@ -137,7 +137,7 @@
     for (crash const& each : all)
     {
         bool const counts_separately = std::all_of(
-            times.begin(), is_new.end(),
+            times.begin(), times.end(),
             [&each](time_point before)
             {
                 bool const outlived = each.at > before + clock_tolerance &&
