--- a/src/crash_detector.hpp
+++ b/src/crash_detector.hpp
@@ -85,15 +85,15 @@
     crash_detector& operator=(crash_detector const&) = delete;
 
     /// The connection closed while `worker`, which has not announced that it
-    /// leaves, ran the request. Starts a check of the worker unless one is in
-    /// progress.
+    /// leaves, ran the request. Starts a check of the worker unless a check of
+    /// it is in progress.
     void on_connection_lost(request_id const& request,
                             request_identity const& identity,
                             backend_entry const& worker, time_point sent_at);
     /// A worker answered the request completely.
     void on_answered(request_identity const& identity);
-    /// True if no crash is recorded; callers then need not compute a request's
-    /// identity.
+    /// True if nothing is recorded about any request; callers then need not
+    /// compute a request's identity.
     bool has_no_suspects() const { return replicator_.record().empty(); }
     /// Returns nullopt if the request may be sent.
     std::optional<quarantine>
--- a/src/pooled_limiter.cpp
+++ b/src/pooled_limiter.cpp
@@ -319,8 +319,7 @@
            min_units >= found->second.min_units;
 }
 
-/// A request for more units than any pool is known to have is refused at once,
-/// without another query.
+/// Sends no further query if all pools are known to have too few units.
 bool pooled_limiter::query_pools(team_id const& team, team_state& state,
                                  time_point now)
 {
--- a/src/pooled_limiter.hpp
+++ b/src/pooled_limiter.hpp
@@ -122,9 +122,11 @@
     /// Whether the pool is known to have fewer than `min_units` available.
     bool known_short(team_state const& state, vm_id const& pool,
                      double min_units, time_point now) const;
+    /// Admits waiting requests in order while there are usable units, then
+    /// queries pools for the others.
     void settle_waiting(team_id const& team, time_point now);
-    /// Whether two pools that both give so many units would together be in debt
-    /// for more than the team may exceed its allotment by.
+    /// Whether two pools that each give `units` would together be in debt for
+    /// more than the team may exceed its allotment by.
     bool exceeds_pool_capacity(team_id const& team, double units) const;
     /// Queries a pool for the waiting requests, unless usable units or a
     /// pool's units will be available soon. Returns false if the first waiting
@@ -159,8 +161,8 @@
     std::map<team_id, team_state> teams_;
     /// VMs that may keep pools, by rank.
     std::vector<vm_id> pools_;
-    /// VMs that did not answer, each with the time of the next probe; an entry
-    /// is removed when the VM answers.
+    /// Unresponsive VMs, and VMs that do not know a team, each with the time of
+    /// the next probe; an entry is removed when the VM answers.
     std::map<vm_id, time_point> next_probe_at_;
     std::map<std::uint64_t, open_query> open_queries_;
     std::uint64_t last_number_ = 0;
