--- a/src/crash_detector.cpp
+++ b/src/crash_detector.cpp
@@ -181,7 +181,7 @@
 }
 
 void crash_detector::log_quarantines(
-    std::vector<crash_observation> const& update, std::string_view heard_from)
+    std::vector<crash_observation> const& update, std::string_view source)
 {
     time_point const now = boot_clock::now();
     std::erase_if(logged_quarantines_,
@@ -197,7 +197,7 @@
                      log_fields()
                          .add("content", each.request.str())
                          .add("workers", workers_crashed_under(each.request))
-                         .add("heard_from", heard_from)
+                         .add("heard_from", source)
                          .add("for_ms", *until - now),
                      now);
     }
@@ -292,9 +292,9 @@
 
 void crash_detector::execute(crash_action const& action)
 {
-    if (auto const* report = std::get_if<send_crash_update>(&action))
-        return peers_.broadcast(report->update,
-                                [this, update = report->update](bool by_all)
+    if (auto const* message = std::get_if<send_crash_update>(&action))
+        return peers_.broadcast(message->update,
+                                [this, update = message->update](bool by_all)
                                 {
                                     replicator_.on_update_sent(
                                         update, by_all, boot_clock::now());
--- a/src/crash_detector.hpp
+++ b/src/crash_detector.hpp
@@ -127,7 +127,7 @@
     void on_checked(worker_incarnation const& checked_worker, bool reachable);
     void log_crash(suspected_crash const& crash);
     void log_quarantines(std::vector<crash_observation> const& update,
-                         std::string_view heard_from);
+                         std::string_view source);
     /// Ids of the workers that crashed while they ran the request, separated by
     /// spaces.
     std::string workers_crashed_under(request_digest const& request) const;
