--- a/src/adapter_loader.cpp
+++ b/src/adapter_loader.cpp
@@ -55,49 +55,50 @@
     may_evict_ = may;
     // Nobody can be given the place that it was to make.
     if (!may)
-        yielding_.reset();
+        draining_.reset();
 }
 
 engine_name const* adapter_loader::sendable(adapter_ref const& adapter) const
 {
-    engine_name const* name = slots_.usable(adapter);
-    return name && yielding_ == *name ? nullptr : name;
+    engine_name const* name = slots_.ready_name(adapter);
+    return name && draining_ == *name ? nullptr : name;
 }
 
-std::optional<duration> adapter_loader::refused_for(adapter_ref const& adapter,
-                                                    time_point now) const
+std::optional<duration>
+adapter_loader::load_retry_after(adapter_ref const& adapter,
+                                 time_point now) const
 {
-    if (slots_.usable(adapter))
+    if (slots_.ready_name(adapter))
         return std::nullopt;
-    auto const failed = not_before_.find(adapter);
-    if (failed != not_before_.end() && failed->second > now)
+    auto const failed = load_not_before_.find(adapter);
+    if (failed != load_not_before_.end() && failed->second > now)
         return failed->second - now;
     slot_state const* state = slots_.own_state(adapter);
     if (state && (*state == slot_state::load_unknown ||
                   *state == slot_state::unload_unknown))
         return limits_.settle_time;
-    if (!state && shut())
+    if (!state && loads_blocked())
         return limits_.load_backoff;
     return std::nullopt;
 }
 
-bool adapter_loader::shut() const
+bool adapter_loader::loads_blocked() const
 {
-    return !may_evict_ && slots_.known() && slots_.free_slots() == 0 &&
+    return !may_evict_ && slots_.contents_known() && slots_.free_slots() == 0 &&
            unloads_in_progress() == 0;
 }
 
 bool adapter_loader::needs_load(adapter_ref const& adapter,
                                 time_point now) const
 {
-    return !slots_.usable(adapter) && !slots_.own_state(adapter) &&
-           !refused_for(adapter, now);
+    return !slots_.ready_name(adapter) && !slots_.own_state(adapter) &&
+           !load_retry_after(adapter, now);
 }
 
 std::size_t adapter_loader::loads_wanted(request_queue const& queue) const
 {
     auto const wanted = [this](auto const& each)
-    { return !slots_.usable(each.first) && !slots_.own_state(each.first); };
+    { return !slots_.ready_name(each.first) && !slots_.own_state(each.first); };
     return static_cast<std::size_t>(std::count_if(
         queue.adapters().begin(), queue.adapters().end(), wanted));
 }
@@ -144,77 +145,76 @@
 }
 
 worker_view
-adapter_loader::with_residents(load_situation const& situation) const
+adapter_loader::view_with_residents(load_context const& context) const
 {
-    worker_view view = situation.worker;
-    view.residents = residents(situation.queue, situation.now);
+    worker_view view = context.worker;
+    view.residents = residents(context.queue, context.now);
     return view;
 }
 
-void adapter_loader::plan(load_situation const& situation, action_list& actions)
+void adapter_loader::plan(load_context const& context, action_list& actions)
 {
-    std::erase_if(not_before_, [&](auto const& each)
-                  { return each.second <= situation.now; });
-    if (yielding_ && (!slots_.find(*yielding_) ||
-                      slots_.find(*yielding_)->state != slot_state::ready))
-        yielding_.reset();
-    if (stopped_ || !slots_.known())
+    std::erase_if(load_not_before_,
+                  [&](auto const& each) { return each.second <= context.now; });
+    if (draining_ && (!slots_.find(*draining_) ||
+                      slots_.find(*draining_)->state != slot_state::ready))
+        draining_.reset();
+    if (stopped_ || !slots_.contents_known())
         return;
-    load_for_queue(situation, actions);
-    if (situation.cluster && loads_wanted(situation.queue) == 0)
-        load_ahead(situation, actions);
+    load_for_queue(context, actions);
+    if (context.cluster && loads_wanted(context.queue) == 0)
+        preload(context, actions);
 }
 
-void adapter_loader::load_for_queue(load_situation const& situation,
+void adapter_loader::load_for_queue(load_context const& context,
                                     action_list& actions)
 {
-    time_point const now = situation.now;
-    std::size_t coming = unloads_in_progress();
-    std::vector<adapter_ref> seen_to;
+    time_point const now = context.now;
+    std::size_t pending_unloads = unloads_in_progress();
+    std::vector<adapter_ref> considered;
     auto const wanted = [&](queued_request const& item)
     {
         adapter_ref const& adapter = item.request.adapter;
-        return !contains(seen_to, adapter) && needs_load(adapter, now);
+        return !contains(considered, adapter) && needs_load(adapter, now);
     };
     while (true)
     {
         std::vector<waiting_request> const eligible =
-            situation.queue.select(wanted);
+            context.queue.select(wanted);
         if (eligible.empty())
         {
             // Whoever an adapter was to make room for has gone or found room
             // elsewhere. Left yielding, the adapter would stay loaded and be
             // sent nothing, and requests for it would wait out their deadlines.
-            yielding_.reset();
+            draining_.reset();
             return;
         }
         auto const next =
-            policy_->next(with_residents(situation), eligible, now);
+            policy_->next(view_with_residents(context), eligible, now);
         if (!next)
             return;
         adapter_ref const& adapter = eligible[*next].adapter;
-        seen_to.push_back(adapter);
+        considered.push_back(adapter);
         if (slots_.free_slots() > 0)
         {
             if (!start_load(adapter, now, actions))
                 return;
         }
-        else if (coming > 0)
-            --coming;
+        else if (pending_unloads > 0)
+            --pending_unloads;
         else
         {
-            make_room(adapter, situation, actions);
+            make_room(adapter, context, actions);
             return;
         }
     }
 }
 
-void adapter_loader::load_ahead(load_situation const& situation,
-                                action_list& actions)
+void adapter_loader::preload(load_context const& context, action_list& actions)
 {
-    time_point const now = situation.now;
+    time_point const now = context.now;
     std::vector<adapter_ref> const ahead =
-        policy_->ahead(with_residents(situation), *situation.cluster, now);
+        policy_->ahead(view_with_residents(context), *context.cluster, now);
     for (adapter_ref const& adapter : ahead)
     {
         if (!needs_load(adapter, now))
@@ -227,10 +227,10 @@
         }
         if (unloads_in_progress() > 0)
             return;
-        std::vector<engine_name> names = evictable(situation);
+        std::vector<engine_name> names = evictable(context);
         std::erase_if(names, [&](engine_name const& name)
                       { return contains(ahead, slots_.find(name)->adapter); });
-        auto const victim = choose_victim(adapter, situation, names);
+        auto const victim = choose_victim(adapter, context, names);
         if (victim && budget_->next_permit(now) <= now)
             evict(*victim, std::nullopt, now, actions);
         return;
@@ -254,15 +254,15 @@
 }
 
 std::vector<engine_name>
-adapter_loader::evictable(load_situation const& situation) const
+adapter_loader::evictable(load_context const& context) const
 {
     std::vector<engine_name> names;
     if (!may_evict_)
         return names;
     for (auto const& [name, item] : slots_.all())
     {
-        std::size_t const queued = queued_under(name, item, situation.queue);
-        if (slots_.may_evict(name, queued, situation.now))
+        std::size_t const queued = queued_under(name, item, context.queue);
+        if (slots_.may_evict(name, queued, context.now))
             names.push_back(name);
     }
     return names;
@@ -270,7 +270,7 @@
 
 std::optional<engine_name>
 adapter_loader::choose_victim(adapter_ref const& incoming,
-                              load_situation const& situation,
+                              load_context const& context,
                               std::vector<engine_name> const& names) const
 {
     if (names.empty())
@@ -284,10 +284,10 @@
             return name;
         candidates.push_back(
             {item.adapter, resident_state::ready, slots_.requests(name),
-             queued_under(name, item, situation.queue), false, item.last_used});
+             queued_under(name, item, context.queue), false, item.last_used});
     }
-    auto const victim = policy_->victim(with_residents(situation), incoming,
-                                        candidates, situation.now);
+    auto const victim = policy_->victim(view_with_residents(context), incoming,
+                                        candidates, context.now);
     if (!victim)
         return std::nullopt;
     for (std::size_t each = 0; each < names.size(); ++each)
@@ -297,61 +297,61 @@
 }
 
 void adapter_loader::make_room(adapter_ref const& incoming,
-                               load_situation const& situation,
+                               load_context const& context,
                                action_list& actions)
 {
-    time_point const now = situation.now;
+    time_point const now = context.now;
     if (!may_evict_ || now < evict_not_before_ ||
         budget_->next_permit(now) > now)
         return;
-    std::vector<engine_name> const names = evictable(situation);
+    std::vector<engine_name> const names = evictable(context);
     if (names.empty())
     {
-        choose_yielding(incoming, situation);
+        choose_draining(incoming, context);
         return;
     }
-    bool const yielded = yielding_ && std::find(names.begin(), names.end(),
-                                                *yielding_) != names.end();
+    bool const drained = draining_ && std::find(names.begin(), names.end(),
+                                                *draining_) != names.end();
     auto const victim =
-        yielded ? yielding_ : choose_victim(incoming, situation, names);
+        drained ? draining_ : choose_victim(incoming, context, names);
     if (!victim)
         return;
-    auto const busy_for = yielded ? std::optional(incoming) : std::nullopt;
-    evict(*victim, busy_for, now, actions);
+    auto const make_room_for = drained ? std::optional(incoming) : std::nullopt;
+    evict(*victim, make_room_for, now, actions);
 }
 
-void adapter_loader::choose_yielding(adapter_ref const& incoming,
-                                     load_situation const& situation)
+void adapter_loader::choose_draining(adapter_ref const& incoming,
+                                     load_context const& context)
 {
     // While every slot's adapter always has a request, none could ever be
     // evicted, and a request for another adapter would wait until its deadline
     // however few they are. One busy adapter at a time is sent no more until
     // its requests have ended.
-    if (yielding_ || situation.queue.oldest_for(incoming) >
-                         situation.now - limits_.fair_wait)
+    if (draining_ || context.queue.oldest_arrival(incoming) >
+                         context.now - limits_.starvation_timeout)
         return;
     std::vector<engine_name> names;
     for (auto const& [name, item] : slots_.all())
         if (item.state == slot_state::ready &&
-            !slots_.pinned(name, situation.now))
+            !slots_.pinned(name, context.now))
             names.push_back(name);
-    yielding_ = choose_victim(incoming, situation, names);
+    draining_ = choose_victim(incoming, context, names);
 }
 
 void adapter_loader::evict(engine_name const& name,
-                           std::optional<adapter_ref> busy_for, time_point now,
-                           action_list& actions)
+                           std::optional<adapter_ref> make_room_for,
+                           time_point now, action_list& actions)
 {
-    if (yielding_ == name)
-        yielding_.reset();
+    if (draining_ == name)
+        draining_.reset();
     // An owner that pauses here and loses the worker may send the order when
     // the next owner serves requests under the same name. Sent only after the
     // intent stands in the row, which the next owner reads before it routes,
     // the order can only meet a name that nobody uses.
     order_id const id = ids_->next_order();
-    slots_.enter(name, slot_state::recording, id, now);
-    orders_.emplace(
-        id, order{name, now + limits_.intent_timeout, std::move(busy_for)});
+    slots_.set_state(name, slot_state::recording, id, now);
+    orders_.emplace(id, order{name, now + limits_.intent_timeout,
+                              std::move(make_room_for)});
     actions.push_back(record_intent{id, worker_, name});
     note(actions, "adapter-evicting", name);
 }
@@ -370,14 +370,14 @@
         evict_not_before_ = now + limits_.load_backoff;
         slots_.restore(eviction.name, now);
     }
-    else if (stopped_ || wanted_again(eviction, queue))
-        keep(eviction.name, now, actions);
+    else if (stopped_ || should_cancel_eviction(eviction, queue))
+        cancel_eviction(eviction.name, now, actions);
     else
         send_unload(eviction.name, now, actions);
 }
 
-bool adapter_loader::wanted_again(order const& eviction,
-                                  request_queue const& queue) const
+bool adapter_loader::should_cancel_eviction(order const& eviction,
+                                            request_queue const& queue) const
 {
     loaded_adapter const& item = *slots_.find(eviction.name);
     if (!slots_.routable(eviction.name) || queue.waiting_for(item.adapter) == 0)
@@ -388,14 +388,14 @@
            queue.waiting_for(*eviction.makes_room_for) == 0;
 }
 
-void adapter_loader::keep(engine_name const& name, time_point now,
-                          action_list& actions)
+void adapter_loader::cancel_eviction(engine_name const& name, time_point now,
+                                     action_list& actions)
 {
     slots_.restore(name, now);
     actions.push_back(forget_intent{worker_, name});
 }
 
-void adapter_loader::give_up_late_intents(time_point now, action_list& actions)
+void adapter_loader::expire_intents(time_point now, action_list& actions)
 {
     // Failure: the table is lost with an intent on its way. Symptom: for the
     // whole outage the adapter is loaded and its requests wait out their
@@ -412,7 +412,7 @@
     {
         engine_name const name = orders_.extract(id).mapped().name;
         evict_not_before_ = now + limits_.load_backoff;
-        keep(name, now, actions);
+        cancel_eviction(name, now, actions);
         note(actions, "eviction-given-up", name);
     }
 }
@@ -422,32 +422,32 @@
 {
     order_id const id = ids_->next_order();
     time_point const deadline = now + limits_.order_timeout;
-    slots_.enter(name, slot_state::unloading, id, now);
+    slots_.set_state(name, slot_state::unloading, id, now);
     orders_.emplace(id, order{name, deadline, {}});
     actions.push_back(unload_adapter{id, worker_, name, fence_, deadline});
 }
 
-loader_news adapter_loader::on_order(order_result const& event, time_point now,
-                                     action_list& actions)
+load_changes adapter_loader::on_order(order_result const& event, time_point now,
+                                      action_list& actions)
 {
-    loader_news news;
+    load_changes changes;
     auto const found = orders_.find(event.order);
     if (found == orders_.end())
-        return news;
+        return changes;
     engine_name const name = found->second.name;
     orders_.erase(found);
-    news.old_fence = event.what == order_result::outcome::refused &&
-                     event.status == status_old_fence;
+    changes.old_fence = event.what == order_result::outcome::refused &&
+                        event.status == status_old_fence;
     if (slots_.find(name)->state == slot_state::loading)
-        load_over(name, event, now, news, actions);
+        on_load_result(name, event, now, changes, actions);
     else
-        unload_over(name, event, now, news, actions);
-    return news;
+        on_unload_result(name, event, now, changes, actions);
+    return changes;
 }
 
-void adapter_loader::load_over(engine_name const& name,
-                               order_result const& event, time_point now,
-                               loader_news& news, action_list& actions)
+void adapter_loader::on_load_result(engine_name const& name,
+                                    order_result const& event, time_point now,
+                                    load_changes& changes, action_list& actions)
 {
     budget_->finished(now);
     adapter_ref const adapter = slots_.find(name)->adapter;
@@ -457,25 +457,26 @@
         (event.what == outcome::refused && event.code == code_already_loaded);
     if (loaded)
     {
-        slots_.enter(name, slot_state::ready, {}, now);
+        slots_.set_state(name, slot_state::ready, {}, now);
         note(actions, "adapter-ready", name);
         return;
     }
     if (event.what == outcome::unknown)
-        slots_.enter(name, slot_state::load_unknown, {}, now);
+        slots_.set_state(name, slot_state::load_unknown, {}, now);
     else
         slots_.remove(name, now);
     if (event.code == code_no_free_slot)
-        slots_.doubt(now);
+        slots_.invalidate(now);
     ++meter_->totals.failed_loads;
-    not_before_[adapter] = now + limits_.load_backoff;
-    news.failed.push_back(adapter);
+    load_not_before_[adapter] = now + limits_.load_backoff;
+    changes.failed.push_back(adapter);
     note(actions, "adapter-load-failed", name);
 }
 
-void adapter_loader::unload_over(engine_name const& name,
-                                 order_result const& event, time_point now,
-                                 loader_news& news, action_list& actions)
+void adapter_loader::on_unload_result(engine_name const& name,
+                                      order_result const& event, time_point now,
+                                      load_changes& changes,
+                                      action_list& actions)
 {
     using outcome = order_result::outcome;
     bool const gone =
@@ -497,9 +498,9 @@
         actions.push_back(forget_intent{worker_, name});
         return;
     }
-    slots_.enter(name, slot_state::unload_unknown, {}, now);
+    slots_.set_state(name, slot_state::unload_unknown, {}, now);
     // Those waiting for the same adapter are better served elsewhere.
-    news.failed.push_back(slots_.find(name)->adapter);
+    changes.failed.push_back(slots_.find(name)->adapter);
     note(actions, "adapter-unload-unknown", name);
 }
 
@@ -519,10 +520,10 @@
         send_unload(name, now, actions);
 }
 
-loader_news adapter_loader::tick(time_point now, action_list& actions)
+load_changes adapter_loader::tick(time_point now, action_list& actions)
 {
-    give_up_late_intents(now, actions);
-    loader_news all;
+    expire_intents(now, actions);
+    load_changes all;
     std::vector<order_id> unanswered;
     for (auto const& [id, each] : orders_)
         if (slots_.find(each.name)->state != slot_state::recording &&
@@ -530,11 +531,11 @@
             unanswered.push_back(id);
     for (order_id const id : unanswered)
     {
-        loader_news const news =
+        load_changes const changes =
             on_order(order_result{id, order_result::outcome::unknown, 0, {}},
                      now, actions);
-        all.failed.insert(all.failed.end(), news.failed.begin(),
-                          news.failed.end());
+        all.failed.insert(all.failed.end(), changes.failed.begin(),
+                          changes.failed.end());
     }
     return all;
 }
--- a/src/adapter_loader.hpp
+++ b/src/adapter_loader.hpp
@@ -22,7 +22,7 @@
 {
 
 /// What an event changed for the requests that wait.
-struct loader_news
+struct load_changes
 {
     /// Not loaded, and not tried again for a while.
     std::vector<adapter_ref> failed;
@@ -31,7 +31,7 @@
 };
 
 /// What a decision about loads rests on.
-struct load_situation
+struct load_context
 {
     request_queue const& queue;
     /// Without its residents.
@@ -63,25 +63,25 @@
     engine_name const* sendable(adapter_ref const& adapter) const;
     /// How long a request for the adapter had better not come back here; none
     /// when it may wait here.
-    std::optional<duration> refused_for(adapter_ref const& adapter,
-                                        time_point now) const;
+    std::optional<duration> load_retry_after(adapter_ref const& adapter,
+                                             time_point now) const;
     /// Whether nothing can be loaded for want of a slot until evictions may
     /// begin again.
-    bool shut() const;
+    bool loads_blocked() const;
     std::vector<resident_view> residents(request_queue const& queue,
                                          time_point now) const;
     std::size_t loads_wanted(request_queue const& queue) const;
 
-    loader_news on_order(order_result const& event, time_point now,
-                         action_list& actions);
+    load_changes on_order(order_result const& event, time_point now,
+                          action_list& actions);
     void on_intent(order_id order, bool recorded, request_queue const& queue,
                    time_point now, action_list& actions);
     void on_report(engine_report const& report, time_point now,
                    action_list& actions);
     /// Orders and intents that were never answered.
-    loader_news tick(time_point now, action_list& actions);
+    load_changes tick(time_point now, action_list& actions);
     /// Starts what loads and unloads are due.
-    void plan(load_situation const& situation, action_list& actions);
+    void plan(load_context const& context, action_list& actions);
     /// Whether evictions may begin; at first they may.
     void set_may_evict(bool may);
     /// No order is given from now on.
@@ -101,30 +101,35 @@
                              loaded_adapter const& item,
                              request_queue const& queue) const;
     std::size_t unloads_in_progress() const;
-    worker_view with_residents(load_situation const& situation) const;
+    worker_view view_with_residents(load_context const& context) const;
     bool start_load(adapter_ref const& adapter, time_point now,
                     action_list& actions);
     std::optional<engine_name>
-    choose_victim(adapter_ref const& incoming, load_situation const& situation,
+    choose_victim(adapter_ref const& incoming, load_context const& context,
                   std::vector<engine_name> const& names) const;
-    std::vector<engine_name> evictable(load_situation const& situation) const;
-    void evict(engine_name const& name, std::optional<adapter_ref> busy_for,
-               time_point now, action_list& actions);
-    bool wanted_again(order const& eviction, request_queue const& queue) const;
-    void keep(engine_name const& name, time_point now, action_list& actions);
-    void give_up_late_intents(time_point now, action_list& actions);
+    std::vector<engine_name> evictable(load_context const& context) const;
+    void evict(engine_name const& name,
+               std::optional<adapter_ref> make_room_for, time_point now,
+               action_list& actions);
+    bool should_cancel_eviction(order const& eviction,
+                                request_queue const& queue) const;
+    void cancel_eviction(engine_name const& name, time_point now,
+                         action_list& actions);
+    void expire_intents(time_point now, action_list& actions);
     void send_unload(engine_name const& name, time_point now,
                      action_list& actions);
-    void make_room(adapter_ref const& incoming, load_situation const& situation,
+    void make_room(adapter_ref const& incoming, load_context const& context,
                    action_list& actions);
-    void choose_yielding(adapter_ref const& incoming,
-                         load_situation const& situation);
-    void load_for_queue(load_situation const& situation, action_list& actions);
-    void load_ahead(load_situation const& situation, action_list& actions);
-    void load_over(engine_name const& name, order_result const& event,
-                   time_point now, loader_news& news, action_list& actions);
-    void unload_over(engine_name const& name, order_result const& event,
-                     time_point now, loader_news& news, action_list& actions);
+    void choose_draining(adapter_ref const& incoming,
+                         load_context const& context);
+    void load_for_queue(load_context const& context, action_list& actions);
+    void preload(load_context const& context, action_list& actions);
+    void on_load_result(engine_name const& name, order_result const& event,
+                        time_point now, load_changes& changes,
+                        action_list& actions);
+    void on_unload_result(engine_name const& name, order_result const& event,
+                          time_point now, load_changes& changes,
+                          action_list& actions);
     void note(action_list& actions, char const* kind,
               engine_name const& name) const;
 
@@ -138,12 +143,12 @@
     adapter_slots slots_;
     std::map<order_id, order> orders_;
     /// Until when an adapter whose load failed is not tried again.
-    std::map<adapter_ref, time_point> not_before_;
+    std::map<adapter_ref, time_point> load_not_before_;
     /// Evictions wait until then, after an intent could not be recorded.
     time_point evict_not_before_ = time_point::min();
     /// A busy adapter that is sent no more requests, to make room for one that
     /// waited too long.
-    std::optional<engine_name> yielding_;
+    std::optional<engine_name> draining_;
     bool may_evict_ = true;
     bool stopped_ = false;
 };
--- a/src/adapter_slots.cpp
+++ b/src/adapter_slots.cpp
@@ -9,16 +9,16 @@
                              dispatcher_limits const& limits,
                              safeguards const& checks, time_point now)
     : slots_(slots), fence_(grant.fence), limits_(limits), checks_(&checks),
-      suspects_(grant.suspects),
-      suspects_stopped_(grant.suspects ? std::nullopt : std::optional(now)),
+      suspects_(grant.has_suspects),
+      suspects_stopped_(grant.has_suspects ? std::nullopt : std::optional(now)),
       open_intents_(grant.open_intents.begin(), grant.open_intents.end())
 {
 }
 
-void adapter_slots::doubt(time_point now)
+void adapter_slots::invalidate(time_point now)
 {
-    known_ = false;
-    doubted_ = now;
+    contents_known_ = false;
+    invalidated_at_ = now;
 }
 
 std::size_t adapter_slots::free_slots() const
@@ -35,10 +35,10 @@
     return found == adapters_.end() ? nullptr : &found->second;
 }
 
-engine_name const* adapter_slots::usable(adapter_ref const& adapter) const
+engine_name const* adapter_slots::ready_name(adapter_ref const& adapter) const
 {
-    auto const found = usable_.find(adapter);
-    return found == usable_.end() ? nullptr : &found->second;
+    auto const found = ready_names_.find(adapter);
+    return found == ready_names_.end() ? nullptr : &found->second;
 }
 
 engine_name adapter_slots::own_name(adapter_ref const& adapter) const
@@ -66,25 +66,25 @@
     return name;
 }
 
-void adapter_slots::enter(engine_name const& name, slot_state state,
-                          order_id order, time_point now)
+void adapter_slots::set_state(engine_name const& name, slot_state state,
+                              order_id order, time_point now)
 {
     loaded_adapter& item = adapters_.at(name);
     item.state = state;
     item.order = order;
     item.since = now;
-    index(item.adapter);
+    update_ready_name(item.adapter);
 }
 
 void adapter_slots::restore(engine_name const& name, time_point now)
 {
     slot_state const state =
         routable(name) ? slot_state::ready : slot_state::unusable;
-    enter(name, state, {}, now);
+    set_state(name, state, {}, now);
     // An intent that stands in the row still is recorded at once. Were the
     // reasons to evict and to keep the adapter both to last, one call would
     // record and give up the same intent for ever.
-    adapters_.at(name).kept_until = now + limits_.load_backoff;
+    adapters_.at(name).evictable_from = now + limits_.load_backoff;
 }
 
 bool adapter_slots::routable(engine_name const& name) const
@@ -102,7 +102,7 @@
     return now <= pin->second + limits_.max_deadline + limits_.settle_time;
 }
 
-bool adapter_slots::unsettled(time_point now) const
+bool adapter_slots::has_abandoned_requests(time_point now) const
 {
     return std::any_of(pins_.begin(), pins_.end(),
                        [&](auto const& pin) {
@@ -116,7 +116,7 @@
     adapter_ref const adapter = found->second.adapter;
     adapters_.erase(found);
     removed_[name] = now;
-    index(adapter);
+    update_ready_name(adapter);
 }
 
 void adapter_slots::add_request(engine_name const& name, time_point now)
@@ -127,7 +127,7 @@
         found->second.last_used = now;
 }
 
-void adapter_slots::end_request(engine_name const& name, bool seen_to_end,
+void adapter_slots::end_request(engine_name const& name, bool end_confirmed,
                                 time_point now)
 {
     auto const count = requests_.find(name);
@@ -141,7 +141,7 @@
     // vanish under a request that runs. A pin until a later report shows
     // nothing running is enough, since no byte of it arrives after the settle
     // time.
-    if (!seen_to_end)
+    if (!end_confirmed)
         pin(name, now);
 }
 
@@ -166,7 +166,7 @@
     bool const ours_to_evict =
         item->state == slot_state::ready ||
         (item->state == slot_state::unusable && open_intents_.contains(name));
-    if (!ours_to_evict || now < item->kept_until)
+    if (!ours_to_evict || now < item->evictable_from)
         return false;
     return checks_->may_evict({requests(name), queued, pinned(name, now)});
 }
@@ -175,10 +175,10 @@
                                       time_point now)
 {
     slot_changes changes;
-    if (report.as_of < last_report_ || report.as_of <= doubted_)
+    if (report.as_of < last_report_ || report.as_of <= invalidated_at_)
         return changes;
     last_report_ = report.as_of;
-    known_ = true;
+    contents_known_ = true;
     std::map<engine_name, std::size_t> shown;
     for (engine_report::adapter_load const& load : report.adapters)
         shown[load.name] = load.running;
@@ -187,9 +187,9 @@
     {
         auto const next = std::next(item);
         auto const found = shown.find(item->first);
-        compare(item->first, item->second,
-                found == shown.end() ? nullptr : &found->second, report, now,
-                changes);
+        reconcile(item->first, item->second,
+                  found == shown.end() ? nullptr : &found->second, report, now,
+                  changes);
         item = next;
     }
     for (auto const& [name, running] : shown)
@@ -225,10 +225,10 @@
                   });
 }
 
-void adapter_slots::compare(engine_name const& name, loaded_adapter& item,
-                            std::size_t const* running,
-                            engine_report const& report, time_point now,
-                            slot_changes& changes)
+void adapter_slots::reconcile(engine_name const& name, loaded_adapter& item,
+                              std::size_t const* running,
+                              engine_report const& report, time_point now,
+                              slot_changes& changes)
 {
     if (report.as_of <= item.since)
         return;
@@ -243,7 +243,7 @@
         return;
     case slot_state::load_unknown:
         if (running)
-            enter(name, slot_state::ready, {}, now);
+            set_state(name, slot_state::ready, {}, now);
         else if (settled)
             remove(name, now);
         return;
@@ -294,7 +294,7 @@
     if (suspects_ && (!parts || parts->fence < fence_))
         pin(name, suspects_stopped_.value_or(never));
     adapters_.emplace(name, item);
-    index(item.adapter);
+    update_ready_name(item.adapter);
 }
 
 // Failure: an earlier owner signs off or ends just after it sent an unload
@@ -303,7 +303,7 @@
 // order timeout, and the order acts within the settle time after that; a report
 // of a moment later than both since the last one could be sent shows what all
 // of them did.
-bool adapter_slots::nothing_comes(engine_report const& report) const
+bool adapter_slots::earlier_orders_settled(engine_report const& report) const
 {
     return suspects_stopped_ && report.as_of > *suspects_stopped_ +
                                                    limits_.order_timeout +
@@ -321,7 +321,7 @@
     std::map<engine_name, std::size_t> const& shown, time_point now,
     slot_changes& changes)
 {
-    if (!nothing_comes(report))
+    if (!earlier_orders_settled(report))
         return;
     std::set<engine_name> const open = open_intents_;
     for (engine_name const& name : open)
@@ -340,7 +340,7 @@
             continue;
         changes.usable_again.push_back(name);
         open_intents_.erase(name);
-        enter(name, slot_state::ready, {}, now);
+        set_state(name, slot_state::ready, {}, now);
     }
 }
 
@@ -352,12 +352,12 @@
             since = stopped_at;
 }
 
-void adapter_slots::index(adapter_ref const& adapter)
+void adapter_slots::update_ready_name(adapter_ref const& adapter)
 {
-    usable_.erase(adapter);
+    ready_names_.erase(adapter);
     for (auto const& [name, item] : adapters_)
         if (item.adapter == adapter && item.state == slot_state::ready)
-            usable_.insert_or_assign(adapter, name);
+            ready_names_.insert_or_assign(adapter, name);
 }
 
 } // namespace mulberry
--- a/src/adapter_slots.hpp
+++ b/src/adapter_slots.hpp
@@ -49,7 +49,7 @@
     time_point since{};
     time_point last_used{};
     /// Not evicted again before then: an eviction of it was given up.
-    time_point kept_until = time_point::min();
+    time_point evictable_from = time_point::min();
     /// Reports show it gone, only the name is still barred.
     bool slot_free = false;
 };
@@ -78,14 +78,14 @@
                   time_point now);
 
     /// Whether a report has shown what the slots hold.
-    bool known() const { return known_; }
+    bool contents_known() const { return contents_known_; }
     /// The picture proved wrong: the next report newer than `now` is awaited.
-    void doubt(time_point now);
+    void invalidate(time_point now);
     std::size_t free_slots() const;
     map_type const& all() const { return adapters_; }
     loaded_adapter const* find(engine_name const& name) const;
     /// The name that requests for an adapter go to now, if one is ready.
-    engine_name const* usable(adapter_ref const& adapter) const;
+    engine_name const* ready_name(adapter_ref const& adapter) const;
     engine_name own_name(adapter_ref const& adapter) const;
     /// Whether the adapter is being loaded or unloaded under its own name, or
     /// whether that name is barred.
@@ -95,8 +95,8 @@
     engine_name begin_load(adapter_ref const& adapter, order_id order,
                            time_point now);
     /// Precondition for the following: the name is in all().
-    void enter(engine_name const& name, slot_state state, order_id order,
-               time_point now);
+    void set_state(engine_name const& name, slot_state state, order_id order,
+                   time_point now);
     /// It stays loaded after all: ready, or unusable if it was so before. It is
     /// not evicted for a while.
     void restore(engine_name const& name, time_point now);
@@ -105,8 +105,9 @@
 
     /// A request was sent under a name.
     void add_request(engine_name const& name, time_point now);
-    /// It is over. `seen_to_end` is false when the engine may still run it.
-    void end_request(engine_name const& name, bool seen_to_end, time_point now);
+    /// It is over. `end_confirmed` is false when the engine may still run it.
+    void end_request(engine_name const& name, bool end_confirmed,
+                     time_point now);
     std::size_t requests(engine_name const& name) const;
 
     /// Whether nobody but this owner can order the name unloaded.
@@ -114,7 +115,7 @@
     /// Whether a request that this owner cannot see may run under the name.
     bool pinned(engine_name const& name, time_point now) const;
     /// Whether a request that this owner gave up may still run.
-    bool unsettled(time_point now) const;
+    bool has_abandoned_requests(time_point now) const;
     /// Whether the adapter may leave its slot; `queued` are those waiting to be
     /// sent under that name.
     bool may_evict(engine_name const& name, std::size_t queued,
@@ -130,13 +131,13 @@
     void pin(engine_name const& name, time_point since);
     void clear_pins(engine_report const& report,
                     std::map<engine_name, std::size_t> const& shown);
-    void index(adapter_ref const& adapter);
-    void compare(engine_name const& name, loaded_adapter& item,
-                 std::size_t const* running, engine_report const& report,
-                 time_point now, slot_changes& changes);
+    void update_ready_name(adapter_ref const& adapter);
+    void reconcile(engine_name const& name, loaded_adapter& item,
+                   std::size_t const* running, engine_report const& report,
+                   time_point now, slot_changes& changes);
     void adopt(engine_name const& name, engine_report const& report,
                time_point now);
-    bool nothing_comes(engine_report const& report) const;
+    bool earlier_orders_settled(engine_report const& report) const;
     void close_old_intents(engine_report const& report,
                            std::map<engine_name, std::size_t> const& shown,
                            time_point now, slot_changes& changes);
@@ -150,7 +151,7 @@
     std::optional<time_point> suspects_stopped_;
     std::set<engine_name> open_intents_;
     map_type adapters_;
-    std::map<adapter_ref, engine_name> usable_;
+    std::map<adapter_ref, engine_name> ready_names_;
     std::map<engine_name, std::size_t> requests_;
     /// Names under which a request may run that this owner cannot see the end
     /// of: an earlier owner's, or one of its own that was given up. With the
@@ -160,8 +161,8 @@
     std::map<engine_name, time_point> pins_;
     /// When names were last known to be gone: older reports still show them.
     std::map<engine_name, time_point> removed_;
-    bool known_ = false;
-    time_point doubted_ = time_point::min();
+    bool contents_known_ = false;
+    time_point invalidated_at_ = time_point::min();
     time_point last_report_ = time_point::min();
 };
 
--- a/src/answer_counter.hpp
+++ b/src/answer_counter.hpp
@@ -16,7 +16,8 @@
 public:
     virtual ~answer_counter() = default;
     /// Answered whole, that long after it arrived.
-    virtual void count_whole(model_request const& request, duration took) = 0;
+    virtual void count_completed(model_request const& request,
+                                 duration took) = 0;
     virtual void count_failed(model_request const& request,
                               error_kind kind) = 0;
     /// The caller went away, that long after the request arrived.
--- a/src/application_usage.hpp
+++ b/src/application_usage.hpp
@@ -32,11 +32,20 @@
 class usage_meter
 {
 public:
-    void queued(application_id const& who) { ++present_[who].queued; }
-    void left_queue(application_id const& who);
-    void started(application_id const& who) { ++present_[who].running; }
-    void ended(application_id const& who);
-    void stalled(application_id const& who) { ++usage_[who].stalled; }
+    void queued(application_id const& application)
+    {
+        ++active_[application].queued;
+    }
+    void left_queue(application_id const& application);
+    void started(application_id const& application)
+    {
+        ++active_[application].running;
+    }
+    void ended(application_id const& application);
+    void stalled(application_id const& application)
+    {
+        ++usage_[application].stalled;
+    }
     /// Before a change: accounts for the time that the requests held.
     void advance(duration passed, std::size_t batch_slots);
     /// What was used since the last call. Forgets it, so that names which
@@ -44,15 +53,15 @@
     usage_by_application take();
 
 private:
-    struct presence
+    struct activity
     {
         std::size_t running = 0;
         std::size_t queued = 0;
     };
 
-    void forget_if_gone(application_id const& who);
+    void erase_if_idle(application_id const& application);
 
-    std::map<application_id, presence> present_;
+    std::map<application_id, activity> active_;
     usage_by_application usage_;
 };
 
--- a/src/dispatch_core.cpp
+++ b/src/dispatch_core.cpp
@@ -13,7 +13,7 @@
 /// How long a request that the engine refused as busy waits in the queue.
 constexpr duration busy_delay = std::chrono::milliseconds(50);
 /// Connections that failed in a row before the whole queue is given up.
-constexpr int unreachable_limit = 2;
+constexpr int max_connect_failures = 2;
 
 } // namespace
 
@@ -22,20 +22,21 @@
     meter_.advance(streams_.size(), queue_.size(), now);
 }
 
-void dispatch_core::proceed(time_point now, action_list& actions)
+void dispatch_core::dispatch_waiting(time_point now, action_list& actions)
 {
-    if (!stopped_ && !left_alone(now))
+    if (!stopped_ && !backing_off(now))
     {
         send_ready(now, actions);
-        loader_.plan({queue_, bare_view(now), cluster_, now}, actions);
+        loader_.plan({queue_, view_without_residents(now), cluster_, now},
+                     actions);
     }
-    follow_stalls(now);
-    meter_.note_running(streams_.size(), now);
+    update_stalls(now);
+    meter_.record_running(streams_.size(), now);
 }
 
-std::size_t dispatch_core::room() const
+std::size_t dispatch_core::free_batch_slots() const
 {
-    std::size_t const taken = streams_.size() + foreign_;
+    std::size_t const taken = streams_.size() + foreign_requests_;
     return worker_.batch_slots > taken ? worker_.batch_slots - taken : 0;
 }
 
@@ -44,7 +45,7 @@
     auto const can_go = [&](queued_request const& item) {
         return item.not_before <= now && loader_.sendable(item.request.adapter);
     };
-    while (room() > 0 && queue_.size() > 0)
+    while (free_batch_slots() > 0 && queue_.size() > 0)
     {
         std::vector<waiting_request> const eligible = queue_.select(can_go);
         if (eligible.empty())
@@ -52,8 +53,8 @@
         auto const next = policy_->next(view(now), eligible, now);
         if (!next)
             return;
-        queued_request item = *queue_.take(eligible[*next].id);
-        left_queue(item, now);
+        queued_request item = *queue_.extract(eligible[*next].id);
+        on_left_queue(item, now);
         engine_name const name = *loader_.sendable(item.request.adapter);
         loader_.slots().add_request(name, now);
         meter_.usage.started(item.request.application);
@@ -61,13 +62,13 @@
     }
 }
 
-void dispatch_core::follow_stalls(time_point now)
+void dispatch_core::update_stalls(time_point now)
 {
     std::set<adapter_ref> stalled;
-    for (auto const& [adapter, places] : queue_.adapters())
+    for (auto const& [adapter, sequences] : queue_.adapters())
     {
         bool const was = stalled_adapters_.contains(adapter);
-        bool const is = !loader_.slots().usable(adapter);
+        bool const is = !loader_.slots().ready_name(adapter);
         if (is)
             stalled.insert(adapter);
         if (was == is)
@@ -98,23 +99,23 @@
     item.stall_counted = true;
 }
 
-void dispatch_core::left_queue(queued_request& item, time_point now)
+void dispatch_core::on_left_queue(queued_request& item, time_point now)
 {
     close_stall(item, now);
     meter_.usage.left_queue(item.request.application);
 }
 
-void dispatch_core::left_engine(ended_stream const& over, time_point now)
+void dispatch_core::on_left_engine(ended_stream const& ended, time_point now)
 {
-    loader_.slots().end_request(over.name, !over.may_run, now);
-    meter_.usage.ended(over.item.request.application);
+    loader_.slots().end_request(ended.name, !ended.may_run, now);
+    meter_.usage.ended(ended.item.request.application);
 }
 
 std::optional<duration>
 dispatch_core::expected_wait(model_request const& request) const
 {
     std::size_t const ahead = queue_.ahead_of(request.priority);
-    std::size_t const free = room();
+    std::size_t const free = free_batch_slots();
     if (ahead < free)
         return duration::zero();
     return meter_.time_to_serve(ahead - free + 1);
@@ -126,8 +127,9 @@
     return wait ? std::max(*wait, least_retry) : unmeasured_retry;
 }
 
-std::optional<error> dispatch_core::refusal(model_request const& request,
-                                            time_point now) const
+std::optional<error>
+dispatch_core::admission_error(model_request const& request,
+                               time_point now) const
 {
     if (request.deadline <= now)
         return error(error_kind::deadline_passed,
@@ -135,11 +137,12 @@
     if (!checks_->takes_new_work({.leaving = stopped_}))
         return error(error_kind::not_owner, "the worker is being given up",
                      ran::no);
-    if (left_alone(now) && unreachable_in_row_ >= unreachable_limit)
+    if (backing_off(now) &&
+        consecutive_connect_failures_ >= max_connect_failures)
         return error(error_kind::back_end_unavailable,
                      "the worker cannot be reached", ran::no,
-                     left_alone_until_ - now);
-    if (auto const wait = loader_.refused_for(request.adapter, now))
+                     backoff_until_ - now);
+    if (auto const wait = loader_.load_retry_after(request.adapter, now))
         return error(error_kind::load_failed,
                      "the adapter cannot be loaded here now", ran::no, *wait);
     // Kept although its turn comes too late, it would be answered only near
@@ -162,9 +165,9 @@
                            action_list& actions)
 {
     account(now);
-    if (auto const refused = refusal(request, now))
+    if (auto const refused = admission_error(request, now))
         return answer(request.id, *refused, actions);
-    if (!make_place(request, now, actions))
+    if (!make_queue_room(request, now, actions))
         return answer(request.id,
                       error(error_kind::overloaded, "the queue is full",
                             ran::no, retry_after(queue_.size())),
@@ -172,15 +175,15 @@
     queued_request item;
     item.request = std::move(request);
     enqueue(std::move(item), now);
-    proceed(now, actions);
+    dispatch_waiting(now, actions);
 }
 
-bool dispatch_core::make_place(model_request const& request, time_point now,
-                               action_list& actions)
+bool dispatch_core::make_queue_room(model_request const& request,
+                                    time_point now, action_list& actions)
 {
     if (queue_.size() < limits_.max_queue)
         return true;
-    queued_request const* least = queue_.least_wanted();
+    queued_request const* least = queue_.lowest_priority();
     if (!least || least->request.priority >= request.priority)
         return false;
     request_id const displaced = least->request.id;
@@ -196,7 +199,7 @@
 {
     adapter_ref const adapter = item.request.adapter;
     item.stalled_since.reset();
-    if (!loader_.slots().usable(adapter))
+    if (!loader_.slots().ready_name(adapter))
     {
         item.stalled_since = now;
         stalled_adapters_.insert(adapter);
@@ -209,27 +212,27 @@
                              action_list& actions)
 {
     account(now);
-    if (auto item = queue_.take(id))
+    if (auto item = queue_.extract(id))
     {
         ++meter_.totals.withdrawn;
-        left_queue(*item, now);
+        on_left_queue(*item, now);
     }
-    else if (auto over = streams_.cancel(id, actions))
+    else if (auto ended = streams_.cancel(id, actions))
     {
         ++meter_.totals.withdrawn;
-        left_engine(*over, now);
+        on_left_engine(*ended, now);
     }
-    proceed(now, actions);
+    dispatch_waiting(now, actions);
 }
 
 void dispatch_core::on_chunk(attempt_chunk const& event, time_point now,
                              action_list& actions)
 {
-    if (auto over = streams_.on_chunk(event, now, actions))
+    if (auto ended = streams_.on_chunk(event, now, actions))
     {
         account(now);
-        ended(std::move(*over), now, actions);
-        proceed(now, actions);
+        on_stream_ended(std::move(*ended), now, actions);
+        dispatch_waiting(now, actions);
     }
 }
 
@@ -237,40 +240,40 @@
                            action_list& actions)
 {
     account(now);
-    if (auto over = streams_.on_end(event, now, actions))
-        ended(std::move(*over), now, actions);
-    proceed(now, actions);
+    if (auto ended = streams_.on_end(event, now, actions))
+        on_stream_ended(std::move(*ended), now, actions);
+    dispatch_waiting(now, actions);
 }
 
 void dispatch_core::on_failure(attempt_failure const& event, time_point now,
                                action_list& actions)
 {
     account(now);
-    if (auto over = streams_.on_failure(event, now, actions))
-        ended(std::move(*over), now, actions);
-    proceed(now, actions);
+    if (auto ended = streams_.on_failure(event, now, actions))
+        on_stream_ended(std::move(*ended), now, actions);
+    dispatch_waiting(now, actions);
 }
 
-void dispatch_core::ended(ended_stream over, time_point now,
-                          action_list& actions)
+void dispatch_core::on_stream_ended(ended_stream ended, time_point now,
+                                    action_list& actions)
 {
-    left_engine(over, now);
-    request_id const id = over.item.request.id;
-    ran const seen = over.begun ? ran::yes : ran::unknown;
-    if (over.why != stream_end::unreachable)
-        unreachable_in_row_ = 0;
-    switch (over.why)
+    on_left_engine(ended, now);
+    request_id const id = ended.item.request.id;
+    ran const seen = ended.begun ? ran::yes : ran::unknown;
+    if (ended.reason != stream_end::unreachable)
+        consecutive_connect_failures_ = 0;
+    switch (ended.reason)
     {
-    case stream_end::whole:
+    case stream_end::complete:
         ++meter_.totals.finished;
-        meter_.add_service_time(now - over.sent_at);
+        meter_.add_service_time(now - ended.sent_at);
         actions.push_back(deliver_end{id});
         return;
     case stream_end::cut:
-        return answer(id, error(error_kind::answer_cut, over.text, seen),
+        return answer(id, error(error_kind::answer_cut, ended.text, seen),
                       actions);
     case stream_end::wrong_adapter:
-        return answer(id, error(error_kind::answer_cut, over.text, ran::yes),
+        return answer(id, error(error_kind::answer_cut, ended.text, ran::yes),
                       actions);
     case stream_end::cancelled:
         return answer(id,
@@ -280,38 +283,38 @@
     case stream_end::forgotten:
         // Nothing was delivered and the engine does not run it: another start
         // gives the caller one whole answer.
-        if (over.item.returns >= limits_.max_resumes || stopped_)
+        if (ended.item.requeues >= limits_.max_resumes || stopped_)
             return answer(
-                id, error(error_kind::answer_cut, over.text, ran::unknown),
+                id, error(error_kind::answer_cut, ended.text, ran::unknown),
                 actions);
-        over.item.repeated = true;
-        return requeue(std::move(over), duration::zero(), now, actions);
+        ended.item.may_run_twice = true;
+        return requeue(std::move(ended), duration::zero(), now, actions);
     case stream_end::not_loaded:
     case stream_end::old_fence:
     case stream_end::busy:
     case stream_end::refused:
     case stream_end::unreachable:
-        return ended_not_run(std::move(over), now, actions);
+        return on_stream_not_run(std::move(ended), now, actions);
     }
 }
 
-void dispatch_core::ended_not_run(ended_stream over, time_point now,
-                                  action_list& actions)
+void dispatch_core::on_stream_not_run(ended_stream ended, time_point now,
+                                      action_list& actions)
 {
-    request_id const id = over.item.request.id;
+    request_id const id = ended.item.request.id;
     // An earlier start of it may have run: then "not run" would be untrue.
-    ran const truth = over.item.repeated ? ran::unknown : ran::no;
-    switch (over.why)
+    ran const truth = ended.item.may_run_twice ? ran::unknown : ran::no;
+    switch (ended.reason)
     {
     case stream_end::not_loaded:
     {
-        loaded_adapter const* item = loader_.slots().find(over.name);
+        loaded_adapter const* item = loader_.slots().find(ended.name);
         if (item && item->state == slot_state::ready)
-            loader_.slots().remove(over.name, now);
-        return requeue(std::move(over), duration::zero(), now, actions);
+            loader_.slots().remove(ended.name, now);
+        return requeue(std::move(ended), duration::zero(), now, actions);
     }
     case stream_end::busy:
-        return requeue(std::move(over), busy_delay, now, actions);
+        return requeue(std::move(ended), busy_delay, now, actions);
     case stream_end::old_fence:
         answer(
             id,
@@ -320,28 +323,29 @@
         return stop_admitting(now, actions);
     case stream_end::unreachable:
         answer(id,
-               error(error_kind::back_end_unavailable, over.text, truth,
+               error(error_kind::back_end_unavailable, ended.text, truth,
                      limits_.load_backoff),
                actions);
-        return unreachable(over, now, actions);
+        return on_unreachable(ended, now, actions);
     default:
-        return answer(id, error(error_kind::back_end_refused, over.text, truth),
+        return answer(id,
+                      error(error_kind::back_end_refused, ended.text, truth),
                       actions);
     }
 }
 
-void dispatch_core::requeue(ended_stream over, duration delay, time_point now,
+void dispatch_core::requeue(ended_stream ended, duration delay, time_point now,
                             action_list& actions)
 {
-    queued_request item = std::move(over.item);
+    queued_request item = std::move(ended.item);
     request_id const id = item.request.id;
-    ran const truth = item.repeated ? ran::unknown : ran::no;
+    ran const truth = item.may_run_twice ? ran::unknown : ran::no;
     if (stopped_)
         return answer(
             id,
             error(error_kind::not_owner, "the worker is being given up", truth),
             actions);
-    if (++item.returns > limits_.max_resumes)
+    if (++item.requeues > limits_.max_resumes)
         return answer(id,
                       error(error_kind::overloaded,
                             "the engine refused it again and again", truth,
@@ -351,13 +355,13 @@
     enqueue(std::move(item), now);
 }
 
-void dispatch_core::unreachable(ended_stream const& over, time_point now,
-                                action_list& actions)
+void dispatch_core::on_unreachable(ended_stream const& ended, time_point now,
+                                   action_list& actions)
 {
-    ++unreachable_in_row_;
-    left_alone_until_ = now + limits_.load_backoff;
-    if (unreachable_in_row_ >= unreachable_limit)
-        answer_all_waiting(error(error_kind::back_end_unavailable, over.text,
+    ++consecutive_connect_failures_;
+    backoff_until_ = now + limits_.load_backoff;
+    if (consecutive_connect_failures_ >= max_connect_failures)
+        answer_all_waiting(error(error_kind::back_end_unavailable, ended.text,
                                  ran::no, limits_.load_backoff),
                            now, actions);
 }
@@ -372,11 +376,11 @@
 void dispatch_core::answer_waiting(request_id const& id, error const& what,
                                    time_point now, action_list& actions)
 {
-    auto item = queue_.take(id);
+    auto item = queue_.extract(id);
     if (!item)
         return;
-    left_queue(*item, now);
-    ran const truth = item->repeated ? ran::unknown : what.request_ran();
+    on_left_queue(*item, now);
+    ran const truth = item->may_run_twice ? ran::unknown : what.request_ran();
     answer(id, error(what.kind(), what.text(), truth, what.retry_after()),
            actions);
 }
@@ -387,17 +391,17 @@
     error const failed(error_kind::load_failed,
                        "the adapter could not be loaded", ran::no,
                        limits_.load_backoff);
-    for (request_id const& id : queue_.all_for(adapter))
+    for (request_id const& id : queue_.ids_waiting_for(adapter))
         answer_waiting(id, failed, now, actions);
 }
 
-void dispatch_core::answer_without_room(time_point now, action_list& actions)
+void dispatch_core::answer_unloadable(time_point now, action_list& actions)
 {
-    if (!loader_.shut())
+    if (!loader_.loads_blocked())
         return;
     std::vector<adapter_ref> without;
-    for (auto const& [adapter, places] : queue_.adapters())
-        if (loader_.refused_for(adapter, now))
+    for (auto const& [adapter, sequences] : queue_.adapters())
+        if (loader_.load_retry_after(adapter, now))
             without.push_back(adapter);
     for (adapter_ref const& adapter : without)
         answer_waiting_for(adapter, now, actions);
@@ -406,17 +410,17 @@
 void dispatch_core::answer_all_waiting(error const& what, time_point now,
                                        action_list& actions)
 {
-    for (request_id const& id : queue_.all())
+    for (request_id const& id : queue_.all_ids())
         answer_waiting(id, what, now, actions);
 }
 
-void dispatch_core::hear(loader_news const& news, time_point now,
-                         action_list& actions)
+void dispatch_core::on_load_changes(load_changes const& changes, time_point now,
+                                    action_list& actions)
 {
-    for (adapter_ref const& adapter : news.failed)
-        if (!loader_.slots().usable(adapter))
+    for (adapter_ref const& adapter : changes.failed)
+        if (!loader_.slots().ready_name(adapter))
             answer_waiting_for(adapter, now, actions);
-    if (news.old_fence)
+    if (changes.old_fence)
         stop_admitting(now, actions);
 }
 
@@ -424,8 +428,8 @@
                              action_list& actions)
 {
     account(now);
-    hear(loader_.on_order(event, now, actions), now, actions);
-    proceed(now, actions);
+    on_load_changes(loader_.on_order(event, now, actions), now, actions);
+    dispatch_waiting(now, actions);
 }
 
 void dispatch_core::on_intent(order_id order, bool recorded, time_point now,
@@ -433,7 +437,7 @@
 {
     account(now);
     loader_.on_intent(order, recorded, queue_, now, actions);
-    proceed(now, actions);
+    dispatch_waiting(now, actions);
 }
 
 void dispatch_core::on_report(engine_report const& report, time_point now,
@@ -444,9 +448,9 @@
     // The report speaks of some moment since as_of; what ran for this owner at
     // any moment since then is not held against the room.
     std::size_t const shown = report.running + report.waiting;
-    std::size_t const own = meter_.most_running(report.as_of);
-    foreign_ = shown > own ? shown - own : 0;
-    proceed(now, actions);
+    std::size_t const own = meter_.max_running(report.as_of);
+    foreign_requests_ = shown > own ? shown - own : 0;
+    dispatch_waiting(now, actions);
 }
 
 void dispatch_core::suspects_stopped(time_point stopped_at)
@@ -467,32 +471,32 @@
 void dispatch_core::tick(time_point now, action_list& actions)
 {
     account(now);
-    while (auto late = queue_.take_late(now))
+    while (auto late = queue_.extract_expired(now))
     {
-        left_queue(*late, now);
+        on_left_queue(*late, now);
         answer(late->request.id,
                error(error_kind::deadline_passed,
                      "the deadline passed in the queue",
-                     late->repeated ? ran::unknown : ran::no),
+                     late->may_run_twice ? ran::unknown : ran::no),
                actions);
     }
-    for (ended_stream& over : streams_.tick(now, actions))
-        ended(std::move(over), now, actions);
-    hear(loader_.tick(now, actions), now, actions);
-    answer_without_room(now, actions);
-    proceed(now, actions);
+    for (ended_stream& ended : streams_.tick(now, actions))
+        on_stream_ended(std::move(ended), now, actions);
+    on_load_changes(loader_.tick(now, actions), now, actions);
+    answer_unloadable(now, actions);
+    dispatch_waiting(now, actions);
 }
 
-worker_view dispatch_core::bare_view(time_point now) const
+worker_view dispatch_core::view_without_residents(time_point now) const
 {
     worker_view shown;
     shown.id = worker_.id;
     shown.base_model = worker_.base_model;
     shown.domain = worker_.domain;
-    shown.usable = !stopped_ && !left_alone(now);
+    shown.usable = !stopped_ && !backing_off(now);
     shown.batch_slots = worker_.batch_slots;
     shown.adapter_slots = worker_.adapter_slots;
-    shown.running = streams_.size() + foreign_;
+    shown.running = streams_.size() + foreign_requests_;
     shown.queued = queue_.size();
     shown.as_of = now;
     return shown;
@@ -500,7 +504,7 @@
 
 worker_view dispatch_core::view(time_point now) const
 {
-    worker_view shown = bare_view(now);
+    worker_view shown = view_without_residents(now);
     shown.residents = loader_.residents(queue_, now);
     return shown;
 }
--- a/src/dispatch_core.hpp
+++ b/src/dispatch_core.hpp
@@ -57,9 +57,9 @@
     void set_may_evict(bool may) { loader_.set_may_evict(may); }
     std::size_t in_progress() const { return queue_.size() + streams_.size(); }
     std::size_t orders_in_progress() const { return loader_.orders(); }
-    bool unsettled(time_point now) const
+    bool has_abandoned_requests(time_point now) const
     {
-        return loader_.slots().unsettled(now);
+        return loader_.slots().has_abandoned_requests(now);
     }
     void tick(time_point now, action_list& actions);
     void set_cluster(cluster_view const* cluster) { cluster_ = cluster; }
@@ -78,41 +78,44 @@
     /// Accounts for the time up to an event, before it changes anything.
     void account(time_point now);
     /// After an event: sends, loads and evicts what can be.
-    void proceed(time_point now, action_list& actions);
+    void dispatch_waiting(time_point now, action_list& actions);
     void send_ready(time_point now, action_list& actions);
-    void follow_stalls(time_point now);
-    std::size_t room() const;
-    worker_view bare_view(time_point now) const;
+    void update_stalls(time_point now);
+    std::size_t free_batch_slots() const;
+    worker_view view_without_residents(time_point now) const;
 
-    std::optional<error> refusal(model_request const& request,
-                                 time_point now) const;
+    std::optional<error> admission_error(model_request const& request,
+                                         time_point now) const;
     std::optional<duration> expected_wait(model_request const& request) const;
     duration retry_after(std::size_t ahead) const;
-    bool make_place(model_request const& request, time_point now,
-                    action_list& actions);
+    bool make_queue_room(model_request const& request, time_point now,
+                         action_list& actions);
     void enqueue(queued_request item, time_point now);
     /// Of what left the queue or the engine.
-    void left_queue(queued_request& item, time_point now);
-    void left_engine(ended_stream const& over, time_point now);
+    void on_left_queue(queued_request& item, time_point now);
+    void on_left_engine(ended_stream const& ended, time_point now);
 
     void answer(request_id const& id, error what, action_list& actions);
     void answer_waiting(request_id const& id, error const& what, time_point now,
                         action_list& actions);
     void answer_waiting_for(adapter_ref const& adapter, time_point now,
                             action_list& actions);
-    void answer_without_room(time_point now, action_list& actions);
+    void answer_unloadable(time_point now, action_list& actions);
     void answer_all_waiting(error const& what, time_point now,
                             action_list& actions);
     void close_stall(queued_request& item, time_point now);
-    void hear(loader_news const& news, time_point now, action_list& actions);
+    void on_load_changes(load_changes const& changes, time_point now,
+                         action_list& actions);
 
-    void ended(ended_stream over, time_point now, action_list& actions);
-    void ended_not_run(ended_stream over, time_point now, action_list& actions);
-    void requeue(ended_stream over, duration delay, time_point now,
+    void on_stream_ended(ended_stream ended, time_point now,
+                         action_list& actions);
+    void on_stream_not_run(ended_stream ended, time_point now,
+                           action_list& actions);
+    void requeue(ended_stream ended, duration delay, time_point now,
                  action_list& actions);
-    void unreachable(ended_stream const& over, time_point now,
-                     action_list& actions);
-    bool left_alone(time_point now) const { return now < left_alone_until_; }
+    void on_unreachable(ended_stream const& ended, time_point now,
+                        action_list& actions);
+    bool backing_off(time_point now) const { return now < backoff_until_; }
 
     worker_declaration worker_;
     dispatcher_limits limits_;
@@ -126,9 +129,9 @@
     /// The adapters waited for that were not ready when last looked at.
     std::set<adapter_ref> stalled_adapters_;
     /// What reports show beyond this owner's own requests.
-    std::size_t foreign_ = 0;
-    int unreachable_in_row_ = 0;
-    time_point left_alone_until_ = time_point::min();
+    std::size_t foreign_requests_ = 0;
+    int consecutive_connect_failures_ = 0;
+    time_point backoff_until_ = time_point::min();
     bool stopped_ = false;
 };
 
--- a/src/dispatch_meter.cpp
+++ b/src/dispatch_meter.cpp
@@ -8,9 +8,9 @@
 {
 
 /// The weight of the newest service time: about ten requests are remembered.
-constexpr int smoothing = 8;
+constexpr int service_time_smoothing = 8;
 /// Changes kept without a report to compare them with.
-constexpr std::size_t max_history = 4096;
+constexpr std::size_t max_history_size = 4096;
 
 } // namespace
 
@@ -58,16 +58,16 @@
     accounted_to_ = std::max(accounted_to_, now);
 }
 
-void dispatch_meter::note_running(std::size_t running, time_point now)
+void dispatch_meter::record_running(std::size_t running, time_point now)
 {
     if (history_.back().second == running)
         return;
     history_.emplace_back(now, running);
-    if (history_.size() > max_history)
+    if (history_.size() > max_history_size)
         history_.pop_front();
 }
 
-std::size_t dispatch_meter::most_running(time_point since)
+std::size_t dispatch_meter::max_running(time_point since)
 {
     while (history_.size() > 1 && history_[1].first <= since)
         history_.pop_front();
@@ -79,9 +79,9 @@
 
 void dispatch_meter::add_service_time(duration time)
 {
-    service_time_ = service_time_
-                        ? *service_time_ + (time - *service_time_) / smoothing
-                        : time;
+    service_time_ = service_time_ ? *service_time_ + (time - *service_time_) /
+                                                         service_time_smoothing
+                                  : time;
 }
 
 std::optional<duration> dispatch_meter::time_to_serve(std::size_t ahead) const
--- a/src/dispatch_meter.hpp
+++ b/src/dispatch_meter.hpp
@@ -58,9 +58,9 @@
     /// they held.
     void advance(std::size_t running, std::size_t queued, time_point now);
     /// After a change: remembers how many ran, to compare late reports with.
-    void note_running(std::size_t running, time_point now);
+    void record_running(std::size_t running, time_point now);
     /// The most that ran at any moment from `since` on. Forgets what is older.
-    std::size_t most_running(time_point since);
+    std::size_t max_running(time_point since);
 
     /// A request was served whole in that time.
     void add_service_time(duration time);
--- a/src/dispatcher_limits.hpp
+++ b/src/dispatcher_limits.hpp
@@ -36,7 +36,7 @@
     duration load_backoff = std::chrono::seconds(1);
     /// How long a request waits for a slot before one of the adapters that are
     /// always busy has to give way.
-    duration fair_wait = std::chrono::seconds(2);
+    duration starvation_timeout = std::chrono::seconds(2);
 };
 
 /// What an owner knows of a worker when it takes it.
@@ -45,7 +45,7 @@
     fencing_number fence;
     /// Whether an earlier owner may still send to the worker. Until
     /// suspects_stopped() everything resident stays pinned.
-    bool suspects = false;
+    bool has_suspects = false;
     /// Unload orders that an earlier owner recorded and may yet send: nothing
     /// is routed to these names until that is ruled out.
     std::vector<engine_name> open_intents;
--- a/src/model_entry.cpp
+++ b/src/model_entry.cpp
@@ -241,7 +241,7 @@
     ++counts_.answered;
     whole_answer_.add(now - one.request.arrived);
     if (counter_ != nullptr)
-        counter_->count_whole(one.request, now - one.request.arrived);
+        counter_->count_completed(one.request, now - one.request.arrived);
     actions.push_back(deliver_end{one.request.id});
     forget(one);
 }
--- a/src/stream_table.cpp
+++ b/src/stream_table.cpp
@@ -13,7 +13,7 @@
 constexpr int status_too_many = 429;
 constexpr int status_unavailable = 503;
 
-stream_end meaning_of(attempt_failure const& event)
+stream_end classify_failure(attempt_failure const& event)
 {
     if (event.stage != failure_stage::refused)
         return stream_end::unreachable;
@@ -55,20 +55,20 @@
                    answer_relay(*checks_, limits_.progress_timeout, now), now});
 }
 
-stream_table::stream_map::iterator stream_table::of(attempt_id attempt)
+stream_table::stream_map::iterator stream_table::find_stream(attempt_id attempt)
 {
     auto const found = attempts_.find(attempt);
     return found == attempts_.end() ? streams_.end()
                                     : streams_.find(found->second);
 }
 
-ended_stream stream_table::finish(stream_map::iterator found, stream_end why,
+ended_stream stream_table::finish(stream_map::iterator found, stream_end reason,
                                   bool may_run, std::string text)
 {
     auto node = streams_.extract(found);
     stream& item = node.mapped();
     attempts_.erase(item.attempt);
-    return {std::move(item.item), item.name, why,
+    return {std::move(item.item), item.name, reason,
             item.relay.begun(),   may_run,   item.sent_at,
             std::move(text)};
 }
@@ -85,7 +85,7 @@
                                                    time_point now,
                                                    action_list& actions)
 {
-    auto const found = of(event.attempt);
+    auto const found = find_stream(event.attempt);
     if (found == streams_.end())
         return std::nullopt;
     stream& item = found->second;
@@ -127,7 +127,7 @@
                                                  time_point now,
                                                  action_list& actions)
 {
-    auto const found = of(event.attempt);
+    auto const found = find_stream(event.attempt);
     if (found == streams_.end())
         return std::nullopt;
     // Failure: the last events are lost and the end of the stream is not.
@@ -137,40 +137,42 @@
     if (!checks_->ended_whole(found->second.relay.last_seen()))
         return resume(found, now, actions);
     // Of a request that was started twice only one run is seen to its end.
-    return finish(found, stream_end::whole, found->second.item.repeated);
+    return finish(found, stream_end::complete,
+                  found->second.item.may_run_twice);
 }
 
 std::optional<ended_stream>
 stream_table::on_failure(attempt_failure const& event, time_point now,
                          action_list& actions)
 {
-    auto const found = of(event.attempt);
+    auto const found = find_stream(event.attempt);
     if (found == streams_.end())
         return std::nullopt;
     if (found->second.resuming)
-        return resume_refused(found, event, now, actions);
+        return on_resume_failure(found, event, now, actions);
     // Told "not run", an entry VM tries the request elsewhere and a caller
     // asks again; were it running after all, it would run twice. Only the
     // stages at which no engine can have begun are certain.
     if (checks_->certainly_not_run(event.stage))
-        return not_run(found, event);
+        return finish_not_run(found, event);
     // A connection that closed in the middle of an answer looks like its end
     // to a reader who does not wait for the mark of the end.
     if (event.stage == failure_stage::answering && checks_->ended_whole(false))
-        return finish(found, stream_end::whole, true);
+        return finish(found, stream_end::complete, true);
     return resume(found, now, actions);
 }
 
-std::optional<ended_stream> stream_table::not_run(stream_map::iterator found,
-                                                  attempt_failure const& event)
+std::optional<ended_stream>
+stream_table::finish_not_run(stream_map::iterator found,
+                             attempt_failure const& event)
 {
-    return finish(found, meaning_of(event), false, event.text);
+    return finish(found, classify_failure(event), false, event.text);
 }
 
 std::optional<ended_stream>
-stream_table::resume_refused(stream_map::iterator found,
-                             attempt_failure const& event, time_point now,
-                             action_list& actions)
+stream_table::on_resume_failure(stream_map::iterator found,
+                                attempt_failure const& event, time_point now,
+                                action_list& actions)
 {
     bool const unknown_there = event.stage == failure_stage::refused &&
                                event.status == status_not_found;
@@ -179,7 +181,7 @@
         if (event.stage == failure_stage::answering)
         {
             if (checks_->ended_whole(false))
-                return finish(found, stream_end::whole, true);
+                return finish(found, stream_end::complete, true);
             return resume(found, now, actions);
         }
         return resume_later(found, now, actions);
@@ -209,7 +211,7 @@
                        actions);
     // An engine may hold two runs of a request that was started afresh. Joined
     // in the middle, the other run's text would go on where the first stopped.
-    if (item.item.repeated && item.relay.begun())
+    if (item.item.may_run_twice && item.relay.begun())
         return give_up(found, "the answer of a repeated start broke off",
                        actions);
     drop_connection(item, false, actions);
@@ -257,16 +259,16 @@
     {
         auto const current = item++;
         stream const& each = current->second;
-        std::optional<ended_stream> over;
+        std::optional<ended_stream> result;
         if (each.item.request.deadline <= now)
-            over = cancel(current->first, actions);
+            result = cancel(current->first, actions);
         // Something between the two ends may have lost track of a connection:
         // it never fails and never speaks again, while new ones work. Without
         // a limit on silence the caller would wait until the deadline.
         else if (each.resume_at <= now || each.relay.silent_at() <= now)
-            over = resume(current, now, actions);
-        if (over)
-            ended.push_back(std::move(*over));
+            result = resume(current, now, actions);
+        if (result)
+            ended.push_back(std::move(*result));
     }
     return ended;
 }
--- a/src/stream_table.hpp
+++ b/src/stream_table.hpp
@@ -24,7 +24,7 @@
 enum class stream_end
 {
     /// Every event was delivered.
-    whole,
+    complete,
     /// Broke off and cannot be resumed.
     cut,
     /// The engine ran another adapter for it.
@@ -51,7 +51,7 @@
 {
     queued_request item;
     engine_name name;
-    stream_end why = stream_end::whole;
+    stream_end reason = stream_end::complete;
     /// Whether any of its answer was seen.
     bool begun = false;
     /// Whether the engine may still run it.
@@ -111,8 +111,8 @@
     };
     using stream_map = std::map<request_id, stream>;
 
-    stream_map::iterator of(attempt_id attempt);
-    ended_stream finish(stream_map::iterator found, stream_end why,
+    stream_map::iterator find_stream(attempt_id attempt);
+    ended_stream finish(stream_map::iterator found, stream_end reason,
                         bool may_run, std::string text = {});
     void drop_connection(stream& item, bool stop_at_engine,
                          action_list& actions);
@@ -123,12 +123,12 @@
     std::optional<ended_stream> resume_later(stream_map::iterator found,
                                              time_point now,
                                              action_list& actions);
-    std::optional<ended_stream> not_run(stream_map::iterator found,
-                                        attempt_failure const& event);
-    std::optional<ended_stream> resume_refused(stream_map::iterator found,
-                                               attempt_failure const& event,
-                                               time_point now,
-                                               action_list& actions);
+    std::optional<ended_stream> finish_not_run(stream_map::iterator found,
+                                               attempt_failure const& event);
+    std::optional<ended_stream> on_resume_failure(stream_map::iterator found,
+                                                  attempt_failure const& event,
+                                                  time_point now,
+                                                  action_list& actions);
 
     worker_id worker_;
     fencing_number fence_;
--- a/src/vm_core.cpp
+++ b/src/vm_core.cpp
@@ -395,7 +395,7 @@
     {
         return one.dispatcher->in_progress() != 0 ||
                one.dispatcher->orders_in_progress() != 0 ||
-               one.dispatcher->unsettled(now);
+               one.dispatcher->has_abandoned_requests(now);
     };
     auto const done =
         std::partition(retired_.begin(), retired_.end(), still_needed);
--- a/src/vm_core.hpp
+++ b/src/vm_core.hpp
@@ -145,7 +145,7 @@
                         time_point now, action_list& actions) override;
     void withdraw_locally(worker_id const& worker, request_id const& request,
                           time_point now, action_list& actions) override;
-    void count_whole(model_request const& request, duration took) override;
+    void count_completed(model_request const& request, duration took) override;
     void count_failed(model_request const& request, error_kind kind) override;
     void count_withdrawn(model_request const& request,
                          duration waited) override;
--- a/src/vm_core_counts.cpp
+++ b/src/vm_core_counts.cpp
@@ -17,7 +17,7 @@
     quarter_.set_quarter(event.name, event.ends, now);
 }
 
-void vm_core::count_whole(model_request const& request, duration took)
+void vm_core::count_completed(model_request const& request, duration took)
 {
     quarter_.count_answer(request.application, took);
 }
--- a/src/worker_dispatcher.cpp
+++ b/src/worker_dispatcher.cpp
@@ -90,9 +90,9 @@
     return core_->in_progress();
 }
 
-bool worker_dispatcher::unsettled(time_point now) const
+bool worker_dispatcher::has_abandoned_requests(time_point now) const
 {
-    return core_->unsettled(now);
+    return core_->has_abandoned_requests(now);
 }
 
 std::size_t worker_dispatcher::orders_in_progress() const
--- a/src/worker_dispatcher.hpp
+++ b/src/worker_dispatcher.hpp
@@ -75,7 +75,7 @@
     /// Whether a request that was given up here may still run at the engine.
     /// An owner that gave the worker up signs off only after that: its
     /// successor takes the signature to mean that nothing of it is left.
-    bool unsettled(time_point now) const;
+    bool has_abandoned_requests(time_point now) const;
     /// Deadlines, silences, loads, evictions, loads ahead.
     void tick(time_point now, action_list& actions);
 
--- a/tests/core_world.cpp
+++ b/tests/core_world.cpp
@@ -103,7 +103,7 @@
     made.dispatch.intent_timeout = 400ms;
     made.dispatch.settle_time = 400ms;
     made.dispatch.load_backoff = 100ms;
-    made.dispatch.fair_wait = 400ms;
+    made.dispatch.starvation_timeout = 400ms;
     made.hint_interval = 40ms;
     made.drain_grace = 400ms;
     // What must hold rests on no policy.
--- a/tests/dispatch_schedule.cpp
+++ b/tests/dispatch_schedule.cpp
@@ -19,16 +19,16 @@
 namespace
 {
 
-constexpr duration invoking_time = 3s;
-constexpr duration longest_run = 20s;
-constexpr std::size_t requests = 40;
-constexpr std::uint64_t adapters = 6;
+constexpr duration submit_period = 3s;
+constexpr duration max_run_time = 20s;
+constexpr std::size_t request_count = 40;
+constexpr std::uint64_t adapter_count = 6;
 
 /// Decides by lot: the safeguards must hold whatever a policy chooses.
-class chance_policy : public routing_policy
+class random_policy : public routing_policy
 {
 public:
-    explicit chance_policy(virtual_world& world) : world_(&world) {}
+    explicit random_policy(virtual_world& world) : world_(&world) {}
 
     std::optional<worker_id> choose(model_request const&, cluster_view const&,
                                     std::set<worker_id> const&,
@@ -53,7 +53,7 @@
     {
         if (world_->below(10) > 0)
             return {};
-        return {test_adapter(world_->below(adapters))};
+        return {test_adapter(world_->below(adapter_count))};
     }
     void observe(model_request const&, time_point) override {}
     void configure(declaration const&) override {}
@@ -94,10 +94,10 @@
     worker_dispatcher& dispatcher() { return *dispatcher_; }
 
     /// Something reaches the process: at once, or when it wakes.
-    void reach(std::function<void()> event)
+    void run_when_awake(std::function<void()> event)
     {
         if (paused_)
-            held_.push_back(std::move(event));
+            delayed_events_.push_back(std::move(event));
         else
             event();
     }
@@ -110,10 +110,10 @@
     void wake()
     {
         paused_ = false;
-        while (!held_.empty() && !paused_)
+        while (!delayed_events_.empty() && !paused_)
         {
-            auto const event = std::move(held_.front());
-            held_.pop_front();
+            auto const event = std::move(delayed_events_.front());
+            delayed_events_.pop_front();
             event();
         }
     }
@@ -145,15 +145,15 @@
         for (action const& each : actions)
             std::visit([this](auto const& what) { perform(what); }, each);
     }
-    void hear(std::function<void(action_list&)> step)
+    void deliver(std::function<void(action_list&)> step)
     {
-        reach([this, step = std::move(step)] { call(step); });
+        run_when_awake([this, step = std::move(step)] { call(step); });
     }
     /// What the shell does some time after it was asked to, unless it pauses.
-    void shortly(std::function<void()> work)
+    void after_short_delay(std::function<void()> work)
     {
         world_->after(world_->between(1ms, 3ms),
-                      [this, work = std::move(work)] { reach(work); });
+                      [this, work = std::move(work)] { run_when_awake(work); });
     }
 
     void tick()
@@ -172,7 +172,7 @@
         world_->after(world_->between(5ms, 150ms),
                       [this, report]
                       {
-                          hear(
+                          deliver(
                               [this, report](action_list& actions) {
                                   dispatcher_->on_report(report, world_->now(),
                                                          actions);
@@ -194,21 +194,22 @@
                                       piece.written_for,
                                       std::to_string(pieces_.size() - 1),
                                       piece.last};
-            hear([=, this](action_list& actions)
-                 { dispatcher_->on_chunk(chunk, world_->now(), actions); });
+            deliver([=, this](action_list& actions)
+                    { dispatcher_->on_chunk(chunk, world_->now(), actions); });
         };
         to->end = [this, id]
         {
-            hear([=, this](action_list& actions)
-                 { dispatcher_->on_end({id}, world_->now(), actions); });
+            deliver([=, this](action_list& actions)
+                    { dispatcher_->on_end({id}, world_->now(), actions); });
         };
         to->failure = [this, id](failure_stage stage, int status)
         {
             attempt_failure const failure{id, stage, status, "", "failed", {}};
-            hear([=, this](action_list& actions)
-                 { dispatcher_->on_failure(failure, world_->now(), actions); });
+            deliver(
+                [=, this](action_list& actions)
+                { dispatcher_->on_failure(failure, world_->now(), actions); });
         };
-        shortly([this, what, to] { write(what, to); });
+        after_short_delay([this, what, to] { write(what, to); });
     }
 
     void write(start_attempt const& what, connection_ptr const& to)
@@ -243,7 +244,7 @@
             found->second->open = false;
         if (!what.stop_at_engine || world_->strikes(lost_cancel))
             return;
-        shortly([this, what] { engine_->cancel(what.request); });
+        after_short_delay([this, what] { engine_->cancel(what.request); });
     }
 
     order_answer order_end(order_id order)
@@ -252,13 +253,13 @@
                              char const* code)
         {
             order_result const result{order, what, status, code};
-            hear([=, this](action_list& actions)
-                 { dispatcher_->on_order(result, world_->now(), actions); });
+            deliver([=, this](action_list& actions)
+                    { dispatcher_->on_order(result, world_->now(), actions); });
         };
     }
     void perform(load_adapter const& what)
     {
-        shortly(
+        after_short_delay(
             [this, what]
             { engine_->load(what.name, what.fence, order_end(what.order)); });
     }
@@ -266,30 +267,30 @@
     {
         if (auto const hook = std::exchange(at_unload_, nullptr))
             hook();
-        shortly(
+        after_short_delay(
             [this, what]
             { engine_->unload(what.name, what.fence, order_end(what.order)); });
     }
     void perform(record_intent const& what)
     {
-        shortly(
+        after_short_delay(
             [this, what]
             {
                 bool const recorded = row_->fence == fence_;
                 if (recorded)
                     row_->open_intents.insert(what.name);
-                bool const told =
+                bool const acknowledged =
                     recorded && !world_->strikes(lost_intent_answer);
-                hear(
+                deliver(
                     [=, this](action_list& actions) {
-                        dispatcher_->on_intent(what.order, told, world_->now(),
-                                               actions);
+                        dispatcher_->on_intent(what.order, acknowledged,
+                                               world_->now(), actions);
                     });
             });
     }
     void perform(forget_intent const& what)
     {
-        shortly(
+        after_short_delay(
             [this, what]
             {
                 if (row_->fence == fence_)
@@ -320,14 +321,14 @@
     history* history_;
     worker_row_fake* row_;
     fencing_number fence_;
-    chance_policy policy_;
+    random_policy policy_;
     cluster_view cluster_;
     std::unique_ptr<load_budget> budget_;
     id_source ids_;
     std::unique_ptr<worker_dispatcher> dispatcher_;
     bool paused_ = false;
     std::function<void()> at_unload_;
-    std::deque<std::function<void()>> held_;
+    std::deque<std::function<void()>> delayed_events_;
     std::map<attempt_id, connection_ptr> connections_;
     std::vector<answer_piece> pieces_;
 };
@@ -339,15 +340,15 @@
         : options_(options), world_(options),
           engine_(world_, history_, world_.below(4) == 0)
     {
-        own({});
-        for (std::size_t each = 0; each < requests; ++each)
-            world_.after(world_.between(0ms, invoking_time),
+        start_owner({});
+        for (std::size_t each = 0; each < request_count; ++each)
+            world_.after(world_.between(0ms, submit_period),
                          [this, each] { invoke(each); });
         if (world_.enabled(engine_restart) && world_.below(2) == 0)
-            world_.after(world_.between(500ms, invoking_time),
+            world_.after(world_.between(500ms, submit_period),
                          [this] { engine_.restart(); });
         if (world_.enabled(paused_owner) && world_.below(2) == 0)
-            world_.after(world_.between(300ms, invoking_time),
+            world_.after(world_.between(300ms, submit_period),
                          [this]
                          {
                              if (world_.below(2))
@@ -359,13 +360,13 @@
 
     schedule_result run()
     {
-        while (world_.step(time_point(longest_run)))
+        while (world_.step(time_point(max_run_time)))
             if (world_.now() > time_point(fault_time + 1s) &&
                 history_.open_requests() == 0)
                 break;
         schedule_result result;
         result.violations = history_.check();
-        result.invoked = requests;
+        result.invoked = request_count;
         result.takeovers = owners_.size() - 1;
         for (auto const& owner : owners_)
             add(owner->dispatcher().counts(world_.now()), result.counts);
@@ -383,7 +384,7 @@
         to.loads += from.loads;
     }
 
-    void own(ownership_grant grant)
+    void start_owner(ownership_grant grant)
     {
         row_.fence = fencing_number(row_.fence.value() + 1);
         grant.fence = row_.fence;
@@ -398,7 +399,7 @@
         request.id = request_id("r" + std::to_string(number));
         // Skewed: half of all requests are for one of two adapters.
         std::size_t const adapter =
-            world_.below(world_.below(2) ? 2 : adapters);
+            world_.below(world_.below(2) ? 2 : adapter_count);
         request.adapter = test_adapter(adapter);
         request.priority = static_cast<int>(world_.below(10));
         request.arrived = world_.now();
@@ -407,12 +408,12 @@
         // Now and then by an old view of who owns the worker.
         fake_owner& owner =
             world_.below(4) ? *owners_.back() : *owners_.front();
-        owner.reach([&owner, request] { owner.submit(request); });
+        owner.run_when_awake([&owner, request] { owner.submit(request); });
         if (world_.below(20) == 0)
             world_.after(world_.between(1ms, 300ms),
                          [this, &owner, id = request.id]
                          {
-                             owner.reach(
+                             owner.run_when_awake(
                                  [this, &owner, id]
                                  {
                                      history_.withdrawn(id);
@@ -443,11 +444,11 @@
     void take_over()
     {
         ownership_grant grant;
-        grant.suspects = true;
+        grant.has_suspects = true;
         if (options_.hand_over_intents)
             grant.open_intents.assign(row_.open_intents.begin(),
                                       row_.open_intents.end());
-        own(grant);
+        start_owner(grant);
     }
 
     schedule_options options_;
--- a/tests/dispatch_schedule_test.cpp
+++ b/tests/dispatch_schedule_test.cpp
@@ -10,12 +10,13 @@
 {
 
 /// Schedules that a double is tried on before it counts as not found out.
-constexpr std::uint64_t most_tries = 2000;
+constexpr std::uint64_t max_seeds = 2000;
 
 /// The first schedule at which leaving out a check is named as that violation.
-std::uint64_t found_out_after(schedule_options options, violation_kind kind)
+std::uint64_t first_detecting_seed(schedule_options options,
+                                   violation_kind kind)
 {
-    for (std::uint64_t seed = 1; seed <= most_tries; ++seed)
+    for (std::uint64_t seed = 1; seed <= max_seeds; ++seed)
     {
         options.seed = seed;
         if (contains(run_schedule(options).violations, kind))
@@ -24,11 +25,12 @@
     return 0;
 }
 
-std::uint64_t found_out_after(safeguards const& double_of, violation_kind kind)
+std::uint64_t first_detecting_seed(safeguards const& mutant,
+                                   violation_kind kind)
 {
     schedule_options options;
-    options.checks = &double_of;
-    return found_out_after(options, kind);
+    options.checks = &mutant;
+    return first_detecting_seed(options, kind);
 }
 
 } // namespace
@@ -97,7 +99,7 @@
             return !facts.suspected;
         }
     } in_use;
-    CHECK(found_out_after(in_use, violation_kind::evicted_in_flight) > 0);
+    CHECK(first_detecting_seed(in_use, violation_kind::evicted_in_flight) > 0);
 }
 
 TEST_CASE("evicting what an earlier owner may use is named",
@@ -110,7 +112,8 @@
             return facts.sent == 0 && facts.waiting == 0;
         }
     } suspected;
-    CHECK(found_out_after(suspected, violation_kind::evicted_in_flight) > 0);
+    CHECK(first_detecting_seed(suspected, violation_kind::evicted_in_flight) >
+          0);
 }
 
 TEST_CASE("routing to a name with an open intent is named",
@@ -118,7 +121,7 @@
 {
     schedule_options options;
     options.hand_over_intents = false;
-    CHECK(found_out_after(options, violation_kind::evicted_in_flight) > 0);
+    CHECK(first_detecting_seed(options, violation_kind::evicted_in_flight) > 0);
 }
 
 TEST_CASE("taking any answer for one's own is named", "[dispatch][double]")
@@ -132,8 +135,8 @@
             return true;
         }
     } any_answer;
-    CHECK(found_out_after(any_answer, violation_kind::foreign_answer) > 0);
-    CHECK(found_out_after(any_answer, violation_kind::wrong_adapter) > 0);
+    CHECK(first_detecting_seed(any_answer, violation_kind::foreign_answer) > 0);
+    CHECK(first_detecting_seed(any_answer, violation_kind::wrong_adapter) > 0);
 }
 
 TEST_CASE("passing events on out of place is named", "[dispatch][double]")
@@ -145,7 +148,8 @@
             return true;
         }
     } any_place;
-    CHECK(found_out_after(any_place, violation_kind::answer_not_whole) > 0);
+    CHECK(first_detecting_seed(any_place, violation_kind::answer_not_whole) >
+          0);
 }
 
 TEST_CASE("telling a cut as an end is named", "[dispatch][double]")
@@ -154,7 +158,7 @@
     {
         bool ended_whole(bool) const override { return true; }
     } any_end;
-    CHECK(found_out_after(any_end, violation_kind::answer_not_whole) > 0);
+    CHECK(first_detecting_seed(any_end, violation_kind::answer_not_whole) > 0);
 }
 
 TEST_CASE("saying not run without being certain is named", "[dispatch][double]")
@@ -163,7 +167,7 @@
     {
         bool certainly_not_run(failure_stage) const override { return true; }
     } any_stage;
-    CHECK(found_out_after(any_stage, violation_kind::untrue_ran) > 0);
+    CHECK(first_detecting_seed(any_stage, violation_kind::untrue_ran) > 0);
 }
 
 TEST_CASE("taking work after giving the worker up is named",
@@ -176,5 +180,5 @@
             return true;
         }
     } always;
-    CHECK(found_out_after(always, violation_kind::work_while_leaving) > 0);
+    CHECK(first_detecting_seed(always, violation_kind::work_while_leaving) > 0);
 }
--- a/tests/dispatcher_bench.hpp
+++ b/tests/dispatcher_fixture.hpp
@@ -13,10 +13,10 @@
 {
 
 /// Order of arrival, least recently used, nothing ahead unless told.
-class plain_policy : public routing_policy
+class lru_policy : public routing_policy
 {
 public:
-    std::vector<adapter_ref> wanted_ahead;
+    std::vector<adapter_ref> preloads;
 
     std::optional<worker_id> choose(model_request const&, cluster_view const&,
                                     std::set<worker_id> const&,
@@ -42,7 +42,7 @@
     std::vector<adapter_ref> ahead(worker_view const&, cluster_view const&,
                                    time_point) override
     {
-        return wanted_ahead;
+        return preloads;
     }
     void observe(model_request const&, time_point) override {}
     void configure(declaration const&) override {}
@@ -66,9 +66,9 @@
 }
 
 /// A dispatcher of fence 5 with what it asked for.
-struct dispatcher_bench
+struct dispatcher_fixture
 {
-    explicit dispatcher_bench(ownership_grant grant = {})
+    explicit dispatcher_fixture(ownership_grant grant = {})
         : budget(make_load_budget("even_split"))
     {
         budget->configure({100, 10});
@@ -104,13 +104,13 @@
         shown.adapters = std::move(adapters);
         dispatcher->on_report(shown, now, actions);
     }
-    void pass(duration time)
+    void advance(duration time)
     {
         now += time;
         dispatcher->tick(now, actions);
     }
     template <class Action>
-    std::vector<Action> asked() const
+    std::vector<Action> actions_of() const
     {
         std::vector<Action> found;
         for (action const& each : actions)
@@ -119,27 +119,27 @@
         return found;
     }
     template <class Action>
-    Action last() const
+    Action last_action() const
     {
-        return asked<Action>().back();
+        return actions_of<Action>().back();
     }
     /// Both slots are in use, by r1 of a and r2 of b, and r3 of c has waited
     /// for the fair time.
-    void fill_with_busy()
+    void occupy_both_slots()
     {
         report({{engine_name("a@1#5"), 0}, {engine_name("b@1#5"), 0}});
         submit("r1", "a");
         submit("r2", "b");
         submit("r3", "c");
-        pass(std::chrono::seconds(1));
-        chunk(asked<start_attempt>()[0], 0);
-        chunk(asked<start_attempt>()[1], 0);
-        pass(std::chrono::seconds(1));
+        advance(std::chrono::seconds(1));
+        chunk(actions_of<start_attempt>()[0], 0);
+        chunk(actions_of<start_attempt>()[1], 0);
+        advance(std::chrono::seconds(1));
     }
     /// How often the intent under that name was told to be over.
-    std::size_t forgotten(engine_name const& name) const
+    std::size_t forget_count(engine_name const& name) const
     {
-        auto const all = asked<forget_intent>();
+        auto const all = actions_of<forget_intent>();
         return static_cast<std::size_t>(
             std::count_if(all.begin(), all.end(),
                           [&](auto const& each) { return each.name == name; }));
@@ -171,7 +171,7 @@
     }
 
     time_point now = time_point(std::chrono::seconds(1000));
-    plain_policy policy;
+    lru_policy policy;
     std::unique_ptr<load_budget> budget;
     safeguards checks;
     id_source ids;
--- a/tests/ownership_cluster.cpp
+++ b/tests/ownership_cluster.cpp
@@ -311,7 +311,7 @@
     by->owned[event.worker] = fence;
     by->active[event.worker].insert(fence);
     by->suspected.erase(event.worker);
-    if (event.grant.suspects)
+    if (event.grant.has_suspects)
         by->suspected[event.worker];
     else
         check_all_quiet(*by, event.worker, "granted without suspects");
--- a/tests/virtual_engine.hpp
+++ b/tests/virtual_engine.hpp
@@ -31,7 +31,7 @@
     limits.order_timeout = 300ms;
     limits.settle_time = 400ms;
     limits.load_backoff = 100ms;
-    limits.fair_wait = 200ms;
+    limits.starvation_timeout = 200ms;
     return limits;
 }
 
--- a/tests/worker_dispatcher_test.cpp
+++ b/tests/worker_dispatcher_test.cpp
@@ -1,4 +1,4 @@
-#include "dispatcher_bench.hpp"
+#include "dispatcher_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -7,233 +7,247 @@
 using namespace mulberry;
 using namespace std::chrono_literals;
 using tests::named;
-using bench = tests::dispatcher_bench;
+using fixture = tests::dispatcher_fixture;
 
 TEST_CASE("nothing is loaded before the first report", "[dispatcher]")
 {
-    bench it;
-    it.submit("r1", "a");
-    CHECK(it.asked<load_adapter>().empty());
-    it.report({});
-    REQUIRE(it.asked<load_adapter>().size() == 1);
-    CHECK(it.last<load_adapter>().name == named("a@1#5"));
-    it.now += 300ms;
-    it.order(it.last<load_adapter>().order, order_result::outcome::done);
-    CHECK(it.last<start_attempt>().name == named("a@1#5"));
-    CHECK(it.dispatcher->counts(it.now).stalled == 1);
-    CHECK(it.dispatcher->counts(it.now).stall_time == 300ms);
+    fixture test;
+    test.submit("r1", "a");
+    CHECK(test.actions_of<load_adapter>().empty());
+    test.report({});
+    REQUIRE(test.actions_of<load_adapter>().size() == 1);
+    CHECK(test.last_action<load_adapter>().name == named("a@1#5"));
+    test.now += 300ms;
+    test.order(test.last_action<load_adapter>().order,
+               order_result::outcome::done);
+    CHECK(test.last_action<start_attempt>().name == named("a@1#5"));
+    CHECK(test.dispatcher->counts(test.now).stalled == 1);
+    CHECK(test.dispatcher->counts(test.now).stall_time == 300ms);
 }
 
 TEST_CASE("an adapter of an earlier owner serves under its loaded name",
           "[dispatcher]")
 {
-    bench it;
-    it.report({{named("a@1#3"), 0}});
-    it.submit("r1", "a");
-    CHECK(it.last<start_attempt>().name == named("a@1#3"));
-    CHECK(it.dispatcher->counts(it.now).stalled == 0);
+    fixture test;
+    test.report({{named("a@1#3"), 0}});
+    test.submit("r1", "a");
+    CHECK(test.last_action<start_attempt>().name == named("a@1#3"));
+    CHECK(test.dispatcher->counts(test.now).stalled == 0);
 }
 
 TEST_CASE("requests given up on are answered at once", "[dispatcher]")
 {
-    bench it;
-    it.submit("late", "a", 0s);
-    CHECK(it.last<deliver_error>().what.kind() == error_kind::deadline_passed);
-    it.submit("r1", "a", 30s, 5);
-    it.submit("r2", "a", 30s, 3);
+    fixture test;
+    test.submit("late", "a", 0s);
+    CHECK(test.last_action<deliver_error>().what.kind() ==
+          error_kind::deadline_passed);
+    test.submit("r1", "a", 30s, 5);
+    test.submit("r2", "a", 30s, 3);
 
     SECTION("the queue is full")
     {
-        it.submit("r3", "a", 30s, 3);
-        CHECK(it.last<deliver_error>().request == request_id("r3"));
-        CHECK(it.last<deliver_error>().what.kind() == error_kind::overloaded);
-        CHECK(it.last<deliver_error>().what.retry_after());
+        test.submit("r3", "a", 30s, 3);
+        CHECK(test.last_action<deliver_error>().request == request_id("r3"));
+        CHECK(test.last_action<deliver_error>().what.kind() ==
+              error_kind::overloaded);
+        CHECK(test.last_action<deliver_error>().what.retry_after());
     }
     SECTION("more priority displaces the least")
     {
-        it.submit("r3", "a", 30s, 9);
-        CHECK(it.last<deliver_error>().request == request_id("r2"));
-        CHECK(it.last<deliver_error>().what.request_ran() == ran::no);
-        CHECK(it.dispatcher->knows(request_id("r3")));
+        test.submit("r3", "a", 30s, 9);
+        CHECK(test.last_action<deliver_error>().request == request_id("r2"));
+        CHECK(test.last_action<deliver_error>().what.request_ran() == ran::no);
+        CHECK(test.dispatcher->knows(request_id("r3")));
     }
     SECTION("the load failed")
     {
-        it.report({});
-        it.order(it.last<load_adapter>().order, order_result::outcome::refused,
-                 503, "load_failed");
-        CHECK(it.asked<deliver_error>().size() == 3);
-        CHECK(it.last<deliver_error>().what.kind() == error_kind::load_failed);
-        CHECK(it.dispatcher->in_progress() == 0);
+        test.report({});
+        test.order(test.last_action<load_adapter>().order,
+                   order_result::outcome::refused, 503, "load_failed");
+        CHECK(test.actions_of<deliver_error>().size() == 3);
+        CHECK(test.last_action<deliver_error>().what.kind() ==
+              error_kind::load_failed);
+        CHECK(test.dispatcher->in_progress() == 0);
     }
     SECTION("the worker is given up")
     {
-        it.dispatcher->stop_admitting(it.now, it.actions);
-        CHECK(it.last<deliver_error>().what.kind() == error_kind::not_owner);
-        CHECK(it.dispatcher->in_progress() == 0);
-        it.submit("r3", "a");
-        CHECK(it.last<deliver_error>().what.kind() == error_kind::not_owner);
+        test.dispatcher->stop_admitting(test.now, test.actions);
+        CHECK(test.last_action<deliver_error>().what.kind() ==
+              error_kind::not_owner);
+        CHECK(test.dispatcher->in_progress() == 0);
+        test.submit("r3", "a");
+        CHECK(test.last_action<deliver_error>().what.kind() ==
+              error_kind::not_owner);
     }
 }
 
 TEST_CASE("a wait past the deadline is refused by the measured rate",
           "[dispatcher]")
 {
-    bench it;
-    it.report({{named("a@1#5"), 0}});
-    it.submit("r1", "a");
-    it.now += 4s;
-    it.end(it.last<start_attempt>());
-    it.finish(it.last<start_attempt>(), 0);
-    it.submit("r2", "a");
-    it.submit("r3", "a");
-    it.submit("r4", "a", 1s);
-    CHECK(it.last<deliver_error>().request == request_id("r4"));
-    CHECK(it.last<deliver_error>().what.kind() == error_kind::overloaded);
-    CHECK(it.last<deliver_error>().what.retry_after() == 2s);
+    fixture test;
+    test.report({{named("a@1#5"), 0}});
+    test.submit("r1", "a");
+    test.now += 4s;
+    test.end(test.last_action<start_attempt>());
+    test.finish(test.last_action<start_attempt>(), 0);
+    test.submit("r2", "a");
+    test.submit("r3", "a");
+    test.submit("r4", "a", 1s);
+    CHECK(test.last_action<deliver_error>().request == request_id("r4"));
+    CHECK(test.last_action<deliver_error>().what.kind() ==
+          error_kind::overloaded);
+    CHECK(test.last_action<deliver_error>().what.retry_after() == 2s);
 }
 
 // The connection goes silent for good: the caller sees a short pause, then the
 // rest of the same answer, which is asked for where it stopped.
 TEST_CASE("a silent stream is resumed at the next offset", "[dispatcher]")
 {
-    bench it;
-    it.report({{named("a@1#5"), 0}});
-    it.submit("r1", "a");
-    it.chunk(it.last<start_attempt>(), 0);
-    it.pass(1s);
-    CHECK(it.asked<start_attempt>().size() == 1);
-    it.pass(1s);
-    REQUIRE(it.asked<start_attempt>().size() == 2);
-    CHECK(it.last<start_attempt>().resume);
-    CHECK(it.last<start_attempt>().offset == 1);
-    CHECK_FALSE(it.last<cancel_attempt>().stop_at_engine);
-    it.finish(it.last<start_attempt>(), 1);
-    CHECK(it.asked<deliver_event>().size() == 2);
-    CHECK(it.asked<deliver_end>().size() == 1);
-    CHECK(it.dispatcher->in_progress() == 0);
+    fixture test;
+    test.report({{named("a@1#5"), 0}});
+    test.submit("r1", "a");
+    test.chunk(test.last_action<start_attempt>(), 0);
+    test.advance(1s);
+    CHECK(test.actions_of<start_attempt>().size() == 1);
+    test.advance(1s);
+    REQUIRE(test.actions_of<start_attempt>().size() == 2);
+    CHECK(test.last_action<start_attempt>().resume);
+    CHECK(test.last_action<start_attempt>().offset == 1);
+    CHECK_FALSE(test.last_action<cancel_attempt>().stop_at_engine);
+    test.finish(test.last_action<start_attempt>(), 1);
+    CHECK(test.actions_of<deliver_event>().size() == 2);
+    CHECK(test.actions_of<deliver_end>().size() == 1);
+    CHECK(test.dispatcher->in_progress() == 0);
 }
 
 // The last event is lost and the mark of the end is not. The caller gets the
 // rest of the answer, or is told that it broke off; never a part as the whole.
 TEST_CASE("an end without the last event is no end", "[dispatcher]")
 {
-    bench it;
-    it.report({{named("a@1#5"), 0}});
-    it.submit("r1", "a");
-    it.chunk(it.last<start_attempt>(), 0);
-    it.end(it.last<start_attempt>());
-    CHECK(it.asked<deliver_end>().empty());
-    REQUIRE(it.last<start_attempt>().resume);
-    CHECK(it.last<start_attempt>().offset == 1);
+    fixture test;
+    test.report({{named("a@1#5"), 0}});
+    test.submit("r1", "a");
+    test.chunk(test.last_action<start_attempt>(), 0);
+    test.end(test.last_action<start_attempt>());
+    CHECK(test.actions_of<deliver_end>().empty());
+    REQUIRE(test.last_action<start_attempt>().resume);
+    CHECK(test.last_action<start_attempt>().offset == 1);
     bool const had = GENERATE(true, false);
     if (had)
-        it.finish(it.last<start_attempt>(), 1);
+        test.finish(test.last_action<start_attempt>(), 1);
     else
-        it.fail(it.last<start_attempt>(), failure_stage::refused, 404);
-    CHECK(it.asked<deliver_end>().size() == (had ? 1 : 0));
-    CHECK(it.asked<deliver_error>().size() == (had ? 0 : 1));
+        test.fail(test.last_action<start_attempt>(), failure_stage::refused,
+                  404);
+    CHECK(test.actions_of<deliver_end>().size() == (had ? 1 : 0));
+    CHECK(test.actions_of<deliver_error>().size() == (had ? 0 : 1));
     if (!had)
-        CHECK(it.last<deliver_error>().what.kind() == error_kind::answer_cut);
+        CHECK(test.last_action<deliver_error>().what.kind() ==
+              error_kind::answer_cut);
 }
 
 // The engine restarted: it refuses the resume as unknown. Before the first
 // event a fresh start still gives one whole answer; after it nothing does.
 TEST_CASE("a request that the engine forgot", "[dispatcher]")
 {
-    bench it;
-    it.report({{named("a@1#5"), 0}});
-    it.submit("r1", "a");
+    fixture test;
+    test.report({{named("a@1#5"), 0}});
+    test.submit("r1", "a");
     bool const begun = GENERATE(false, true);
     if (begun)
-        it.chunk(it.last<start_attempt>(), 0);
-    it.fail(it.last<start_attempt>(), failure_stage::sent);
-    REQUIRE(it.last<start_attempt>().resume);
-    it.fail(it.last<start_attempt>(), failure_stage::refused, 404);
+        test.chunk(test.last_action<start_attempt>(), 0);
+    test.fail(test.last_action<start_attempt>(), failure_stage::sent);
+    REQUIRE(test.last_action<start_attempt>().resume);
+    test.fail(test.last_action<start_attempt>(), failure_stage::refused, 404);
     if (begun)
     {
-        CHECK(it.last<deliver_error>().what.kind() == error_kind::answer_cut);
-        CHECK(it.last<deliver_error>().what.request_ran() == ran::yes);
+        CHECK(test.last_action<deliver_error>().what.kind() ==
+              error_kind::answer_cut);
+        CHECK(test.last_action<deliver_error>().what.request_ran() == ran::yes);
     }
     else
     {
-        CHECK(it.asked<deliver_error>().empty());
-        CHECK_FALSE(it.last<start_attempt>().resume);
-        CHECK(it.asked<start_attempt>().size() == 3);
+        CHECK(test.actions_of<deliver_error>().empty());
+        CHECK_FALSE(test.last_action<start_attempt>().resume);
+        CHECK(test.actions_of<start_attempt>().size() == 3);
     }
 }
 
 TEST_CASE("refusals before anything ran", "[dispatcher]")
 {
-    bench it;
-    it.report({{named("a@1#5"), 0}});
-    it.submit("r1", "a");
+    fixture test;
+    test.report({{named("a@1#5"), 0}});
+    test.submit("r1", "a");
     SECTION("not loaded: the adapter is loaded again")
     {
-        it.fail(it.last<start_attempt>(), failure_stage::refused, 404);
-        CHECK(it.last<load_adapter>().name == named("a@1#5"));
-        CHECK(it.dispatcher->in_progress() == 1);
+        test.fail(test.last_action<start_attempt>(), failure_stage::refused,
+                  404);
+        CHECK(test.last_action<load_adapter>().name == named("a@1#5"));
+        CHECK(test.dispatcher->in_progress() == 1);
     }
     SECTION("an old fencing number: a later owner exists")
     {
-        it.fail(it.last<start_attempt>(), failure_stage::refused, 412);
-        CHECK(it.last<deliver_error>().what.kind() == error_kind::not_owner);
-        CHECK_FALSE(it.dispatcher->view(it.now).usable);
+        test.fail(test.last_action<start_attempt>(), failure_stage::refused,
+                  412);
+        CHECK(test.last_action<deliver_error>().what.kind() ==
+              error_kind::not_owner);
+        CHECK_FALSE(test.dispatcher->view(test.now).usable);
     }
     SECTION("overloaded: back to the queue for a moment")
     {
-        it.fail(it.last<start_attempt>(), failure_stage::refused, 503);
-        CHECK(it.asked<start_attempt>().size() == 1);
-        it.pass(100ms);
-        CHECK(it.asked<start_attempt>().size() == 2);
+        test.fail(test.last_action<start_attempt>(), failure_stage::refused,
+                  503);
+        CHECK(test.actions_of<start_attempt>().size() == 1);
+        test.advance(100ms);
+        CHECK(test.actions_of<start_attempt>().size() == 2);
     }
     SECTION("not sent: told so that another worker is tried")
     {
-        it.fail(it.last<start_attempt>(), failure_stage::not_sent);
-        CHECK(it.last<deliver_error>().what.kind() ==
+        test.fail(test.last_action<start_attempt>(), failure_stage::not_sent);
+        CHECK(test.last_action<deliver_error>().what.kind() ==
               error_kind::back_end_unavailable);
-        CHECK(it.last<deliver_error>().what.request_ran() == ran::no);
-        CHECK_FALSE(it.dispatcher->view(it.now).usable);
+        CHECK(test.last_action<deliver_error>().what.request_ran() == ran::no);
+        CHECK_FALSE(test.dispatcher->view(test.now).usable);
     }
 }
 
 TEST_CASE("deadlines and withdrawals stop the engine", "[dispatcher]")
 {
-    bench it;
-    it.report({{named("a@1#5"), 0}});
-    it.submit("r1", "a", 1s);
-    it.chunk(it.last<start_attempt>(), 0);
+    fixture test;
+    test.report({{named("a@1#5"), 0}});
+    test.submit("r1", "a", 1s);
+    test.chunk(test.last_action<start_attempt>(), 0);
     bool const withdrawn = GENERATE(false, true);
     if (withdrawn)
-        it.dispatcher->withdraw(request_id("r1"), it.now, it.actions);
+        test.dispatcher->withdraw(request_id("r1"), test.now, test.actions);
     else
-        it.pass(1s);
-    CHECK(it.last<cancel_attempt>().stop_at_engine);
-    CHECK(it.asked<deliver_error>().size() == (withdrawn ? 0 : 1));
-    CHECK(it.dispatcher->in_progress() == 0);
+        test.advance(1s);
+    CHECK(test.last_action<cancel_attempt>().stop_at_engine);
+    CHECK(test.actions_of<deliver_error>().size() == (withdrawn ? 0 : 1));
+    CHECK(test.dispatcher->in_progress() == 0);
 }
 
 TEST_CASE("loads ahead fill free slots when nobody waits for a load",
           "[dispatcher]")
 {
-    bench it;
-    it.policy.wanted_ahead = {adapter_ref(adapter_id("x"), adapter_version(1)),
-                              adapter_ref(adapter_id("y"), adapter_version(1)),
-                              adapter_ref(adapter_id("z"), adapter_version(1))};
-    it.report({});
-    it.pass(1s);
-    CHECK(it.asked<load_adapter>().size() == 2);
-    CHECK(it.asked<record_intent>().empty());
+    fixture test;
+    test.policy.preloads = {adapter_ref(adapter_id("x"), adapter_version(1)),
+                            adapter_ref(adapter_id("y"), adapter_version(1)),
+                            adapter_ref(adapter_id("z"), adapter_version(1))};
+    test.report({});
+    test.advance(1s);
+    CHECK(test.actions_of<load_adapter>().size() == 2);
+    CHECK(test.actions_of<record_intent>().empty());
 }
 
 TEST_CASE("batch efficiency counts slots only while there is work",
           "[dispatcher]")
 {
-    bench it;
-    it.report({{named("a@1#5"), 0}});
-    it.pass(5s);
-    it.submit("r1", "a");
-    it.now += 3s;
-    dispatch_counts const counts = it.dispatcher->counts(it.now);
+    fixture test;
+    test.report({{named("a@1#5"), 0}});
+    test.advance(5s);
+    test.submit("r1", "a");
+    test.now += 3s;
+    dispatch_counts const counts = test.dispatcher->counts(test.now);
     CHECK(counts.busy_slot_time == 3s);
     CHECK(counts.open_slot_time == 6s);
 }
--- a/tests/worker_eviction_test.cpp
+++ b/tests/worker_eviction_test.cpp
@@ -1,4 +1,4 @@
-#include "dispatcher_bench.hpp"
+#include "dispatcher_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -7,18 +7,18 @@
 using namespace mulberry;
 using namespace std::chrono_literals;
 using tests::named;
-using bench = tests::dispatcher_bench;
+using fixture = tests::dispatcher_fixture;
 
 // The caller must not lose its adapter to an order that an earlier owner
 // recorded, and may send at any time: that name is left alone and the adapter
 // loaded under a name of this owner's.
 TEST_CASE("a name with an open intent is not routed to", "[dispatcher]")
 {
-    bench it({{}, true, {named("a@1#3")}});
-    it.report({{named("a@1#3"), 0}});
-    it.submit("r1", "a");
-    CHECK(it.asked<start_attempt>().empty());
-    CHECK(it.last<load_adapter>().name == named("a@1#5"));
+    fixture test({{}, true, {named("a@1#3")}});
+    test.report({{named("a@1#3"), 0}});
+    test.submit("r1", "a");
+    CHECK(test.actions_of<start_attempt>().empty());
+    CHECK(test.last_action<load_adapter>().name == named("a@1#5"));
 }
 
 // An earlier owner recorded an intent and died before it sent the order. Once
@@ -30,26 +30,26 @@
 {
     engine_name const kept = named("a@1#3");
     bool const suspects = GENERATE(true, false);
-    bench it({{}, suspects, {kept}});
-    it.report({{kept, 0}});
+    fixture test({{}, suspects, {kept}});
+    test.report({{kept, 0}});
     if (suspects)
     {
-        it.pass(10s);
-        it.report({{kept, 0}});
-        CHECK(it.forgotten(kept) == 0);
-        it.dispatcher->suspects_stopped(it.now, it.now);
+        test.advance(10s);
+        test.report({{kept, 0}});
+        CHECK(test.forget_count(kept) == 0);
+        test.dispatcher->suspects_stopped(test.now, test.now);
     }
-    it.pass(tests::small_limits().order_timeout +
-            tests::small_limits().settle_time);
-    it.report({{kept, 0}});
-    CHECK(it.forgotten(kept) == 0);
-    it.pass(1ms);
-    it.report({{kept, 0}});
-    CHECK(it.forgotten(kept) == 1);
-    it.submit("r1", "a");
-    REQUIRE(it.asked<start_attempt>().size() == 1);
-    CHECK(it.last<start_attempt>().name == kept);
-    CHECK(it.asked<load_adapter>().empty());
+    test.advance(tests::small_limits().order_timeout +
+                 tests::small_limits().settle_time);
+    test.report({{kept, 0}});
+    CHECK(test.forget_count(kept) == 0);
+    test.advance(1ms);
+    test.report({{kept, 0}});
+    CHECK(test.forget_count(kept) == 1);
+    test.submit("r1", "a");
+    REQUIRE(test.actions_of<start_attempt>().size() == 1);
+    CHECK(test.last_action<start_attempt>().name == kept);
+    CHECK(test.actions_of<load_adapter>().empty());
 }
 
 // All that earlier owners sent has arrived, but their intent is not over: this
@@ -61,40 +61,40 @@
     SECTION("by this owner")
     {
         engine_name const going = named("a@1#3");
-        bench it({{}, false, {going}});
-        it.report({{going, 0}, {named("b@1#5"), 0}});
-        it.submit("r1", "c");
-        REQUIRE(it.last<record_intent>().name == going);
+        fixture test({{}, false, {going}});
+        test.report({{going, 0}, {named("b@1#5"), 0}});
+        test.submit("r1", "c");
+        REQUIRE(test.last_action<record_intent>().name == going);
         bool const recorded = GENERATE(true, false);
         if (recorded)
-            it.dispatcher->on_intent(it.last<record_intent>().order, true,
-                                     it.now, it.actions);
-        it.now += long_after;
-        it.report({{going, 0}, {named("b@1#5"), 0}});
-        CHECK(it.forgotten(going) == 0);
-        it.submit("r2", "a");
-        CHECK(it.asked<start_attempt>().empty());
+            test.dispatcher->on_intent(test.last_action<record_intent>().order,
+                                       true, test.now, test.actions);
+        test.now += long_after;
+        test.report({{going, 0}, {named("b@1#5"), 0}});
+        CHECK(test.forget_count(going) == 0);
+        test.submit("r2", "a");
+        CHECK(test.actions_of<start_attempt>().empty());
     }
     SECTION("by an owner after this one")
     {
         engine_name const name = named("a@1#3");
-        bench it({{}, false, {name}});
-        it.report({{name, 0}});
-        it.dispatcher->stop_admitting(it.now, it.actions);
-        it.pass(long_after);
-        it.report({{name, 0}});
-        CHECK(it.forgotten(name) == 0);
+        fixture test({{}, false, {name}});
+        test.report({{name, 0}});
+        test.dispatcher->stop_admitting(test.now, test.actions);
+        test.advance(long_after);
+        test.report({{name, 0}});
+        CHECK(test.forget_count(name) == 0);
     }
     SECTION("by whoever loaded it")
     {
         engine_name const name = GENERATE(named("a@1#6"), named("other"));
-        bench it({{}, false, {name}});
-        it.report({{name, 0}});
-        it.pass(long_after);
-        it.report({{name, 0}});
-        CHECK(it.forgotten(name) == 0);
-        it.submit("r1", "a");
-        CHECK(it.asked<start_attempt>().empty());
+        fixture test({{}, false, {name}});
+        test.report({{name, 0}});
+        test.advance(long_after);
+        test.report({{name, 0}});
+        CHECK(test.forget_count(name) == 0);
+        test.submit("r1", "a");
+        CHECK(test.actions_of<start_attempt>().empty());
     }
 }
 
@@ -104,61 +104,65 @@
 TEST_CASE("suspected adapters stay until a later report clears them",
           "[dispatcher]")
 {
-    bench it({{}, true, {}});
-    it.report({{named("a@1#3"), 1}, {named("b@1#3"), 0}});
-    it.submit("r1", "c");
-    it.pass(10s);
-    CHECK(it.asked<record_intent>().empty());
-    it.dispatcher->suspects_stopped(it.now, it.now);
-    it.pass(1s);
-    it.report({{named("a@1#3"), 1}, {named("b@1#3"), 0}});
-    CHECK(it.asked<record_intent>().empty());
-    it.pass(2s);
-    it.report({{named("a@1#3"), 1}, {named("b@1#3"), 0}});
-    REQUIRE(it.asked<record_intent>().size() == 1);
-    CHECK(it.last<record_intent>().name == named("b@1#3"));
+    fixture test({{}, true, {}});
+    test.report({{named("a@1#3"), 1}, {named("b@1#3"), 0}});
+    test.submit("r1", "c");
+    test.advance(10s);
+    CHECK(test.actions_of<record_intent>().empty());
+    test.dispatcher->suspects_stopped(test.now, test.now);
+    test.advance(1s);
+    test.report({{named("a@1#3"), 1}, {named("b@1#3"), 0}});
+    CHECK(test.actions_of<record_intent>().empty());
+    test.advance(2s);
+    test.report({{named("a@1#3"), 1}, {named("b@1#3"), 0}});
+    REQUIRE(test.actions_of<record_intent>().size() == 1);
+    CHECK(test.last_action<record_intent>().name == named("b@1#3"));
 }
 
 TEST_CASE("an unload is ordered only after its intent was recorded",
           "[dispatcher]")
 {
-    bench it;
-    it.report({{named("a@1#5"), 0}, {named("b@1#5"), 0}});
-    it.submit("r1", "c");
-    order_id const intent = it.last<record_intent>().order;
-    CHECK(it.asked<unload_adapter>().empty());
+    fixture test;
+    test.report({{named("a@1#5"), 0}, {named("b@1#5"), 0}});
+    test.submit("r1", "c");
+    order_id const intent = test.last_action<record_intent>().order;
+    CHECK(test.actions_of<unload_adapter>().empty());
 
     SECTION("recorded: unload, forget, load")
     {
-        it.dispatcher->on_intent(intent, true, it.now, it.actions);
-        it.order(it.last<unload_adapter>().order, order_result::outcome::done);
-        CHECK(it.asked<forget_intent>().size() == 1);
-        CHECK(it.last<load_adapter>().name == named("c@1#5"));
+        test.dispatcher->on_intent(intent, true, test.now, test.actions);
+        test.order(test.last_action<unload_adapter>().order,
+                   order_result::outcome::done);
+        CHECK(test.actions_of<forget_intent>().size() == 1);
+        CHECK(test.last_action<load_adapter>().name == named("c@1#5"));
     }
     SECTION("not recorded: no order, the adapter serves on")
     {
-        it.dispatcher->on_intent(intent, false, it.now, it.actions);
-        CHECK(it.asked<unload_adapter>().empty());
-        it.submit("r2",
-                  it.last<record_intent>().name == named("a@1#5") ? "a" : "b");
-        CHECK(it.asked<start_attempt>().size() == 1);
+        test.dispatcher->on_intent(intent, false, test.now, test.actions);
+        CHECK(test.actions_of<unload_adapter>().empty());
+        test.submit("r2",
+                    test.last_action<record_intent>().name == named("a@1#5")
+                        ? "a"
+                        : "b");
+        CHECK(test.actions_of<start_attempt>().size() == 1);
     }
     SECTION("unknown: the name is barred until a settled report")
     {
-        it.dispatcher->on_intent(intent, true, it.now, it.actions);
-        engine_name const gone = it.last<unload_adapter>().name;
+        test.dispatcher->on_intent(intent, true, test.now, test.actions);
+        engine_name const gone = test.last_action<unload_adapter>().name;
         std::string const adapter = gone.str().substr(0, 1);
-        it.order(it.last<unload_adapter>().order,
-                 order_result::outcome::unknown, 0);
-        it.submit("r2", adapter);
-        CHECK(it.last<deliver_error>().what.kind() == error_kind::load_failed);
-        CHECK(it.forgotten(gone) == 0);
-        it.pass(3s);
-        CHECK(it.forgotten(gone) == 0);
-        it.report(
+        test.order(test.last_action<unload_adapter>().order,
+                   order_result::outcome::unknown, 0);
+        test.submit("r2", adapter);
+        CHECK(test.last_action<deliver_error>().what.kind() ==
+              error_kind::load_failed);
+        CHECK(test.forget_count(gone) == 0);
+        test.advance(3s);
+        CHECK(test.forget_count(gone) == 0);
+        test.report(
             {{gone == named("a@1#5") ? named("b@1#5") : named("a@1#5"), 0}});
-        CHECK(it.forgotten(gone) == 1);
-        CHECK(it.asked<start_attempt>().empty());
+        CHECK(test.forget_count(gone) == 1);
+        CHECK(test.actions_of<start_attempt>().empty());
     }
 }
 
@@ -166,13 +170,13 @@
 // not starve: after the fair wait one of them is sent no more and goes.
 TEST_CASE("a busy adapter gives way after the fair wait", "[dispatcher]")
 {
-    bench it;
-    it.fill_with_busy();
-    it.submit("r4", "a");
-    it.finish(it.asked<start_attempt>()[0], 1);
-    it.finish(it.asked<start_attempt>()[1], 1);
-    REQUIRE(it.asked<record_intent>().size() == 1);
-    CHECK(it.last<record_intent>().name == named("a@1#5"));
+    fixture test;
+    test.occupy_both_slots();
+    test.submit("r4", "a");
+    test.finish(test.actions_of<start_attempt>()[0], 1);
+    test.finish(test.actions_of<start_attempt>()[1], 1);
+    REQUIRE(test.actions_of<record_intent>().size() == 1);
+    CHECK(test.last_action<record_intent>().name == named("a@1#5"));
 }
 
 // Two adapters that are never idle hold both slots, and requests for the one
@@ -180,19 +184,19 @@
 // a third would wait until its deadline.
 TEST_CASE("a busy adapter goes although it is waited for", "[dispatcher]")
 {
-    bench it;
-    it.fill_with_busy();
-    it.submit("r4", "a");
-    it.finish(it.asked<start_attempt>()[0], 1);
-    order_id const intent = it.last<record_intent>().order;
-    REQUIRE(it.last<record_intent>().name == named("a@1#5"));
+    fixture test;
+    test.occupy_both_slots();
+    test.submit("r4", "a");
+    test.finish(test.actions_of<start_attempt>()[0], 1);
+    order_id const intent = test.last_action<record_intent>().order;
+    REQUIRE(test.last_action<record_intent>().name == named("a@1#5"));
     bool const still_waits = GENERATE(true, false);
     if (!still_waits)
-        it.dispatcher->withdraw(request_id("r3"), it.now, it.actions);
-    it.dispatcher->on_intent(intent, true, it.now, it.actions);
-    CHECK(it.asked<unload_adapter>().size() == (still_waits ? 1 : 0));
-    CHECK(it.forgotten(named("a@1#5")) == (still_waits ? 0 : 1));
-    CHECK(it.asked<start_attempt>().size() == (still_waits ? 2 : 3));
+        test.dispatcher->withdraw(request_id("r3"), test.now, test.actions);
+    test.dispatcher->on_intent(intent, true, test.now, test.actions);
+    CHECK(test.actions_of<unload_adapter>().size() == (still_waits ? 1 : 0));
+    CHECK(test.forget_count(named("a@1#5")) == (still_waits ? 0 : 1));
+    CHECK(test.actions_of<start_attempt>().size() == (still_waits ? 2 : 3));
 }
 
 // Whoever a busy adapter was to make room for goes away. The adapter is loaded
@@ -200,15 +204,15 @@
 TEST_CASE("an adapter that need not give way any more is used again",
           "[dispatcher]")
 {
-    bench it;
-    it.fill_with_busy();
-    it.submit("r4", "a");
-    CHECK(it.asked<start_attempt>().size() == 2);
-    it.dispatcher->withdraw(request_id("r3"), it.now, it.actions);
-    it.finish(it.asked<start_attempt>()[0], 1);
-    REQUIRE(it.asked<start_attempt>().size() == 3);
-    CHECK(it.last<start_attempt>().request.id == request_id("r4"));
-    CHECK(it.asked<record_intent>().empty());
+    fixture test;
+    test.occupy_both_slots();
+    test.submit("r4", "a");
+    CHECK(test.actions_of<start_attempt>().size() == 2);
+    test.dispatcher->withdraw(request_id("r3"), test.now, test.actions);
+    test.finish(test.actions_of<start_attempt>()[0], 1);
+    REQUIRE(test.actions_of<start_attempt>().size() == 3);
+    CHECK(test.last_action<start_attempt>().request.id == request_id("r4"));
+    CHECK(test.actions_of<record_intent>().empty());
 }
 
 // The table is lost with an intent on its way. The adapter is loaded: after the
@@ -216,21 +220,21 @@
 // the row does not unload it under them.
 TEST_CASE("an intent that is not settled is given up", "[dispatcher]")
 {
-    bench it;
-    it.report({{named("a@1#5"), 0}, {named("b@1#5"), 0}});
-    it.submit("r1", "c");
-    record_intent const intent = it.last<record_intent>();
-    it.submit("r2", intent.name == named("a@1#5") ? "a" : "b");
-    it.dispatcher->set_may_evict(false);
-    it.pass(1s);
-    CHECK(it.asked<start_attempt>().empty());
-    it.pass(1s);
-    REQUIRE(it.asked<start_attempt>().size() == 1);
-    CHECK(it.last<start_attempt>().name == intent.name);
-    CHECK(it.forgotten(intent.name) == 1);
-    it.dispatcher->on_intent(intent.order, true, it.now, it.actions);
-    it.pass(1s);
-    CHECK(it.asked<unload_adapter>().empty());
+    fixture test;
+    test.report({{named("a@1#5"), 0}, {named("b@1#5"), 0}});
+    test.submit("r1", "c");
+    record_intent const intent = test.last_action<record_intent>();
+    test.submit("r2", intent.name == named("a@1#5") ? "a" : "b");
+    test.dispatcher->set_may_evict(false);
+    test.advance(1s);
+    CHECK(test.actions_of<start_attempt>().empty());
+    test.advance(1s);
+    REQUIRE(test.actions_of<start_attempt>().size() == 1);
+    CHECK(test.last_action<start_attempt>().name == intent.name);
+    CHECK(test.forget_count(intent.name) == 1);
+    test.dispatcher->on_intent(intent.order, true, test.now, test.actions);
+    test.advance(1s);
+    CHECK(test.actions_of<unload_adapter>().empty());
 }
 
 // The table is out of reach. Nothing may be evicted; a request for an adapter
@@ -238,46 +242,47 @@
 TEST_CASE("without evictions a full worker refuses what it cannot load",
           "[dispatcher]")
 {
-    bench it;
-    it.report({{named("a@1#5"), 0}, {named("b@1#5"), 0}});
+    fixture test;
+    test.report({{named("a@1#5"), 0}, {named("b@1#5"), 0}});
     bool const waited = GENERATE(false, true);
     if (waited)
     {
-        it.pass(1s);
-        it.submit("r1", "a");
-        it.submit("r2", "b");
-        it.submit("r3", "c");
+        test.advance(1s);
+        test.submit("r1", "a");
+        test.submit("r2", "b");
+        test.submit("r3", "c");
     }
-    it.dispatcher->set_may_evict(false);
-    it.pass(20ms);
+    test.dispatcher->set_may_evict(false);
+    test.advance(20ms);
     if (!waited)
-        it.submit("r3", "c");
-    CHECK(it.last<deliver_error>().request == request_id("r3"));
-    CHECK(it.last<deliver_error>().what.kind() == error_kind::load_failed);
-    CHECK(it.last<deliver_error>().what.request_ran() == ran::no);
-    CHECK(it.asked<record_intent>().empty());
-    it.submit("r4", "a");
-    CHECK(it.dispatcher->knows(request_id("r4")));
-    it.dispatcher->set_may_evict(true);
-    it.submit("r5", "c");
-    CHECK(it.dispatcher->knows(request_id("r5")));
+        test.submit("r3", "c");
+    CHECK(test.last_action<deliver_error>().request == request_id("r3"));
+    CHECK(test.last_action<deliver_error>().what.kind() ==
+          error_kind::load_failed);
+    CHECK(test.last_action<deliver_error>().what.request_ran() == ran::no);
+    CHECK(test.actions_of<record_intent>().empty());
+    test.submit("r4", "a");
+    CHECK(test.dispatcher->knows(request_id("r4")));
+    test.dispatcher->set_may_evict(true);
+    test.submit("r5", "c");
+    CHECK(test.dispatcher->knows(request_id("r5")));
 }
 
 // A decision to evict and a reason to keep the adapter that both last must not
 // chase each other: the row, which still has the intent, records it at once.
 TEST_CASE("an adapter just kept is not evicted again at once", "[dispatcher]")
 {
-    bench it;
-    it.report({{named("a@1#5"), 0}, {named("b@1#5"), 0}});
-    it.submit("r1", "b");
-    it.submit("r2", "c");
-    REQUIRE(it.last<record_intent>().name == named("a@1#5"));
-    it.submit("r3", "a");
-    it.dispatcher->on_intent(it.last<record_intent>().order, true, it.now,
-                             it.actions);
-    CHECK(it.forgotten(named("a@1#5")) == 1);
-    it.finish(it.last<start_attempt>(), 0);
-    CHECK(it.asked<record_intent>().size() == 1);
-    it.pass(1s);
-    CHECK(it.asked<record_intent>().size() == 2);
+    fixture test;
+    test.report({{named("a@1#5"), 0}, {named("b@1#5"), 0}});
+    test.submit("r1", "b");
+    test.submit("r2", "c");
+    REQUIRE(test.last_action<record_intent>().name == named("a@1#5"));
+    test.submit("r3", "a");
+    test.dispatcher->on_intent(test.last_action<record_intent>().order, true,
+                               test.now, test.actions);
+    CHECK(test.forget_count(named("a@1#5")) == 1);
+    test.finish(test.last_action<start_attempt>(), 0);
+    CHECK(test.actions_of<record_intent>().size() == 1);
+    test.advance(1s);
+    CHECK(test.actions_of<record_intent>().size() == 2);
 }
