--- a/src/adapter_loader.cpp
+++ b/src/adapter_loader.cpp
@@ -53,7 +53,7 @@
 void adapter_loader::set_may_evict(bool may)
 {
     may_evict_ = may;
-    // Nobody can be given the place that it was to make.
+    // The slot of a drained adapter could not be freed without an eviction.
     if (!may)
         draining_.reset();
 }
@@ -183,9 +183,10 @@
             context.queue.select(wanted);
         if (eligible.empty())
         {
-            // Whoever an adapter was to make room for has gone or found room
-            // elsewhere. Left yielding, the adapter would stay loaded and be
-            // sent nothing, and requests for it would wait out their deadlines.
+            // The adapter that another one is drained for is no longer needed
+            // or has found a slot, so draining ends. Otherwise the drained
+            // adapter would stay loaded without being sent requests, which
+            // would wait until their deadlines.
             draining_.reset();
             return;
         }
@@ -279,7 +280,7 @@
     for (engine_name const& name : names)
     {
         loaded_adapter const& item = *slots_.find(name);
-        // What nothing may be routed to goes first: no decision is needed.
+        // An adapter that no request may be routed to is evicted first.
         if (item.state == slot_state::unusable)
             return name;
         candidates.push_back(
@@ -323,10 +324,10 @@
 void adapter_loader::choose_draining(adapter_ref const& incoming,
                                      load_context const& context)
 {
-    // While every slot's adapter always has a request, none could ever be
-    // evicted, and a request for another adapter would wait until its deadline
-    // however few they are. One busy adapter at a time is sent no more until
-    // its requests have ended.
+    // Without draining, adapters that always have requests could never be
+    // evicted, and a request for another adapter would starve until its
+    // deadline. One busy adapter at a time is sent no more requests until
+    // those it has have ended.
     if (draining_ || context.queue.oldest_arrival(incoming) >
                          context.now - limits_.starvation_timeout)
         return;
@@ -344,10 +345,11 @@
 {
     if (draining_ == name)
         draining_.reset();
-    // An owner that pauses here and loses the worker may send the order when
-    // the next owner serves requests under the same name. Sent only after the
-    // intent stands in the row, which the next owner reads before it routes,
-    // the order can only meet a name that nobody uses.
+    // An owner that pauses here and loses the worker may send the unload order
+    // late, when the next owner serves requests under the same name. The order
+    // is therefore sent only after the intent is recorded in the worker's row,
+    // which the next owner reads before it routes requests, so that the order
+    // can only unload a name that is not in use.
     order_id const id = ids_->next_order();
     slots_.set_state(name, slot_state::recording, id, now);
     orders_.emplace(id, order{name, now + limits_.intent_timeout,
@@ -382,8 +384,8 @@
     loaded_adapter const& item = *slots_.find(eviction.name);
     if (!slots_.routable(eviction.name) || queue.waiting_for(item.adapter) == 0)
         return false;
-    // A busy adapter is always wanted again. Kept for that, it would never make
-    // room for the one that has waited for its slot.
+    // A drained adapter always has requests waiting. Cancelling its eviction
+    // for them would starve the adapter that waits for the slot.
     return !eviction.makes_room_for ||
            queue.waiting_for(*eviction.makes_room_for) == 0;
 }
@@ -397,12 +399,13 @@
 
 void adapter_loader::expire_intents(time_point now, action_list& actions)
 {
-    // Failure: the table is lost with an intent on its way. Symptom: for the
-    // whole outage the adapter is loaded and its requests wait out their
-    // deadlines. The intent is given up and the adapter used again. Its write
-    // may land later all the same: then the row keeps a successor from the
-    // name until the write that forgets it, and no unload follows, since an
-    // order is sent only for an intent that is still known here.
+    // Failure: the table becomes unreachable while an intent is being written.
+    // Symptom: for the whole outage the adapter stays loaded, but its requests
+    // wait until their deadlines. The eviction is therefore cancelled and the
+    // adapter used again. If the intent's write takes effect later after all,
+    // the row keeps a successor from using the name until the write that
+    // forgets the intent. No unload follows, since an order is sent only for
+    // an intent that is still tracked here.
     std::vector<order_id> late;
     for (auto const& [id, each] : orders_)
         if (each.deadline <= now &&
@@ -492,14 +495,15 @@
     }
     if (event.what == outcome::refused)
     {
-        // Refused otherwise: it did nothing and cannot do anything later.
+        // Refused for another reason: the order had no effect and will have
+        // none later.
         evict_not_before_ = now + limits_.load_backoff;
         slots_.restore(name, now);
         actions.push_back(forget_intent{worker_, name});
         return;
     }
     slots_.set_state(name, slot_state::unload_unknown, {}, now);
-    // Those waiting for the same adapter are better served elsewhere.
+    // Queued requests for this adapter can be served sooner by other workers.
     changes.failed.push_back(slots_.find(name)->adapter);
     note(actions, "adapter-unload-unknown", name);
 }
@@ -510,8 +514,8 @@
     slot_changes const changes = slots_.on_report(report, now);
     for (engine_name const& name : changes.closed_intents)
         actions.push_back(forget_intent{worker_, name});
-    // Given up, the worker has an owner after this one, who may unload those
-    // names: it has inherited their intents.
+    // After this VM gave up the worker, a later owner has inherited these
+    // intents and may unload the names.
     if (stopped_)
         return;
     for (engine_name const& name : changes.usable_again)
--- a/src/adapter_slots.cpp
+++ b/src/adapter_slots.cpp
@@ -9,7 +9,7 @@
                              dispatcher_limits const& limits,
                              safeguards const& checks, time_point now)
     : slots_(slots), fence_(grant.fence), limits_(limits), checks_(&checks),
-      suspects_(grant.has_suspects),
+      had_suspects_(grant.has_suspects),
       suspects_stopped_(grant.has_suspects ? std::nullopt : std::optional(now)),
       open_intents_(grant.open_intents.begin(), grant.open_intents.end())
 {
@@ -81,9 +81,9 @@
     slot_state const state =
         routable(name) ? slot_state::ready : slot_state::unusable;
     set_state(name, state, {}, now);
-    // An intent that stands in the row still is recorded at once. Were the
-    // reasons to evict and to keep the adapter both to last, one call would
-    // record and give up the same intent for ever.
+    // An intent that is still in the row is confirmed as recorded at once. If
+    // the reasons to evict and to keep the adapter both persisted, a single
+    // call would record and cancel the same intent forever.
     adapters_.at(name).evictable_from = now + limits_.load_backoff;
 }
 
@@ -136,11 +136,11 @@
     auto const found = adapters_.find(name);
     if (found != adapters_.end())
         found->second.last_used = now;
-    // The engine may go on with a request whose connection was given up, and
-    // an order to cancel it may be lost. Evicted meanwhile, its adapter would
-    // vanish under a request that runs. A pin until a later report shows
-    // nothing running is enough, since no byte of it arrives after the settle
-    // time.
+    // The engine may continue a request whose connection was given up, and the
+    // cancel message may be lost. Evicting the adapter meanwhile would unload
+    // it under a running request. A pin until a later report shows nothing
+    // running is sufficient, since no byte of the request arrives after the
+    // settle time.
     if (!end_confirmed)
         pin(name, now);
 }
@@ -204,9 +204,9 @@
 void adapter_slots::clear_pins(engine_report const& report,
                                std::map<engine_name, std::size_t> const& shown)
 {
-    // Nothing of unseen origin runs under a name any more when a report from
-    // after the last moment at which such a request could arrive shows none
-    // running under it and none waiting inside the engine.
+    // An untracked request no longer runs under a name if a report from after
+    // the last moment at which such a request could arrive shows no request
+    // running under the name and none waiting inside the engine.
     std::erase_if(pins_,
                   [&](auto const& pin)
                   {
@@ -256,8 +256,8 @@
             changes.still_loaded.push_back(name);
             return;
         }
-        // No order sent before can arrive any more, so that the name may be
-        // loaded again.
+        // No order sent earlier can still arrive, so the name may be loaded
+        // again.
         changes.closed_intents.push_back(name);
         remove(name, now);
         return;
@@ -283,26 +283,26 @@
         item.adapter = parts->adapter;
         item.fence = parts->fence;
     }
-    // An earlier owner that was paused may yet send an unload order that it
-    // recorded before: a request routed there would lose its adapter halfway.
-    // Such names are in the row that this owner read, and an intent that is
-    // not there can no longer be recorded, so that leaving these names out is
-    // enough.
+    // An earlier owner that was paused may still send an unload order whose
+    // intent it recorded, and a request routed to that name would lose its
+    // adapter while it runs. All such names are in the row that this owner
+    // read, since an earlier owner can no longer record an intent. Therefore
+    // excluding these names is sufficient.
     bool const barred =
         !parts || parts->fence > fence_ || open_intents_.contains(name);
     item.state = barred ? slot_state::unusable : slot_state::ready;
-    if (suspects_ && (!parts || parts->fence < fence_))
+    if (had_suspects_ && (!parts || parts->fence < fence_))
         pin(name, suspects_stopped_.value_or(never));
     adapters_.emplace(name, item);
     update_ready_name(item.adapter);
 }
 
-// Failure: an earlier owner signs off or ends just after it sent an unload
-// order, which the engine carries out later. Symptom: the name is used again
-// and unloaded under a request. An order's connection is given up after the
-// order timeout, and the order acts within the settle time after that; a report
-// of a moment later than both since the last one could be sent shows what all
-// of them did.
+// Failure: an earlier owner confirms that it stopped, or ends, just after it
+// sent an unload order, which the engine executes later. Symptom: the name is
+// used again and unloaded under a request. The connection of an order is closed
+// after the order timeout, and the order takes effect within the settle time
+// after that. A report from after both times, counted from the last moment at
+// which an order could be sent, shows the effects of all orders.
 bool adapter_slots::earlier_orders_settled(engine_report const& report) const
 {
     return suspects_stopped_ && report.as_of > *suspects_stopped_ +
@@ -310,12 +310,12 @@
                                                    limits_.settle_time;
 }
 
-// Failure: an earlier owner ended between recording an intent and sending the
-// order. Symptom: the adapter stays loaded and serves nobody until another
-// wants its slot, and the intent stands in the row for as long. Shown by a
-// report from after the last order can have arrived, the name was not unloaded
-// and nobody but this owner can order it any more, so it is used again. Not so
-// if this owner has begun to evict it itself.
+// Failure: an earlier owner ended after it recorded an intent and before it
+// sent the unload order. Symptom: the adapter stays loaded without serving
+// requests until another adapter needs its slot, and the intent stays in the
+// row as long. If a report from after the last order can have arrived still
+// shows the name, it was not unloaded and only this owner can order that now,
+// so the name is used again, unless this owner has begun to evict it.
 void adapter_slots::close_old_intents(
     engine_report const& report,
     std::map<engine_name, std::size_t> const& shown, time_point now,
--- a/src/dispatch_core.cpp
+++ b/src/dispatch_core.cpp
@@ -7,12 +7,14 @@
 namespace
 {
 
-/// Told as Retry-After before any service time was measured.
+/// Retry-After before a service time was measured.
 constexpr duration unmeasured_retry = std::chrono::seconds(1);
 constexpr duration least_retry = std::chrono::milliseconds(50);
-/// How long a request that the engine refused as busy waits in the queue.
+/// How long a request that the engine refused as busy is held in the queue
+/// before it is sent again.
 constexpr duration busy_delay = std::chrono::milliseconds(50);
-/// Connections that failed in a row before the whole queue is given up.
+/// Consecutive connection failures after which all queued requests are answered
+/// with an error.
 constexpr int max_connect_failures = 2;
 
 } // namespace
@@ -133,10 +135,10 @@
 {
     if (request.deadline <= now)
         return error(error_kind::deadline_passed,
-                     "the deadline was past on arrival", ran::no);
+                     "the deadline had passed on arrival", ran::no);
     if (!checks_->takes_new_work({.leaving = stopped_}))
-        return error(error_kind::not_owner, "the worker is being given up",
-                     ran::no);
+        return error(error_kind::not_owner,
+                     "this VM is giving up ownership of the worker", ran::no);
     if (backing_off(now) &&
         consecutive_connect_failures_ >= max_connect_failures)
         return error(error_kind::back_end_unavailable,
@@ -145,19 +147,19 @@
     if (auto const wait = loader_.load_retry_after(request.adapter, now))
         return error(error_kind::load_failed,
                      "the adapter cannot be loaded here now", ran::no, *wait);
-    // Kept although its turn comes too late, it would be answered only near
-    // its deadline, when nobody else can serve it any more. One that waits
-    // needs the time of its own answer too: sent just before its deadline it
-    // takes a batch slot and is cut off there for nothing. The caller is told
-    // to come back when the queue is served, which does not take that long.
+    // A request whose turn would come too late is refused now, since near its
+    // deadline no other worker could serve it any more. For a request that must
+    // wait, the service time of its own answer counts too: sent just before its
+    // deadline, the request would take a batch slot and be cut off there.
+    // Retry-After covers only the wait for the queue.
     auto const wait = expected_wait(request);
     duration needed = wait.value_or(duration::zero());
     if (needed > duration::zero())
         needed += meter_.service_time().value_or(duration::zero());
     if (wait && request.deadline - now < needed)
         return error(error_kind::overloaded,
-                     "its turn would come after its deadline", ran::no,
-                     std::max(*wait, least_retry));
+                     "the queue is too long for the request's deadline",
+                     ran::no, std::max(*wait, least_retry));
     return std::nullopt;
 }
 
@@ -187,11 +189,12 @@
     if (!least || least->request.priority >= request.priority)
         return false;
     request_id const displaced = least->request.id;
-    answer_waiting(displaced,
-                   error(error_kind::overloaded,
-                         "the queue is full of requests of more priority",
-                         ran::no, retry_after(queue_.size())),
-                   now, actions);
+    answer_waiting(
+        displaced,
+        error(error_kind::overloaded,
+              "displaced from the full queue by a request of higher priority",
+              ran::no, retry_after(queue_.size())),
+        now, actions);
     return true;
 }
 
@@ -276,13 +279,14 @@
         return answer(id, error(error_kind::answer_cut, ended.text, ran::yes),
                       actions);
     case stream_end::cancelled:
-        return answer(id,
-                      error(error_kind::deadline_passed,
-                            "the deadline passed while it ran", seen),
-                      actions);
+        return answer(
+            id,
+            error(error_kind::deadline_passed,
+                  "the deadline passed before the answer was complete", seen),
+            actions);
     case stream_end::forgotten:
-        // Nothing was delivered and the engine does not run it: another start
-        // gives the caller one whole answer.
+        // Nothing was delivered and the engine does not know the request, so
+        // the caller still gets exactly one whole answer if it is sent again.
         if (ended.item.requeues >= limits_.max_resumes || stopped_)
             return answer(
                 id, error(error_kind::answer_cut, ended.text, ran::unknown),
@@ -302,7 +306,7 @@
                                       action_list& actions)
 {
     request_id const id = ended.item.request.id;
-    // An earlier start of it may have run: then "not run" would be untrue.
+    // After an earlier attempt that may have run, ran::no would be untrue.
     ran const truth = ended.item.may_run_twice ? ran::unknown : ran::no;
     switch (ended.reason)
     {
@@ -341,14 +345,15 @@
     request_id const id = item.request.id;
     ran const truth = item.may_run_twice ? ran::unknown : ran::no;
     if (stopped_)
-        return answer(
-            id,
-            error(error_kind::not_owner, "the worker is being given up", truth),
-            actions);
+        return answer(id,
+                      error(error_kind::not_owner,
+                            "this VM is giving up ownership of the worker",
+                            truth),
+                      actions);
     if (++item.requeues > limits_.max_resumes)
         return answer(id,
                       error(error_kind::overloaded,
-                            "the engine refused it again and again", truth,
+                            "the engine refused the request too often", truth,
                             limits_.load_backoff),
                       actions);
     item.not_before = now + delay;
@@ -445,8 +450,8 @@
 {
     account(now);
     loader_.on_report(report, now, actions);
-    // The report speaks of some moment since as_of; what ran for this owner at
-    // any moment since then is not held against the room.
+    // The report may show any moment since as_of. Requests that this owner had
+    // running at any time since then are not counted as foreign.
     std::size_t const shown = report.running + report.waiting;
     std::size_t const own = meter_.max_running(report.as_of);
     foreign_requests_ = shown > own ? shown - own : 0;
@@ -463,9 +468,10 @@
     account(now);
     stopped_ = true;
     loader_.stop();
-    answer_all_waiting(
-        error(error_kind::not_owner, "the worker is being given up", ran::no),
-        now, actions);
+    answer_all_waiting(error(error_kind::not_owner,
+                             "this VM is giving up ownership of the worker",
+                             ran::no),
+                       now, actions);
 }
 
 void dispatch_core::tick(time_point now, action_list& actions)
@@ -476,7 +482,7 @@
         on_left_queue(*late, now);
         answer(late->request.id,
                error(error_kind::deadline_passed,
-                     "the deadline passed in the queue",
+                     "the deadline passed while the request was queued",
                      late->may_run_twice ? ran::unknown : ran::no),
                actions);
     }
--- a/src/dispatch_core.hpp
+++ b/src/dispatch_core.hpp
@@ -1,5 +1,5 @@
-/// The decisions of a worker's owner: admission, queue, sending, and what the
-/// end of each request means. See worker_dispatcher for each public call.
+/// Implements worker_dispatcher: admission, queueing, sending, and handling of
+/// each request's end. The public calls are documented in worker_dispatcher.
 #ifndef MULBERRY_DISPATCH_CORE_HPP
 #define MULBERRY_DISPATCH_CORE_HPP
 
@@ -22,11 +22,12 @@
 namespace mulberry
 {
 
-/// What a worker_dispatcher does, behind its header. Thread safety: none.
+/// The implementation behind worker_dispatcher. Thread safety: none.
 class dispatch_core
 {
 public:
-    /// The references outlive this object.
+    /// Precondition: `policy`, `budget`, `checks` and `ids` outlive this
+    /// object.
     dispatch_core(worker_declaration worker, ownership_grant const& grant,
                   dispatcher_limits const& limits, routing_policy& policy,
                   load_budget& budget, safeguards const& checks, id_source& ids,
@@ -75,34 +76,49 @@
     }
 
 private:
-    /// Accounts for the time up to an event, before it changes anything.
+    /// Adds the slot time since the last call to the totals. Must be called
+    /// before an event changes the queue or the streams.
     void account(time_point now);
-    /// After an event: sends, loads and evicts what can be.
+    /// Sends queued requests and starts loads and evictions as far as
+    /// possible. Called after every event.
     void dispatch_waiting(time_point now, action_list& actions);
     void send_ready(time_point now, action_list& actions);
+    /// Starts or ends the stall times of queued requests whose adapter stopped
+    /// or started being ready.
     void update_stalls(time_point now);
     std::size_t free_batch_slots() const;
     worker_view view_without_residents(time_point now) const;
 
+    /// The error to refuse a new request with; none if it is admitted.
     std::optional<error> admission_error(model_request const& request,
                                          time_point now) const;
+    /// How long a new request would wait in the queue; none before a service
+    /// time was measured.
     std::optional<duration> expected_wait(model_request const& request) const;
+    /// The Retry-After for a request with `ahead` requests before it.
     duration retry_after(std::size_t ahead) const;
+    /// Displaces a request of lower priority if the queue is full; returns
+    /// whether there is room for `request`.
     bool make_queue_room(model_request const& request, time_point now,
                          action_list& actions);
     void enqueue(queued_request item, time_point now);
-    /// Of what left the queue or the engine.
+    /// Update slots, stall times and usage after a request left the queue or
+    /// the engine.
     void on_left_queue(queued_request& item, time_point now);
     void on_left_engine(ended_stream const& ended, time_point now);
 
+    /// Answers with an error and counts the request as failed.
     void answer(request_id const& id, error what, action_list& actions);
     void answer_waiting(request_id const& id, error const& what, time_point now,
                         action_list& actions);
     void answer_waiting_for(adapter_ref const& adapter, time_point now,
                             action_list& actions);
+    /// Answers queued requests whose adapter has no slot while evictions are
+    /// not allowed.
     void answer_unloadable(time_point now, action_list& actions);
     void answer_all_waiting(error const& what, time_point now,
                             action_list& actions);
+    /// Ends the request's stall, if any, and adds the stall time to the totals.
     void close_stall(queued_request& item, time_point now);
     void on_load_changes(load_changes const& changes, time_point now,
                          action_list& actions);
@@ -111,6 +127,7 @@
                          action_list& actions);
     void on_stream_not_run(ended_stream ended, time_point now,
                            action_list& actions);
+    /// Queues the request again, to be sent after `delay` at the earliest.
     void requeue(ended_stream ended, duration delay, time_point now,
                  action_list& actions);
     void on_unreachable(ended_stream const& ended, time_point now,
@@ -126,9 +143,11 @@
     request_queue queue_;
     stream_table streams_;
     adapter_loader loader_;
-    /// The adapters waited for that were not ready when last looked at.
+    /// The adapters that queued requests need and that were not ready when
+    /// update_stalls() last ran.
     std::set<adapter_ref> stalled_adapters_;
-    /// What reports show beyond this owner's own requests.
+    /// Requests in the last report that this owner did not send; they take
+    /// batch slots.
     std::size_t foreign_requests_ = 0;
     int consecutive_connect_failures_ = 0;
     time_point backoff_until_ = time_point::min();
--- a/src/worker_dispatcher.hpp
+++ b/src/worker_dispatcher.hpp
@@ -1,5 +1,6 @@
-/// The owner's side of one worker: queue, batch room, adapter slots, pins,
-/// orders, and the streams of its requests. Pure: no I/O, clock or threads.
+/// Dispatches requests to one worker on behalf of its owner: request queue,
+/// batch slots, adapter slots and eviction, load and unload orders, and answer
+/// streams. Performs no I/O, reads no clock and starts no threads.
 #ifndef MULBERRY_WORKER_DISPATCHER_HPP
 #define MULBERRY_WORKER_DISPATCHER_HPP
 
@@ -22,12 +23,14 @@
 
 class dispatch_core;
 
-/// Thread safety: none; owned by the decision core. Every call appends the
-/// actions that follow from it.
+/// Sends a worker's requests and its load and unload orders. Each call that
+/// takes an action_list appends the actions that the caller must perform.
+/// Thread safety: none; owned by the decision core.
 class worker_dispatcher
 {
 public:
-    /// The references outlive this object.
+    /// Precondition: `policy`, `budget`, `checks` and `ids` outlive this
+    /// object.
     worker_dispatcher(worker_declaration worker, ownership_grant const& grant,
                       dispatcher_limits const& limits, routing_policy& policy,
                       load_budget& budget, safeguards const& checks,
@@ -35,18 +38,23 @@
     ~worker_dispatcher();
     worker_dispatcher(worker_dispatcher&&) noexcept;
 
-    /// Takes a request, or answers it at once with an error that says "not
-    /// run": overloaded (with a Retry-After from the actual queue),
-    /// deadline_passed, not_owner after stop_admitting(), load_failed while
-    /// its adapter cannot be loaded here, back_end_unavailable while the
-    /// worker cannot be reached. When the queue is full it may displace a
-    /// request of less priority, which is answered overloaded.
-    /// Precondition: not knows(request.id).
+    /// Admits a request, or answers it at once with an error marked ran::no:
+    /// - overloaded: the queue is full, or the request's turn would come too
+    ///   late for its deadline; Retry-After is computed from the queue length
+    /// - deadline_passed: the deadline was past on arrival
+    /// - not_owner: after stop_admitting()
+    /// - load_failed: its adapter cannot be loaded here for now
+    /// - back_end_unavailable: the worker cannot be reached
+    /// When the queue is full, a queued request of lower priority is displaced
+    /// and answered overloaded. Precondition: !knows(request.id).
     void submit(model_request request, time_point now, action_list& actions);
-    /// The caller went away: nothing more is delivered for the request.
+    /// Handles a caller's disconnect: the request leaves the queue or is
+    /// cancelled at the engine, and nothing more is delivered for it. Unknown
+    /// requests are ignored.
     void withdraw(request_id const& request, time_point now,
                   action_list& actions);
 
+    /// Handle an attempt's or order's outcome; unknown ones are ignored.
     void on_chunk(attempt_chunk const& event, time_point now,
                   action_list& actions);
     void on_end(attempt_end const& event, time_point now, action_list& actions);
@@ -54,47 +62,56 @@
                     action_list& actions);
     void on_order(order_result const& event, time_point now,
                   action_list& actions);
-    /// The outcome of a record_intent. Not recorded: the order is not sent.
+    /// Handles the outcome of a record_intent action. The unload order is sent
+    /// only if `recorded`.
     void on_intent(order_id order, bool recorded, time_point now,
                    action_list& actions);
     void on_report(engine_report const& report, time_point now,
                    action_list& actions);
-    /// At `stopped_at` every earlier owner was known to send no more. Pins
-    /// last until a report of a later moment shows nothing of theirs running,
-    /// or until all they can have sent is past its deadline.
+    /// Records that no earlier owner (suspect) has sent anything to the worker
+    /// since `stopped_at`. Adapters that earlier owners may have used stay
+    /// pinned until a later report shows no request running under them, or
+    /// until every request sent by then is past its deadline.
     void suspects_stopped(time_point stopped_at, time_point now);
 
-    /// Ownership ends or this VM leaves: what waits is answered not_owner (not
-    /// run), what was sent goes on to its end, no order is given any more.
+    /// Stops admission, because ownership ends or this VM leaves: queued
+    /// requests are answered not_owner (ran::no), requests already sent run to
+    /// their end, and no further orders are sent.
     void stop_admitting(time_point now, action_list& actions);
-    /// Requests waiting or sent.
+    /// The number of requests queued or sent.
     std::size_t in_progress() const;
-    /// Loads, unloads and intents without an answer. A load holds a permit of
-    /// the budget: destroyed before this is 0, it would never give it back.
+    /// The number of loads, unloads and intents without an answer. The
+    /// dispatcher must not be destroyed before this is 0: each load holds a
+    /// permit of the load budget, which would never be returned.
     std::size_t orders_in_progress() const;
-    /// Whether a request that was given up here may still run at the engine.
-    /// An owner that gave the worker up signs off only after that: its
-    /// successor takes the signature to mean that nothing of it is left.
+    /// Whether a request whose connection was given up here may still run at
+    /// the engine. A former owner must not confirm that it stopped while this
+    /// is true: its successor takes the confirmation to mean that none of the
+    /// former owner's requests are left.
     bool has_abandoned_requests(time_point now) const;
-    /// Deadlines, silences, loads, evictions, loads ahead.
+    /// Handles everything that depends on time: request and order deadlines,
+    /// silent streams, loads, evictions and preloading.
     void tick(time_point now, action_list& actions);
 
-    /// Whether evictions may begin. While the table is out of reach they may
-    /// not: their intents could not be recorded, and until they are, requests
-    /// for an adapter that is to go wait although it is loaded. Meanwhile a
-    /// request for whose adapter there is no slot is answered load_failed.
+    /// Allows or forbids new evictions; initially allowed. Evictions are
+    /// forbidden while the table cannot be reached: their intents could not be
+    /// recorded, and requests for a loaded adapter would wait meanwhile.
+    /// While evictions are forbidden, requests whose adapter has no slot are
+    /// answered load_failed.
     void set_may_evict(bool may);
-    /// `cluster` is used for loads ahead; may be null.
+    /// Sets the view that preloading is based on. Null turns preloading off;
+    /// otherwise `cluster` must outlive this object or be replaced before.
     void set_cluster(cluster_view const* cluster);
-    /// Its owner and cached prefixes are left empty.
+    /// The worker's state for routing; owner and cached prefixes are left
+    /// empty.
     worker_view view(time_point now) const;
-    /// How many adapters are waited for and not loaded or loading, for
-    /// load_budget::set_waiting.
+    /// The number of adapters that queued requests need and that are neither
+    /// loaded nor loading, for load_budget::set_waiting.
     std::size_t loads_wanted() const;
     dispatch_counts counts(time_point now) const;
-    /// What each application used since the last call.
+    /// Returns the usage by application since the last call and resets it.
     usage_by_application take_usage(time_point now);
-    /// Whether an attempt or order is this dispatcher's.
+    /// Whether the attempt, order or request is in progress here.
     bool knows(attempt_id attempt) const;
     bool knows(order_id order) const;
     bool knows(request_id const& request) const;
