--- a/src/adapter_loader.cpp
+++ b/src/adapter_loader.cpp
@@ -55,13 +55,13 @@
     may_evict_ = may;
     // The slot of a drained adapter could not be freed without an eviction.
     if (!may)
-        draining_.reset();
+        draining_adapter_.reset();
 }
 
 engine_name const* adapter_loader::sendable(adapter_ref const& adapter) const
 {
     engine_name const* name = slots_.ready_name(adapter);
-    return name && draining_ == *name ? nullptr : name;
+    return name && draining_adapter_ == *name ? nullptr : name;
 }
 
 std::optional<duration>
@@ -156,9 +156,10 @@
 {
     std::erase_if(load_not_before_,
                   [&](auto const& each) { return each.second <= context.now; });
-    if (draining_ && (!slots_.find(*draining_) ||
-                      slots_.find(*draining_)->state != slot_state::ready))
-        draining_.reset();
+    if (draining_adapter_ &&
+        (!slots_.find(*draining_adapter_) ||
+         slots_.find(*draining_adapter_)->state != slot_state::ready))
+        draining_adapter_.reset();
     if (stopped_ || !slots_.contents_known())
         return;
     load_for_queue(context, actions);
@@ -187,7 +188,7 @@
             // or has found a slot, so draining ends. Otherwise the drained
             // adapter would stay loaded without being sent requests, which
             // would wait until their deadlines.
-            draining_.reset();
+            draining_adapter_.reset();
             return;
         }
         auto const next =
@@ -250,7 +251,7 @@
     ++meter_->totals.loads;
     actions.push_back(
         load_adapter{id, worker_, adapter, name, fence_, deadline});
-    note(actions, "adapter-loading", name);
+    add_event(actions, "adapter-loading", name);
     return true;
 }
 
@@ -308,43 +309,44 @@
     std::vector<engine_name> const names = evictable(context);
     if (names.empty())
     {
-        choose_draining(incoming, context);
+        choose_adapter_to_drain(incoming, context);
         return;
     }
-    bool const drained = draining_ && std::find(names.begin(), names.end(),
-                                                *draining_) != names.end();
+    bool const drained =
+        draining_adapter_ && std::find(names.begin(), names.end(),
+                                       *draining_adapter_) != names.end();
     auto const victim =
-        drained ? draining_ : choose_victim(incoming, context, names);
+        drained ? draining_adapter_ : choose_victim(incoming, context, names);
     if (!victim)
         return;
     auto const make_room_for = drained ? std::optional(incoming) : std::nullopt;
     evict(*victim, make_room_for, now, actions);
 }
 
-void adapter_loader::choose_draining(adapter_ref const& incoming,
-                                     load_context const& context)
+void adapter_loader::choose_adapter_to_drain(adapter_ref const& incoming,
+                                             load_context const& context)
 {
     // Without draining, adapters that always have requests could never be
     // evicted, and a request for another adapter would starve until its
     // deadline. One busy adapter at a time is sent no more requests until
     // those it has have ended.
-    if (draining_ || context.queue.oldest_arrival(incoming) >
-                         context.now - limits_.starvation_timeout)
+    if (draining_adapter_ || context.queue.oldest_arrival(incoming) >
+                                 context.now - limits_.starvation_timeout)
         return;
     std::vector<engine_name> names;
     for (auto const& [name, item] : slots_.all())
         if (item.state == slot_state::ready &&
             !slots_.pinned(name, context.now))
             names.push_back(name);
-    draining_ = choose_victim(incoming, context, names);
+    draining_adapter_ = choose_victim(incoming, context, names);
 }
 
 void adapter_loader::evict(engine_name const& name,
                            std::optional<adapter_ref> make_room_for,
                            time_point now, action_list& actions)
 {
-    if (draining_ == name)
-        draining_.reset();
+    if (draining_adapter_ == name)
+        draining_adapter_.reset();
     // An owner that pauses here and loses the worker may send the unload order
     // late, when the next owner serves requests under the same name. The order
     // is therefore sent only after the intent is recorded in the worker's row,
@@ -355,7 +357,7 @@
     orders_.emplace(id, order{name, now + limits_.intent_timeout,
                               std::move(make_room_for)});
     actions.push_back(record_intent{id, worker_, name});
-    note(actions, "adapter-evicting", name);
+    add_event(actions, "adapter-evicting", name);
 }
 
 void adapter_loader::on_intent(order_id order, bool recorded,
@@ -416,7 +418,7 @@
         engine_name const name = orders_.extract(id).mapped().name;
         evict_not_before_ = now + limits_.load_backoff;
         cancel_eviction(name, now, actions);
-        note(actions, "eviction-given-up", name);
+        add_event(actions, "eviction-given-up", name);
     }
 }
 
@@ -461,7 +463,7 @@
     if (loaded)
     {
         slots_.set_state(name, slot_state::ready, {}, now);
-        note(actions, "adapter-ready", name);
+        add_event(actions, "adapter-ready", name);
         return;
     }
     if (event.what == outcome::unknown)
@@ -473,7 +475,7 @@
     ++meter_->totals.failed_loads;
     load_not_before_[adapter] = now + limits_.load_backoff;
     changes.failed.push_back(adapter);
-    note(actions, "adapter-load-failed", name);
+    add_event(actions, "adapter-load-failed", name);
 }
 
 void adapter_loader::on_unload_result(engine_name const& name,
@@ -490,7 +492,7 @@
         ++meter_->totals.evictions;
         slots_.remove(name, now);
         actions.push_back(forget_intent{worker_, name});
-        note(actions, "adapter-evicted", name);
+        add_event(actions, "adapter-evicted", name);
         return;
     }
     if (event.what == outcome::refused)
@@ -505,7 +507,7 @@
     slots_.set_state(name, slot_state::unload_unknown, {}, now);
     // Queued requests for this adapter can be served sooner by other workers.
     changes.failed.push_back(slots_.find(name)->adapter);
-    note(actions, "adapter-unload-unknown", name);
+    add_event(actions, "adapter-unload-unknown", name);
 }
 
 void adapter_loader::on_report(engine_report const& report, time_point now,
@@ -544,8 +546,8 @@
     return all;
 }
 
-void adapter_loader::note(action_list& actions, char const* kind,
-                          engine_name const& name) const
+void adapter_loader::add_event(action_list& actions, char const* kind,
+                               engine_name const& name) const
 {
     actions.push_back(
         note_event{"dispatch", kind, worker_.str() + " " + name.str()});
--- a/src/adapter_loader.hpp
+++ b/src/adapter_loader.hpp
@@ -135,8 +135,8 @@
     /// busy.
     void make_room(adapter_ref const& incoming, load_context const& context,
                    action_list& actions);
-    void choose_draining(adapter_ref const& incoming,
-                         load_context const& context);
+    void choose_adapter_to_drain(adapter_ref const& incoming,
+                                 load_context const& context);
     void load_for_queue(load_context const& context, action_list& actions);
     void preload(load_context const& context, action_list& actions);
     void on_load_result(engine_name const& name, order_result const& event,
@@ -145,8 +145,8 @@
     void on_unload_result(engine_name const& name, order_result const& event,
                           time_point now, load_changes& changes,
                           action_list& actions);
-    void note(action_list& actions, char const* kind,
-              engine_name const& name) const;
+    void add_event(action_list& actions, char const* kind,
+                   engine_name const& name) const;
 
     worker_id worker_;
     fencing_number fence_;
@@ -163,7 +163,7 @@
     time_point evict_not_before_ = time_point::min();
     /// A busy adapter that is sent no more requests, so that it can be evicted
     /// for an adapter whose requests have waited for starvation_timeout.
-    std::optional<engine_name> draining_;
+    std::optional<engine_name> draining_adapter_;
     bool may_evict_ = true;
     bool stopped_ = false;
 };
--- a/src/dispatch_core.cpp
+++ b/src/dispatch_core.cpp
@@ -8,8 +8,8 @@
 {
 
 /// Retry-After before a service time was measured.
-constexpr duration unmeasured_retry = std::chrono::seconds(1);
-constexpr duration least_retry = std::chrono::milliseconds(50);
+constexpr duration default_retry_after = std::chrono::seconds(1);
+constexpr duration min_retry_after = std::chrono::milliseconds(50);
 /// How long a request that the engine refused as busy is held in the queue
 /// before it is sent again.
 constexpr duration busy_delay = std::chrono::milliseconds(50);
@@ -126,7 +126,7 @@
 duration dispatch_core::retry_after(std::size_t ahead) const
 {
     auto const wait = meter_.time_to_serve(ahead);
-    return wait ? std::max(*wait, least_retry) : unmeasured_retry;
+    return wait ? std::max(*wait, min_retry_after) : default_retry_after;
 }
 
 std::optional<error>
@@ -159,7 +159,7 @@
     if (wait && request.deadline - now < needed)
         return error(error_kind::overloaded,
                      "the queue is too long for the request's deadline",
-                     ran::no, std::max(*wait, least_retry));
+                     ran::no, std::max(*wait, min_retry_after));
     return std::nullopt;
 }
 
