--- a/src/application_usage.hpp
+++ b/src/application_usage.hpp
@@ -1,4 +1,4 @@
-/// What each application used of a worker, for the quarterly targets.
+/// Measures each application's use of a worker, for the quarterly targets.
 #ifndef MULBERRY_APPLICATION_USAGE_HPP
 #define MULBERRY_APPLICATION_USAGE_HPP
 
@@ -12,14 +12,15 @@
 namespace mulberry
 {
 
-/// Increments since they were last taken. Value.
+/// One application's usage since the last usage_meter::take(). Value.
 struct application_usage
 {
+    /// Requests that waited for their adapter; see dispatch_counts::stalled.
     std::uint64_t stalled = 0;
-    /// Integral over time of its running requests.
+    /// The number of its running requests, integrated over time.
     duration busy_slot_time{};
-    /// Its part of the worker's open slot time, in proportion to its running
-    /// and queued requests.
+    /// Its share of the worker's open slot time (see dispatch_counts), in
+    /// proportion to its running and queued requests.
     duration open_slot_time{};
     friend bool operator==(application_usage const&,
                            application_usage const&) = default;
@@ -27,8 +28,9 @@
 
 using usage_by_application = std::map<application_id, application_usage>;
 
-/// Divides a worker's slot time among applications; each advance costs one
-/// step an application present. Thread safety: none.
+/// Divides a worker's slot time among applications. Preconditions: each
+/// left_queue() and ended() follows a queued() and started() of the same
+/// application. Thread safety: none.
 class usage_meter
 {
 public:
@@ -46,10 +48,12 @@
     {
         ++usage_[application].stalled;
     }
-    /// Before a change: accounts for the time that the requests held.
+    /// Adds the time passed to the usage of each application with requests.
+    /// Must be called before the number of queued or running requests changes.
+    /// Costs O(number of applications with requests).
     void advance(duration passed, std::size_t batch_slots);
-    /// What was used since the last call. Forgets it, so that names which
-    /// callers make up do not pile up.
+    /// Returns the usage since the last call and resets it, so that
+    /// application names invented by callers do not accumulate.
     usage_by_application take();
 
 private:
--- a/src/dispatch_meter.cpp
+++ b/src/dispatch_meter.cpp
@@ -7,9 +7,10 @@
 namespace
 {
 
-/// The weight of the newest service time: about ten requests are remembered.
+/// The newest service time has a weight of 1/8 in the moving average, which
+/// thereby covers about ten requests.
 constexpr int service_time_smoothing = 8;
-/// Changes kept without a report to compare them with.
+/// The maximum number of changes kept while no report discards older ones.
 constexpr std::size_t max_history_size = 4096;
 
 } // namespace
--- a/src/dispatch_meter.hpp
+++ b/src/dispatch_meter.hpp
@@ -1,4 +1,5 @@
-/// What a worker's owner counts: the two measures, and how fast it serves.
+/// Counts a worker's stalls and batch efficiency, and measures its service
+/// time.
 #ifndef MULBERRY_DISPATCH_METER_HPP
 #define MULBERRY_DISPATCH_METER_HPP
 
@@ -14,22 +15,22 @@
 namespace mulberry
 {
 
-/// What was counted for the two measures; totals that only rise.
+/// Counts for the stall time and the batch efficiency; totals that only rise.
 struct dispatch_counts
 {
     std::uint64_t finished = 0;
     std::uint64_t failed = 0;
-    /// Given up by the caller while waiting or sent.
+    /// Requests whose caller disconnected while they were queued or sent.
     std::uint64_t withdrawn = 0;
-    /// Requests whose adapter was not ready when they arrived (or was lost
-    /// while they waited), and the sum of the time each of them waited until
-    /// its adapter was ready, it was answered otherwise or it was withdrawn,
-    /// whichever came first.
+    /// Requests whose adapter was not ready when they arrived (or stopped being
+    /// ready while they were queued), and the sum of their stall times: the
+    /// time until the adapter was ready, the request was answered otherwise or
+    /// the request was withdrawn, whichever came first.
     std::uint64_t stalled = 0;
     duration stall_time{};
-    /// Integral over time of running requests, and of batch slots while at
-    /// least one request was running or queued: their ratio is the batch
-    /// efficiency.
+    /// The number of running requests integrated over time, and the number of
+    /// batch slots integrated over the time with at least one request running
+    /// or queued. Their ratio is the batch efficiency.
     duration busy_slot_time{};
     duration open_slot_time{};
     std::uint64_t loads = 0;
@@ -40,34 +41,37 @@
     dispatch_counts& operator+=(dispatch_counts const& more);
 };
 
-/// Thread safety: none.
+/// Counts a worker's requests and slot time. Thread safety: none.
 class dispatch_meter
 {
 public:
     dispatch_meter(std::size_t batch_slots, time_point now);
 
     dispatch_counts totals;
-    /// The same by application.
+    /// Usage by application.
     usage_meter usage;
 
-    /// The totals up to `now`, `running` and `queued` having held since the
-    /// last advance().
+    /// The totals up to `now`, if `running` and `queued` have been constant
+    /// since the last advance().
     dispatch_counts totals_at(std::size_t running, std::size_t queued,
                               time_point now) const;
-    /// Before a change of `running` or `queued`: accounts for the time that
-    /// they held.
+    /// Adds the time since the last call to the totals, during which `running`
+    /// and `queued` were constant. Must be called before either changes.
     void advance(std::size_t running, std::size_t queued, time_point now);
-    /// After a change: remembers how many ran, to compare late reports with.
+    /// Records the number of running requests after a change, to compare late
+    /// reports with.
     void record_running(std::size_t running, time_point now);
-    /// The most that ran at any moment from `since` on. Forgets what is older.
+    /// The maximum number of running requests at any moment from `since` on.
+    /// Discards older records, so `since` must not decrease between calls.
     std::size_t max_running(time_point since);
 
-    /// A request was served whole in that time.
+    /// Adds the time from sending a request to the end of its complete answer.
     void add_service_time(duration time);
-    /// How long `ahead` requests take to be served; none before the first one
-    /// was measured.
+    /// The estimated time until `ahead` requests are served; none before the
+    /// first call of add_service_time().
     std::optional<duration> time_to_serve(std::size_t ahead) const;
-    /// How long an answer takes, once sent; none before the first.
+    /// The smoothed service time; none before the first call of
+    /// add_service_time().
     std::optional<duration> service_time() const { return service_time_; }
 
 private:
--- a/src/dispatcher_limits.hpp
+++ b/src/dispatcher_limits.hpp
@@ -1,4 +1,4 @@
-/// The limits and the grant under which an owner dispatches to a worker.
+/// Limits of a worker's dispatcher, and what its owner was granted.
 #ifndef MULBERRY_DISPATCHER_LIMITS_HPP
 #define MULBERRY_DISPATCHER_LIMITS_HPP
 
@@ -11,43 +11,49 @@
 namespace mulberry
 {
 
+/// Limits that a worker_dispatcher keeps to. Value.
 struct dispatcher_limits
 {
+    /// The maximum number of queued requests.
     std::size_t max_queue = 256;
-    /// The longest that any request may last from its arrival.
+    /// The maximum time between a request's arrival and its deadline.
     duration max_deadline = std::chrono::seconds(600);
+    /// How long a stream may be silent before it is resumed on a new
+    /// connection.
     duration progress_timeout = std::chrono::seconds(2);
-    /// Several times what a load takes from a slow store: an order whose
-    /// connection went silent holds up its worker's loads for that long, and
-    /// one that only took longer is found in a later report.
+    /// How long an order may be unanswered: several times the duration of a
+    /// load from a slow store. An order whose connection went silent delays the
+    /// worker's loads for that long; the effect of an order that only took
+    /// longer is found in a later report.
     duration order_timeout = std::chrono::seconds(10);
-    /// How long an adapter that is to be evicted is kept from its requests
-    /// while its intent is on its way to the table.
+    /// How long an eviction waits for its intent to be recorded in the table.
+    /// Meanwhile the adapter is loaded but is sent no requests.
     duration intent_timeout = std::chrono::seconds(2);
-    /// The longest that the network can hold back bytes of a process that has
-    /// ended, or of a connection that was closed, before an engine's report
-    /// can be believed to show all of them.
+    /// The maximum time that the network can delay bytes of a process that has
+    /// ended or of a connection that was closed. Only reports from after that
+    /// time show the effects of all those bytes.
     duration settle_time = std::chrono::seconds(2);
-    /// Resumes in a row without one new event; also how often a request may
-    /// start afresh.
+    /// The maximum number of consecutive resumes without a new event; also how
+    /// often a request may be queued again.
     int max_resumes = 4;
-    /// How long a failed load of an adapter keeps it from being tried again,
-    /// and how long a worker that cannot be reached is left alone.
+    /// How long to wait before a failed load or eviction is tried again, and
+    /// before an unreachable worker is sent requests again.
     duration load_backoff = std::chrono::seconds(1);
-    /// How long a request waits for a slot before one of the adapters that are
-    /// always busy has to give way.
+    /// How long a request waits for an adapter slot before a busy adapter is
+    /// drained and evicted for it.
     duration starvation_timeout = std::chrono::seconds(2);
 };
 
-/// What an owner knows of a worker when it takes it.
+/// What an owner knows about a worker when it acquires ownership. Value.
 struct ownership_grant
 {
     fencing_number fence;
-    /// Whether an earlier owner may still send to the worker. Until
-    /// suspects_stopped() everything resident stays pinned.
+    /// Whether an earlier owner (suspect) may still send to the worker. Until
+    /// worker_dispatcher::suspects_stopped() is called, every adapter that an
+    /// earlier owner loaded stays pinned.
     bool has_suspects = false;
-    /// Unload orders that an earlier owner recorded and may yet send: nothing
-    /// is routed to these names until that is ruled out.
+    /// Names whose unload an earlier owner recorded and may still order. No
+    /// request is routed to these names until that is ruled out.
     std::vector<engine_name> open_intents;
 };
 
--- a/src/due_index.hpp
+++ b/src/due_index.hpp
@@ -1,4 +1,4 @@
-/// Things to be looked at again at a given time, the earliest first.
+/// A timer index: keys with the time at which each is due, the earliest first.
 #ifndef MULBERRY_DUE_INDEX_HPP
 #define MULBERRY_DUE_INDEX_HPP
 
@@ -12,13 +12,13 @@
 namespace mulberry
 {
 
-/// At most one time a key. A tick so costs what is due, not what is held.
-/// Thread safety: none.
+/// Holds at most one time per key, so that a tick costs O(log n) per key that
+/// is due instead of a scan of all keys. Thread safety: none.
 template <class Key>
 class due_index
 {
 public:
-    /// Replaces the key's earlier time; `never` takes it out.
+    /// Sets or replaces the key's time; `never` removes the key.
     void set(Key const& key, time_point due)
     {
         erase(key);
@@ -37,7 +37,7 @@
         times_.erase(found);
     }
 
-    /// Takes out the earliest key that is due by `now`, if any.
+    /// Removes and returns the earliest key that is due by `now`, if any.
     std::optional<Key> pop(time_point now)
     {
         if (order_.empty() || order_.begin()->first > now)
@@ -47,7 +47,7 @@
         return key;
     }
 
-    /// The earliest time, if any.
+    /// The earliest time at which a key is due, if any.
     std::optional<time_point> next() const
     {
         if (order_.empty())
--- a/src/request_queue.cpp
+++ b/src/request_queue.cpp
@@ -14,6 +14,7 @@
         std::clamp(priority, least_priority, most_priority));
 }
 
+/// A key that orders later sequence numbers first.
 std::uint64_t latest_first(std::uint64_t sequence)
 {
     return std::numeric_limits<std::uint64_t>::max() - sequence;
--- a/src/stream_table.hpp
+++ b/src/stream_table.hpp
@@ -1,5 +1,5 @@
-/// The requests sent to an engine, and the delivery of their answers over as
-/// many connections as it takes.
+/// Tracks the requests sent to an engine and delivers their answers, resuming
+/// broken streams on new connections.
 #ifndef MULBERRY_STREAM_TABLE_HPP
 #define MULBERRY_STREAM_TABLE_HPP
 
@@ -20,29 +20,30 @@
 namespace mulberry
 {
 
-/// Why a request is no longer with the engine.
+/// Why a request left the stream table.
 enum class stream_end
 {
     /// Every event was delivered.
     complete,
-    /// Broke off and cannot be resumed.
+    /// The answer broke off and cannot be resumed.
     cut,
-    /// The engine ran another adapter for it.
+    /// The engine ran another adapter for the request.
     wrong_adapter,
-    /// The engine does not know it, although it was sent; nothing of its
-    /// answer was delivered.
+    /// The engine does not know the request, although it was sent; nothing of
+    /// its answer was delivered.
     forgotten,
     /// Refused before it ran: the adapter is not loaded.
     not_loaded,
-    /// Refused before it ran: a later owner exists.
+    /// Refused before it ran: the worker has a later owner.
     old_fence,
-    /// Refused before it ran: the engine's queue is full or it restarts.
+    /// Refused before it ran: the engine's queue is full or it is restarting.
     busy,
     /// Refused before it ran for another reason.
     refused,
-    /// Not a byte of it was sent.
+    /// No byte of the request was sent.
     unreachable,
-    /// This side gave it up.
+    /// Cancelled by the dispatcher: the deadline passed or the caller
+    /// disconnected.
     cancelled
 };
 
@@ -52,19 +53,20 @@
     queued_request item;
     engine_name name;
     stream_end reason = stream_end::complete;
-    /// Whether any of its answer was seen.
+    /// Whether any event of its answer was delivered.
     bool begun = false;
-    /// Whether the engine may still run it.
+    /// Whether the engine may still run the request.
     bool may_run = false;
     time_point sent_at{};
+    /// The error text for the caller; empty for a complete answer.
     std::string text;
 };
 
-/// Thread safety: none.
+/// The answer streams in progress at one worker. Thread safety: none.
 class stream_table
 {
 public:
-    /// `checks` and `ids` outlive this object.
+    /// Precondition: `checks` and `ids` outlive this object.
     stream_table(worker_id worker, fencing_number fence,
                  dispatcher_limits const& limits, safeguards const& checks,
                  id_source& ids);
@@ -77,9 +79,10 @@
     }
     std::uint64_t resumes() const { return resumes_; }
 
+    /// Starts an attempt for a request. Precondition: !contains(its id).
     void send(queued_request item, engine_name const& name, time_point now,
               action_list& actions);
-    /// Each returns the request when that was the end of it; events of unknown
+    /// Each returns the request if the event ended it. Events of unknown
     /// attempts are ignored.
     std::optional<ended_stream> on_chunk(attempt_chunk const& event,
                                          time_point now, action_list& actions);
@@ -88,10 +91,11 @@
     std::optional<ended_stream> on_failure(attempt_failure const& event,
                                            time_point now,
                                            action_list& actions);
-    /// Stops it at the engine.
+    /// Cancels a request at the engine and returns it; none if it is unknown.
     std::optional<ended_stream> cancel(request_id const& id,
                                        action_list& actions);
-    /// Cancels those past their deadline, resumes the silent ones.
+    /// Cancels requests past their deadline and resumes silent streams.
+    /// Returns the requests that ended.
     std::vector<ended_stream> tick(time_point now, action_list& actions);
 
 private:
@@ -102,11 +106,12 @@
         attempt_id attempt;
         answer_relay relay;
         time_point sent_at{};
-        /// Whether the attempt only asks for the rest of a started stream.
+        /// Whether the attempt requests the rest of a stream already started.
         bool resuming = false;
-        /// In a row, without a new event.
+        /// Consecutive resumes without a new event.
         int resumes = 0;
-        /// When the next connection is opened, the last one having failed.
+        /// When the next connection is opened after a failed one; otherwise
+        /// `never`.
         time_point resume_at = never;
     };
     using stream_map = std::map<request_id, stream>;
@@ -114,17 +119,22 @@
     stream_map::iterator find_stream(attempt_id attempt);
     ended_stream finish(stream_map::iterator found, stream_end reason,
                         bool may_run, std::string text = {});
+    /// Cancels the attempt; with `stop_at_engine` also its run at the engine.
     void drop_connection(stream& item, bool stop_at_engine,
                          action_list& actions);
+    /// Ends the request as cut, and cancels it at the engine.
     std::optional<ended_stream> give_up(stream_map::iterator found,
                                         std::string text, action_list& actions);
+    /// Requests the rest of the answer on a new connection, or gives up.
     std::optional<ended_stream> resume(stream_map::iterator found,
                                        time_point now, action_list& actions);
     std::optional<ended_stream> resume_later(stream_map::iterator found,
                                              time_point now,
                                              action_list& actions);
+    /// Ends a request that certainly did not run.
     std::optional<ended_stream> finish_not_run(stream_map::iterator found,
                                                attempt_failure const& event);
+    /// Handles the failure of an attempt to resume.
     std::optional<ended_stream> on_resume_failure(stream_map::iterator found,
                                                   attempt_failure const& event,
                                                   time_point now,
