--- a/tests/application_usage_test.cpp
+++ b/tests/application_usage_test.cpp
@@ -1,4 +1,4 @@
-// Slot time divided among applications: no time is made up and none is lost.
+// The division of slot time among applications neither adds nor loses time.
 #include "dispatch_meter.hpp"
 
 #include <catch2/catch.hpp>
@@ -54,7 +54,7 @@
                 open += used.open_slot_time;
             }
             RC_ASSERT(busy == meter.totals.busy_slot_time);
-            // Each division rounds down by less than a microsecond.
+            // Each division rounds down by less than 1 us.
             RC_ASSERT(open <= meter.totals.open_slot_time);
             RC_ASSERT(meter.totals.open_slot_time - open <=
                       duration(steps * names.size()));
--- a/tests/dispatch_schedule.cpp
+++ b/tests/dispatch_schedule.cpp
@@ -24,7 +24,7 @@
 constexpr std::size_t request_count = 40;
 constexpr std::uint64_t adapter_count = 6;
 
-/// Decides by lot: the safeguards must hold whatever a policy chooses.
+/// Chooses at random, since the safeguards must hold for any policy.
 class random_policy : public routing_policy
 {
 public:
@@ -69,7 +69,8 @@
     std::set<engine_name> open_intents;
 };
 
-/// One owner of the worker: its dispatcher and the shell around it.
+/// One owner of the worker: its dispatcher and a fake shell that performs the
+/// dispatcher's actions.
 class fake_owner
 {
 public:
@@ -93,7 +94,7 @@
     std::string name() const { return std::to_string(fence_.value()); }
     worker_dispatcher& dispatcher() { return *dispatcher_; }
 
-    /// Something reaches the process: at once, or when it wakes.
+    /// Runs an event at once, or when the paused process wakes.
     void run_when_awake(std::function<void()> event)
     {
         if (paused_)
@@ -102,7 +103,7 @@
             event();
     }
     void pause() { paused_ = true; }
-    /// `hook` runs when the next unload order is on its way out.
+    /// Runs `hook` just before the next unload order is sent.
     void at_next_unload(std::function<void()> hook)
     {
         at_unload_ = std::move(hook);
@@ -149,7 +150,7 @@
     {
         run_when_awake([this, step = std::move(step)] { call(step); });
     }
-    /// What the shell does some time after it was asked to, unless it pauses.
+    /// Runs work of the shell after 1 ms to 3 ms, or when the process wakes.
     void after_short_delay(std::function<void()> work)
     {
         world_->after(world_->between(1ms, 3ms),
@@ -397,7 +398,7 @@
     {
         model_request request;
         request.id = request_id("r" + std::to_string(number));
-        // Skewed: half of all requests are for one of two adapters.
+        // Skewed load: half of all requests are for one of two adapters.
         std::size_t const adapter =
             world_.below(world_.below(2) ? 2 : adapter_count);
         request.adapter = test_adapter(adapter);
@@ -405,7 +406,8 @@
         request.arrived = world_.now();
         request.deadline = world_.now() + world_.between(50ms, 3s);
         history_.invoked(request.id, request.adapter);
-        // Now and then by an old view of who owns the worker.
+        // One in four requests goes to the first owner, as if sent by a VM with
+        // a stale view of the ownership.
         fake_owner& owner =
             world_.below(4) ? *owners_.back() : *owners_.front();
         owner.run_when_awake([&owner, request] { owner.submit(request); });
@@ -422,8 +424,8 @@
                          });
     }
 
-    /// The owner pauses, its lease lapses, another takes the worker over; the
-    /// first wakes, goes on for a moment and only then learns of it.
+    /// The owner pauses, its lease expires and another owner takes over. The
+    /// first owner wakes, continues for 20 ms and only then stops admitting.
     void change_owner()
     {
         fake_owner& earlier = *owners_.back();
--- a/tests/dispatch_schedule.hpp
+++ b/tests/dispatch_schedule.hpp
@@ -1,5 +1,5 @@
-/// Runs worker_dispatchers against a fake engine in virtual time, under a
-/// schedule of faults drawn from one seed, and keeps the history.
+/// Runs worker_dispatchers against a fake engine in virtual time, with faults
+/// drawn from one seed, and checks the history of requests.
 #ifndef MULBERRY_DISPATCH_SCHEDULE_HPP
 #define MULBERRY_DISPATCH_SCHEDULE_HPP
 
@@ -13,7 +13,7 @@
 namespace mulberry_test
 {
 
-/// Faults that a schedule may have; each is one bit of a mask.
+/// Faults that may occur in a schedule; each is one bit of a mask.
 enum fault : std::uint32_t
 {
     lost_request = 1U << 0,
@@ -41,8 +41,9 @@
 {
     std::uint64_t seed = 1;
     std::uint32_t faults = all_faults;
+    /// Replaces the real checks in mutation tests; may be null.
     mulberry::safeguards const* checks = nullptr;
-    /// Whether a successor is told of the open intents in the row.
+    /// Whether a new owner learns the open intents from the row.
     bool hand_over_intents = true;
 };
 
@@ -52,9 +53,11 @@
     mulberry::dispatch_counts counts;
     std::size_t invoked = 0;
     std::size_t adopted_evictions = 0;
+    /// How often the worker changed its owner.
     std::size_t takeovers = 0;
 };
 
+/// Runs one schedule to its end.
 schedule_result run_schedule(schedule_options const& options);
 
 } // namespace mulberry_test
--- a/tests/dispatch_schedule_test.cpp
+++ b/tests/dispatch_schedule_test.cpp
@@ -9,10 +9,11 @@
 namespace
 {
 
-/// Schedules that a double is tried on before it counts as not found out.
+/// The number of schedules after which a mutant counts as not detected.
 constexpr std::uint64_t max_seeds = 2000;
 
-/// The first schedule at which leaving out a check is named as that violation.
+/// The first seed whose schedule reports a violation of that kind; 0 if none
+/// does.
 std::uint64_t first_detecting_seed(schedule_options options,
                                    violation_kind kind)
 {
@@ -35,11 +36,12 @@
 
 } // namespace
 
-// Callers see one whole answer of their own adapter or one true error. Requests
-// of six adapters meet two slots while events come late, twice, crossed or
-// never, the engine restarts and loads fail, orders stay unanswered, and the
-// owner pauses, is replaced and wakes; each schedule draws these from its seed.
-TEST_CASE("everything holds under schedules of faults", "[dispatch][schedule]")
+// Each caller gets one complete answer of its own adapter or one true error.
+// Requests for six adapters compete for two slots. Each schedule draws faults
+// from its seed: late, repeated, crossed or lost events, engine restarts,
+// failed loads, unanswered orders, and an owner that pauses, is replaced and
+// wakes.
+TEST_CASE("random fault schedules cause no violation", "[dispatch][schedule]")
 {
     dispatch_counts sum;
     std::size_t schedules = 0;
@@ -74,8 +76,9 @@
     CHECK(takeovers > 100);
 }
 
-// Without faults there is nothing to excuse an answer that breaks off.
-TEST_CASE("without faults no answer breaks off", "[dispatch][schedule]")
+// Without faults no answer may break off.
+TEST_CASE("schedules without faults need no resume and cause no violation",
+          "[dispatch][schedule]")
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed)
     {
@@ -89,8 +92,9 @@
     }
 }
 
-// Each double leaves out one check; the same schedules must name what follows.
-TEST_CASE("evicting an adapter in use is named", "[dispatch][double]")
+// Each mutant leaves out one check. The same schedules must detect the
+// violation that follows from the missing check.
+TEST_CASE("evicting an adapter in use is detected", "[dispatch][double]")
 {
     struct : safeguards
     {
@@ -102,7 +106,7 @@
     CHECK(first_detecting_seed(in_use, violation_kind::evicted_in_flight) > 0);
 }
 
-TEST_CASE("evicting what an earlier owner may use is named",
+TEST_CASE("evicting an adapter that an earlier owner may use is detected",
           "[dispatch][double]")
 {
     struct : safeguards
@@ -116,7 +120,7 @@
           0);
 }
 
-TEST_CASE("routing to a name with an open intent is named",
+TEST_CASE("routing to a name with an open intent is detected",
           "[dispatch][double]")
 {
     schedule_options options;
@@ -124,7 +128,8 @@
     CHECK(first_detecting_seed(options, violation_kind::evicted_in_flight) > 0);
 }
 
-TEST_CASE("taking any answer for one's own is named", "[dispatch][double]")
+TEST_CASE("accepting the answer of another request is detected",
+          "[dispatch][double]")
 {
     struct : safeguards
     {
@@ -139,7 +144,7 @@
     CHECK(first_detecting_seed(any_answer, violation_kind::wrong_adapter) > 0);
 }
 
-TEST_CASE("passing events on out of place is named", "[dispatch][double]")
+TEST_CASE("passing on events out of order is detected", "[dispatch][double]")
 {
     struct : safeguards
     {
@@ -152,7 +157,8 @@
           0);
 }
 
-TEST_CASE("telling a cut as an end is named", "[dispatch][double]")
+TEST_CASE("reporting a broken answer as complete is detected",
+          "[dispatch][double]")
 {
     struct : safeguards
     {
@@ -161,7 +167,8 @@
     CHECK(first_detecting_seed(any_end, violation_kind::answer_not_whole) > 0);
 }
 
-TEST_CASE("saying not run without being certain is named", "[dispatch][double]")
+TEST_CASE("reporting not run without certainty is detected",
+          "[dispatch][double]")
 {
     struct : safeguards
     {
@@ -170,7 +177,7 @@
     CHECK(first_detecting_seed(any_stage, violation_kind::untrue_ran) > 0);
 }
 
-TEST_CASE("taking work after giving the worker up is named",
+TEST_CASE("admitting requests after ownership ended is detected",
           "[dispatch][double]")
 {
     struct : safeguards
--- a/tests/dispatcher_fixture.hpp
+++ b/tests/dispatcher_fixture.hpp
@@ -1,4 +1,5 @@
-/// A worker's dispatcher with two slots and what it asked for.
+/// A test fixture: a dispatcher of a worker with two batch slots and two
+/// adapter slots, and the actions that it requested.
 #ifndef MULBERRY_TESTS_DISPATCHER_BENCH_HPP
 #define MULBERRY_TESTS_DISPATCHER_BENCH_HPP
 
@@ -12,7 +13,8 @@
 namespace mulberry::tests
 {
 
-/// Order of arrival, least recently used, nothing ahead unless told.
+/// Sends in order of arrival, evicts the least recently used adapter and
+/// preloads only the adapters in `preloads`.
 class lru_policy : public routing_policy
 {
 public:
@@ -65,7 +67,8 @@
     return limits;
 }
 
-/// A dispatcher of fence 5 with what it asked for.
+/// A dispatcher whose owner has fencing number 5, and all actions that it
+/// requested.
 struct dispatcher_fixture
 {
     explicit dispatcher_fixture(ownership_grant grant = {})
@@ -92,7 +95,8 @@
         request.deadline = now + time_left;
         dispatcher->submit(request, now, actions);
     }
-    /// A report of this moment with these names and requests under them.
+    /// Delivers a report of this moment with these names and the number of
+    /// requests running under each.
     void report(std::vector<engine_report::adapter_load> adapters)
     {
         engine_report shown;
@@ -109,6 +113,7 @@
         now += time;
         dispatcher->tick(now, actions);
     }
+    /// All actions of a type so far, in order.
     template <class Action>
     std::vector<Action> actions_of() const
     {
@@ -123,8 +128,8 @@
     {
         return actions_of<Action>().back();
     }
-    /// Both slots are in use, by r1 of a and r2 of b, and r3 of c has waited
-    /// for the fair time.
+    /// Both adapter slots are in use, by request r1 for adapter a and r2 for b,
+    /// and r3 for c has waited for starvation_timeout.
     void occupy_both_slots()
     {
         report({{engine_name("a@1#5"), 0}, {engine_name("b@1#5"), 0}});
@@ -136,7 +141,7 @@
         chunk(actions_of<start_attempt>()[1], 0);
         advance(std::chrono::seconds(1));
     }
-    /// How often the intent under that name was told to be over.
+    /// The number of forget_intent actions for that name.
     std::size_t forget_count(engine_name const& name) const
     {
         auto const all = actions_of<forget_intent>();
--- a/tests/worker_dispatcher_test.cpp
+++ b/tests/worker_dispatcher_test.cpp
@@ -35,7 +35,7 @@
     CHECK(test.dispatcher->counts(test.now).stalled == 0);
 }
 
-TEST_CASE("requests given up on are answered at once", "[dispatcher]")
+TEST_CASE("requests that cannot be served are answered at once", "[dispatcher]")
 {
     fixture test;
     test.submit("late", "a", 0s);
@@ -52,7 +52,7 @@
               error_kind::overloaded);
         CHECK(test.last_action<deliver_error>().what.retry_after());
     }
-    SECTION("more priority displaces the least")
+    SECTION("a request of higher priority displaces one of the lowest")
     {
         test.submit("r3", "a", 30s, 9);
         CHECK(test.last_action<deliver_error>().request == request_id("r2"));
@@ -69,7 +69,7 @@
               error_kind::load_failed);
         CHECK(test.dispatcher->in_progress() == 0);
     }
-    SECTION("the worker is given up")
+    SECTION("ownership of the worker ends")
     {
         test.dispatcher->stop_admitting(test.now, test.actions);
         CHECK(test.last_action<deliver_error>().what.kind() ==
@@ -81,7 +81,7 @@
     }
 }
 
-TEST_CASE("a wait past the deadline is refused by the measured rate",
+TEST_CASE("a request is refused if its expected wait passes its deadline",
           "[dispatcher]")
 {
     fixture test;
@@ -99,8 +99,8 @@
     CHECK(test.last_action<deliver_error>().what.retry_after() == 2s);
 }
 
-// The connection goes silent for good: the caller sees a short pause, then the
-// rest of the same answer, which is asked for where it stopped.
+// Failure: a connection goes silent for good. The stream is resumed at the next
+// event, so that the caller sees only a short pause in the same answer.
 TEST_CASE("a silent stream is resumed at the next offset", "[dispatcher]")
 {
     fixture test;
@@ -120,9 +120,11 @@
     CHECK(test.dispatcher->in_progress() == 0);
 }
 
-// The last event is lost and the mark of the end is not. The caller gets the
-// rest of the answer, or is told that it broke off; never a part as the whole.
-TEST_CASE("an end without the last event is no end", "[dispatcher]")
+// Failure: the last event is lost, but the end-of-stream mark arrives. The
+// caller must get the rest of the answer or an error, never a truncated answer
+// as complete.
+TEST_CASE("a stream that ends without its last event is resumed",
+          "[dispatcher]")
 {
     fixture test;
     test.report({{named("a@1#5"), 0}});
@@ -145,9 +147,12 @@
               error_kind::answer_cut);
 }
 
-// The engine restarted: it refuses the resume as unknown. Before the first
-// event a fresh start still gives one whole answer; after it nothing does.
-TEST_CASE("a request that the engine forgot", "[dispatcher]")
+// Failure: the engine restarts and refuses the resume as unknown. Before the
+// first event, sending the request again still gives one whole answer; after
+// the first event, the request fails.
+TEST_CASE(
+    "a request unknown to the engine is sent again unless its answer has begun",
+    "[dispatcher]")
 {
     fixture test;
     test.report({{named("a@1#5"), 0}});
@@ -172,7 +177,8 @@
     }
 }
 
-TEST_CASE("refusals before anything ran", "[dispatcher]")
+TEST_CASE("each kind of refusal before the request ran is handled",
+          "[dispatcher]")
 {
     fixture test;
     test.report({{named("a@1#5"), 0}});
@@ -192,7 +198,7 @@
               error_kind::not_owner);
         CHECK_FALSE(test.dispatcher->view(test.now).usable);
     }
-    SECTION("overloaded: back to the queue for a moment")
+    SECTION("overloaded: the request is queued and sent again after a delay")
     {
         test.fail(test.last_action<start_attempt>(), failure_stage::refused,
                   503);
@@ -200,7 +206,7 @@
         test.advance(100ms);
         CHECK(test.actions_of<start_attempt>().size() == 2);
     }
-    SECTION("not sent: told so that another worker is tried")
+    SECTION("not sent: reported as not run, so that another worker is tried")
     {
         test.fail(test.last_action<start_attempt>(), failure_stage::not_sent);
         CHECK(test.last_action<deliver_error>().what.kind() ==
@@ -210,7 +216,8 @@
     }
 }
 
-TEST_CASE("deadlines and withdrawals stop the engine", "[dispatcher]")
+TEST_CASE("a passed deadline or a withdrawal cancels the request at the engine",
+          "[dispatcher]")
 {
     fixture test;
     test.report({{named("a@1#5"), 0}});
@@ -226,7 +233,7 @@
     CHECK(test.dispatcher->in_progress() == 0);
 }
 
-TEST_CASE("loads ahead fill free slots when nobody waits for a load",
+TEST_CASE("preloads fill free slots when no request waits for a load",
           "[dispatcher]")
 {
     fixture test;
@@ -239,8 +246,9 @@
     CHECK(test.actions_of<record_intent>().empty());
 }
 
-TEST_CASE("batch efficiency counts slots only while there is work",
-          "[dispatcher]")
+TEST_CASE(
+    "batch efficiency counts slots only while requests are running or queued",
+    "[dispatcher]")
 {
     fixture test;
     test.report({{named("a@1#5"), 0}});
--- a/tests/worker_eviction_test.cpp
+++ b/tests/worker_eviction_test.cpp
@@ -9,10 +9,10 @@
 using tests::named;
 using fixture = tests::dispatcher_fixture;
 
-// The caller must not lose its adapter to an order that an earlier owner
-// recorded, and may send at any time: that name is left alone and the adapter
-// loaded under a name of this owner's.
-TEST_CASE("a name with an open intent is not routed to", "[dispatcher]")
+// Failure: an earlier owner recorded an unload intent and may send the order at
+// any time, which would unload the adapter under a request. That name is not
+// used; the adapter is loaded under a name of this owner.
+TEST_CASE("no request is routed to a name with an open intent", "[dispatcher]")
 {
     fixture test({{}, true, {named("a@1#3")}});
     test.report({{named("a@1#3"), 0}});
@@ -21,11 +21,11 @@
     CHECK(test.last_action<load_adapter>().name == named("a@1#5"));
 }
 
-// An earlier owner recorded an intent and died before it sent the order. Once
-// it certainly sends nothing more and a report of a moment at which all that it
-// sent had arrived still shows the name, the adapter is not unloaded any more.
-// Barred for good, it would hold a slot that serves nobody, and the intent
-// would stand in the row for ever.
+// Failure: an earlier owner records an intent and ends before it sends the
+// order. The adapter would hold a slot without serving requests, and the intent
+// would stay in the row forever. The name is used again once a report from
+// after the arrival of everything the earlier owner can have sent still shows
+// it.
 TEST_CASE("a name whose unload was never sent is used again", "[dispatcher]")
 {
     engine_name const kept = named("a@1#3");
@@ -52,10 +52,10 @@
     CHECK(test.actions_of<load_adapter>().empty());
 }
 
-// All that earlier owners sent has arrived, but their intent is not over: this
-// owner evicts the adapter itself, a later owner may do so, or the name says
-// nothing of whose it is.
-TEST_CASE("a name that may yet be unloaded stays barred", "[dispatcher]")
+// Everything that earlier owners sent has arrived, but the name can still be
+// unloaded: this owner evicts the adapter itself, a later owner may do so, or
+// the name was loaded by a later owner or an unknown party.
+TEST_CASE("a name that may still be unloaded is not used", "[dispatcher]")
 {
     duration const long_after = 1min;
     SECTION("by this owner")
@@ -98,11 +98,12 @@
     }
 }
 
-// Slots are full of what an earlier owner may still use. While it may send,
-// and until a report of a later moment shows nothing of its running, nothing
-// is evicted; then the request gets its slot.
-TEST_CASE("suspected adapters stay until a later report clears them",
-          "[dispatcher]")
+// Failure: an adapter is evicted that a request of an earlier owner still uses.
+// All slots hold such adapters. While the earlier owner may send, and until a
+// later report shows an adapter idle, none is evicted.
+TEST_CASE(
+    "adapters pinned by an earlier owner stay until a later report clears them",
+    "[dispatcher]")
 {
     fixture test({{}, true, {}});
     test.report({{named("a@1#3"), 1}, {named("b@1#3"), 0}});
@@ -119,7 +120,7 @@
     CHECK(test.last_action<record_intent>().name == named("b@1#3"));
 }
 
-TEST_CASE("an unload is ordered only after its intent was recorded",
+TEST_CASE("an unload is ordered only after its intent is recorded",
           "[dispatcher]")
 {
     fixture test;
@@ -136,7 +137,7 @@
         CHECK(test.actions_of<forget_intent>().size() == 1);
         CHECK(test.last_action<load_adapter>().name == named("c@1#5"));
     }
-    SECTION("not recorded: no order, the adapter serves on")
+    SECTION("not recorded: no order is sent and the adapter stays in use")
     {
         test.dispatcher->on_intent(intent, false, test.now, test.actions);
         CHECK(test.actions_of<unload_adapter>().empty());
@@ -146,7 +147,8 @@
                         : "b");
         CHECK(test.actions_of<start_attempt>().size() == 1);
     }
-    SECTION("unknown: the name is barred until a settled report")
+    SECTION(
+        "unknown: the name is not used until a report after the settle time")
     {
         test.dispatcher->on_intent(intent, true, test.now, test.actions);
         engine_name const gone = test.last_action<unload_adapter>().name;
@@ -166,9 +168,10 @@
     }
 }
 
-// Two adapters that are never idle hold both slots. A request for a third must
-// not starve: after the fair wait one of them is sent no more and goes.
-TEST_CASE("a busy adapter gives way after the fair wait", "[dispatcher]")
+// Failure: two adapters that are never idle hold both slots, and a request for
+// a third starves. After starvation_timeout one of them is drained and evicted.
+TEST_CASE("a busy adapter is drained and evicted after the starvation timeout",
+          "[dispatcher]")
 {
     fixture test;
     test.occupy_both_slots();
@@ -179,10 +182,11 @@
     CHECK(test.last_action<record_intent>().name == named("a@1#5"));
 }
 
-// Two adapters that are never idle hold both slots, and requests for the one
-// that gives way wait all the time. It goes all the same: else the request for
-// a third would wait until its deadline.
-TEST_CASE("a busy adapter goes although it is waited for", "[dispatcher]")
+// Failure: requests for the drained adapter are always waiting, and cancelling
+// its eviction for them lets the request for a third adapter starve. The
+// eviction is cancelled only if the third adapter is no longer needed.
+TEST_CASE("a drained adapter is evicted although requests wait for it",
+          "[dispatcher]")
 {
     fixture test;
     test.occupy_both_slots();
@@ -199,9 +203,10 @@
     CHECK(test.actions_of<start_attempt>().size() == (still_waits ? 2 : 3));
 }
 
-// Whoever a busy adapter was to make room for goes away. The adapter is loaded
-// and must be sent its requests again; they would wait out their deadlines.
-TEST_CASE("an adapter that need not give way any more is used again",
+// Failure: an adapter is drained for a request that is then withdrawn, and
+// stays drained. Its requests would wait until their deadlines although the
+// adapter is loaded.
+TEST_CASE("a drained adapter is used again when its slot is no longer needed",
           "[dispatcher]")
 {
     fixture test;
@@ -215,10 +220,11 @@
     CHECK(test.actions_of<record_intent>().empty());
 }
 
-// The table is lost with an intent on its way. The adapter is loaded: after the
-// timeout its requests are served, and a late word that the intent stands in
-// the row does not unload it under them.
-TEST_CASE("an intent that is not settled is given up", "[dispatcher]")
+// Failure: the table becomes unreachable while an intent is being written.
+// After the timeout the adapter's requests are served, and a late confirmation
+// of the intent does not unload the adapter under them.
+TEST_CASE("an eviction is cancelled if its intent is not confirmed in time",
+          "[dispatcher]")
 {
     fixture test;
     test.report({{named("a@1#5"), 0}, {named("b@1#5"), 0}});
@@ -237,9 +243,10 @@
     CHECK(test.actions_of<unload_adapter>().empty());
 }
 
-// The table is out of reach. Nothing may be evicted; a request for an adapter
-// without a slot is told so at once, so that it can go where it is loaded.
-TEST_CASE("without evictions a full worker refuses what it cannot load",
+// While the table is unreachable nothing may be evicted. A request whose
+// adapter has no slot is refused at once, so that it can be sent to a worker
+// that has the adapter loaded.
+TEST_CASE("without evictions a full worker refuses requests for other adapters",
           "[dispatcher]")
 {
     fixture test;
@@ -268,9 +275,12 @@
     CHECK(test.dispatcher->knows(request_id("r5")));
 }
 
-// A decision to evict and a reason to keep the adapter that both last must not
-// chase each other: the row, which still has the intent, records it at once.
-TEST_CASE("an adapter just kept is not evicted again at once", "[dispatcher]")
+// Failure: a reason to evict an adapter and a reason to keep it both persist,
+// and evictions start and are cancelled in an endless loop, since an intent
+// that is still in the row is confirmed at once.
+TEST_CASE(
+    "an adapter whose eviction was cancelled is not evicted again at once",
+    "[dispatcher]")
 {
     fixture test;
     test.report({{named("a@1#5"), 0}, {named("b@1#5"), 0}});
