--- a/src/dispatch_core.cpp
+++ b/src/dispatch_core.cpp
@@ -69,16 +69,16 @@
     std::set<adapter_ref> stalled;
     for (auto const& [adapter, sequences] : queue_.adapters())
     {
-        bool const was = stalled_adapters_.contains(adapter);
-        bool const is = !loader_.slots().ready_name(adapter);
-        if (is)
+        bool const was_stalled = stalled_adapters_.contains(adapter);
+        bool const is_stalled = !loader_.slots().ready_name(adapter);
+        if (is_stalled)
             stalled.insert(adapter);
-        if (was == is)
+        if (was_stalled == is_stalled)
             continue;
         queue_.for_each(adapter,
                         [&](queued_request& item)
                         {
-                            if (!is)
+                            if (!is_stalled)
                                 close_stall(item, now);
                             else if (!item.stalled_since)
                                 item.stalled_since = now;
@@ -185,10 +185,10 @@
 {
     if (queue_.size() < limits_.max_queue)
         return true;
-    queued_request const* least = queue_.lowest_priority();
-    if (!least || least->request.priority >= request.priority)
+    queued_request const* displaceable = queue_.lowest_priority();
+    if (!displaceable || displaceable->request.priority >= request.priority)
         return false;
-    request_id const displaced = least->request.id;
+    request_id const displaced = displaceable->request.id;
     answer_waiting(
         displaced,
         error(error_kind::overloaded,
@@ -307,7 +307,7 @@
 {
     request_id const id = ended.item.request.id;
     // After an earlier attempt that may have run, ran::no would be untrue.
-    ran const truth = ended.item.may_run_twice ? ran::unknown : ran::no;
+    ran const request_ran = ended.item.may_run_twice ? ran::unknown : ran::no;
     switch (ended.reason)
     {
     case stream_end::not_loaded:
@@ -320,21 +320,21 @@
     case stream_end::busy:
         return requeue(std::move(ended), busy_delay, now, actions);
     case stream_end::old_fence:
-        answer(
-            id,
-            error(error_kind::not_owner, "the worker has a later owner", truth),
-            actions);
+        answer(id,
+               error(error_kind::not_owner, "the worker has a later owner",
+                     request_ran),
+               actions);
         return stop_admitting(now, actions);
     case stream_end::unreachable:
         answer(id,
-               error(error_kind::back_end_unavailable, ended.text, truth,
+               error(error_kind::back_end_unavailable, ended.text, request_ran,
                      limits_.load_backoff),
                actions);
         return on_unreachable(ended, now, actions);
     default:
-        return answer(id,
-                      error(error_kind::back_end_refused, ended.text, truth),
-                      actions);
+        return answer(
+            id, error(error_kind::back_end_refused, ended.text, request_ran),
+            actions);
     }
 }
 
@@ -343,18 +343,18 @@
 {
     queued_request item = std::move(ended.item);
     request_id const id = item.request.id;
-    ran const truth = item.may_run_twice ? ran::unknown : ran::no;
+    ran const request_ran = item.may_run_twice ? ran::unknown : ran::no;
     if (stopped_)
         return answer(id,
                       error(error_kind::not_owner,
                             "this VM is giving up ownership of the worker",
-                            truth),
+                            request_ran),
                       actions);
     if (++item.requeues > limits_.max_resumes)
         return answer(id,
                       error(error_kind::overloaded,
-                            "the engine refused the request too often", truth,
-                            limits_.load_backoff),
+                            "the engine refused the request too often",
+                            request_ran, limits_.load_backoff),
                       actions);
     item.not_before = now + delay;
     enqueue(std::move(item), now);
@@ -385,8 +385,9 @@
     if (!item)
         return;
     on_left_queue(*item, now);
-    ran const truth = item->may_run_twice ? ran::unknown : what.request_ran();
-    answer(id, error(what.kind(), what.text(), truth, what.retry_after()),
+    ran const request_ran =
+        item->may_run_twice ? ran::unknown : what.request_ran();
+    answer(id, error(what.kind(), what.text(), request_ran, what.retry_after()),
            actions);
 }
 
@@ -404,11 +405,11 @@
 {
     if (!loader_.loads_blocked())
         return;
-    std::vector<adapter_ref> without;
+    std::vector<adapter_ref> unloadable;
     for (auto const& [adapter, sequences] : queue_.adapters())
         if (loader_.load_retry_after(adapter, now))
-            without.push_back(adapter);
-    for (adapter_ref const& adapter : without)
+            unloadable.push_back(adapter);
+    for (adapter_ref const& adapter : unloadable)
         answer_waiting_for(adapter, now, actions);
 }
 
