--- a/src/dispatch_core.cpp
+++ b/src/dispatch_core.cpp
@@ -151,7 +151,7 @@
     // deadline no other worker could serve it any more. For a request that must
     // wait, the service time of its own answer counts too: sent just before its
     // deadline, the request would take a batch slot and be cut off there.
-    // Retry-After covers only the wait for the queue.
+    // Retry-After covers only the wait for the queue, which is over sooner.
     auto const wait = expected_wait(request);
     duration needed = wait.value_or(duration::zero());
     if (needed > duration::zero())
