--- a/src/attempt_event.hpp
+++ b/src/attempt_event.hpp
@@ -73,8 +73,7 @@
     enum class outcome
     {
         done,
-        /// Refused: the order had no effect and will have none. The adapter is
-        /// certainly not loaded (load) or still loaded (unload).
+        /// Refused: the order certainly had no effect and will have none.
         refused,
         /// No answer: the order may take effect at any later time.
         unknown
--- a/src/dispatch_core.cpp
+++ b/src/dispatch_core.cpp
@@ -286,7 +286,8 @@
             actions);
     case stream_end::forgotten:
         // Nothing was delivered and the engine does not know the request, so
-        // the caller still gets exactly one whole answer if it is sent again.
+        // the caller still gets exactly one complete answer if it is sent
+        // again.
         if (ended.item.requeues >= limits_.max_resumes || stopped_)
             return answer(
                 id, error(error_kind::answer_cut, ended.text, ran::unknown),
--- a/src/dispatch_meter.hpp
+++ b/src/dispatch_meter.hpp
@@ -62,7 +62,8 @@
     /// reports with.
     void record_running(std::size_t running, time_point now);
     /// The maximum number of running requests at any moment from `since` on.
-    /// Discards older records, so `since` must not decrease between calls.
+    /// Discards older records, so that a later call with an earlier `since`
+    /// covers only the time from the latest `since` so far.
     std::size_t max_running(time_point since);
 
     /// Adds the time from sending a request to the end of its complete answer.
--- a/src/worker_dispatcher.hpp
+++ b/src/worker_dispatcher.hpp
@@ -41,7 +41,7 @@
     /// Admits a request, or answers it at once with an error marked ran::no:
     /// - overloaded: the queue is full, or the request's turn would come too
     ///   late for its deadline; Retry-After is computed from the queue length
-    /// - deadline_passed: the deadline was past on arrival
+    /// - deadline_passed: the deadline had passed on arrival
     /// - not_owner: after stop_admitting()
     /// - load_failed: its adapter cannot be loaded here for now
     /// - back_end_unavailable: the worker cannot be reached
--- a/tests/worker_dispatcher_test.cpp
+++ b/tests/worker_dispatcher_test.cpp
@@ -148,7 +148,7 @@
 }
 
 // Failure: the engine restarts and refuses the resume as unknown. Before the
-// first event, sending the request again still gives one whole answer; after
+// first event, sending the request again still gives one complete answer; after
 // the first event, the request fails.
 TEST_CASE(
     "a request unknown to the engine is sent again unless its answer has begun",
