--- a/src/adapter_slots.cpp
+++ b/src/adapter_slots.cpp
@@ -163,10 +163,10 @@
     loaded_adapter const* item = find(name);
     if (!item)
         return false;
-    bool const ours_to_evict =
+    bool const evictable =
         item->state == slot_state::ready ||
         (item->state == slot_state::unusable && open_intents_.contains(name));
-    if (!ours_to_evict || now < item->evictable_from)
+    if (!evictable || now < item->evictable_from)
         return false;
     return checks_->may_evict({requests(name), queued, pinned(name, now)});
 }
@@ -179,30 +179,31 @@
         return changes;
     last_report_ = report.as_of;
     contents_known_ = true;
-    std::map<engine_name, std::size_t> shown;
+    std::map<engine_name, std::size_t> reported;
     for (engine_report::adapter_load const& load : report.adapters)
-        shown[load.name] = load.running;
-    clear_pins(report, shown);
+        reported[load.name] = load.running;
+    clear_pins(report, reported);
     for (auto item = adapters_.begin(); item != adapters_.end();)
     {
         auto const next = std::next(item);
-        auto const found = shown.find(item->first);
+        auto const found = reported.find(item->first);
         reconcile(item->first, item->second,
-                  found == shown.end() ? nullptr : &found->second, report, now,
-                  changes);
+                  found == reported.end() ? nullptr : &found->second, report,
+                  now, changes);
         item = next;
     }
-    for (auto const& [name, running] : shown)
+    for (auto const& [name, running] : reported)
         if (!adapters_.contains(name))
             adopt(name, report, now);
     std::erase_if(removed_,
                   [&](auto const& each) { return each.second < report.as_of; });
-    close_old_intents(report, shown, now, changes);
+    close_earlier_intents(report, reported, now, changes);
     return changes;
 }
 
-void adapter_slots::clear_pins(engine_report const& report,
-                               std::map<engine_name, std::size_t> const& shown)
+void adapter_slots::clear_pins(
+    engine_report const& report,
+    std::map<engine_name, std::size_t> const& reported)
 {
     // An untracked request no longer runs under a name if a report from after
     // the last moment at which such a request could arrive shows no request
@@ -218,9 +219,9 @@
                           return false;
                       if (report.as_of > settled + limits_.max_deadline)
                           return true;
-                      auto const found = shown.find(pin.first);
+                      auto const found = reported.find(pin.first);
                       bool const idle =
-                          found == shown.end() || found->second == 0;
+                          found == reported.end() || found->second == 0;
                       return idle && report.waiting == 0;
                   });
 }
@@ -316,9 +317,9 @@
 // row as long. If a report from after the last order can have arrived still
 // shows the name, it was not unloaded and only this owner can order that now,
 // so the name is used again, unless this owner has begun to evict it.
-void adapter_slots::close_old_intents(
+void adapter_slots::close_earlier_intents(
     engine_report const& report,
-    std::map<engine_name, std::size_t> const& shown, time_point now,
+    std::map<engine_name, std::size_t> const& reported, time_point now,
     slot_changes& changes)
 {
     if (!earlier_orders_settled(report))
@@ -336,7 +337,7 @@
         bool const ours =
             parse_engine_name(name.str()) && item->fence <= fence_;
         if (item->state != slot_state::unusable || !ours ||
-            !shown.contains(name))
+            !reported.contains(name))
             continue;
         changes.usable_again.push_back(name);
         open_intents_.erase(name);
--- a/src/adapter_slots.hpp
+++ b/src/adapter_slots.hpp
@@ -144,7 +144,7 @@
     /// sent until `since`.
     void pin(engine_name const& name, time_point since);
     void clear_pins(engine_report const& report,
-                    std::map<engine_name, std::size_t> const& shown);
+                    std::map<engine_name, std::size_t> const& reported);
     /// Updates the index of ready names for one adapter.
     void update_ready_name(adapter_ref const& adapter);
     /// Updates a known name from a report; `running` is the number of requests
@@ -159,9 +159,10 @@
     /// moment of `report`.
     bool earlier_orders_settled(engine_report const& report) const;
     /// Closes intents of earlier owners that cannot take effect any more.
-    void close_old_intents(engine_report const& report,
-                           std::map<engine_name, std::size_t> const& shown,
-                           time_point now, slot_changes& changes);
+    void
+    close_earlier_intents(engine_report const& report,
+                          std::map<engine_name, std::size_t> const& reported,
+                          time_point now, slot_changes& changes);
 
     std::size_t slots_;
     fencing_number fence_;
