--- a/src/cluster_view.cpp
+++ b/src/cluster_view.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// A request that this VM sent and that the worker's view may not show yet.
+/// A request that this VM sent and that the worker's view may not include yet.
 struct sent_note
 {
     adapter_ref adapter;
@@ -22,10 +22,11 @@
 struct entry
 {
     worker_view view;
-    /// The place under which the indexes hold it.
+    /// The load by which the indexes sort the worker. Must not change while
+    /// the worker is indexed.
     double load = 0;
-    /// Breaks ties between equal loads alike on every VM, without comparing
-    /// names at each step of a descent.
+    /// Orders workers of equal load the same way on every VM, without
+    /// comparing ids at each step of a tree lookup.
     std::uint64_t tie = 0;
     std::vector<sent_note> sent;
 };
@@ -84,8 +85,9 @@
     for (resident_view& resident : view.residents)
         if (resident.adapter == adapter)
             return resident;
-    // The request makes the worker load it: the next request for the same
-    // adapter should join it there and not start a second load elsewhere.
+    // The request makes the worker load the adapter. The next request for the
+    // same adapter should be sent to the same worker instead of starting a
+    // second load elsewhere.
     resident_view loading;
     loading.adapter = adapter;
     loading.state = resident_state::loading;
--- a/src/cluster_view.hpp
+++ b/src/cluster_view.hpp
@@ -1,4 +1,5 @@
-/// What one VM knows of all workers: its own exactly, others from hints.
+/// One VM's view of all workers: exact for the workers that the VM owns,
+/// eventually consistent (from peers' hints) for all others.
 #ifndef MULBERRY_CLUSTER_VIEW_HPP
 #define MULBERRY_CLUSTER_VIEW_HPP
 
@@ -22,58 +23,66 @@
 {
     loading,
     ready,
-    /// The intent to unload it is open: nothing is routed to it.
+    /// An unload has been decided and is not confirmed yet: no request is
+    /// routed to the adapter.
     evicting
 };
 
-/// An adapter in a worker's slot.
+/// An adapter that occupies one of a worker's adapter slots.
 struct resident_view
 {
     adapter_ref adapter;
     resident_state state = resident_state::ready;
+    /// Requests sent to the engine that have not ended.
     std::size_t in_flight = 0;
+    /// Requests for this adapter that wait at the worker's owner.
     std::size_t queued = 0;
-    /// Pinned beyond its own requests: an earlier owner may still use it.
+    /// Must not be evicted even when no request of the current owner uses the
+    /// adapter: a previous owner may still have requests that use it.
     bool suspected = false;
     time_point last_used{};
     friend bool operator==(resident_view const&,
                            resident_view const&) = default;
 };
 
-/// A worker at a moment. Value.
+/// Snapshot of a worker's state at `as_of`.
 struct worker_view
 {
     worker_id id;
     base_model_id base_model;
     domain_id domain;
-    /// Empty when nobody is known to own it.
+    /// Empty when no VM is known to own the worker.
     vm_id owner;
-    /// Whether its owner can reach it and takes new work for it.
+    /// Whether the owner can reach the worker and accepts new work for it.
     bool usable = true;
-    /// Whether its owner can give unload orders; without the table it cannot.
+    /// Whether the owner can give unload orders, for which it needs the table.
     bool evicts = true;
     std::size_t batch_slots = 8;
     std::size_t adapter_slots = 4;
     std::size_t running = 0;
     std::size_t queued = 0;
     std::vector<resident_view> residents;
-    /// Prefix keys believed cached, from what was sent there.
+    /// Keys of the prompt prefixes that the worker has probably cached,
+    /// estimated from the requests sent to the worker.
     std::set<std::uint64_t> cached_prefixes;
     time_point as_of{};
 
+    /// Null if the adapter occupies no slot.
     resident_view const* find(adapter_ref const& adapter) const;
-    /// Running and queued requests as a share of the batch slots: below 1
-    /// there is batch room.
+    /// Running and queued requests divided by the batch slots. A batch slot is
+    /// free while this is below 1.
     double load() const;
-    /// Requests that wait here for their adapter to load.
+    /// Number of requests that wait at this worker for their adapter to load.
     std::size_t stalled() const;
-    /// Whether an adapter that is not here can be loaded, now or once requests
-    /// in progress have ended: a slot is free, or an adapter can leave one.
+    /// Whether an adapter that is not resident can be loaded, now or once
+    /// requests in progress have ended: an adapter slot is free, or a resident
+    /// adapter can be evicted.
     bool takes_in() const;
 };
 
-/// All workers, indexed by adapter and by load so that a decision need not
-/// look at each of them. Thread safety: none; owned by the decision core.
+/// All workers, indexed by adapter and by load so that a routing decision does
+/// not scan every worker. Returned pointers stay valid until the worker is
+/// removed. Thread safety: none; owned by the decision core.
 class cluster_view
 {
 public:
@@ -84,40 +93,45 @@
 
     /// Adds or replaces a worker's view. O(residents * log workers).
     void put(worker_view view);
-    /// Forgets a worker.
+    /// Removes a worker; does nothing if the worker is unknown.
     void remove(worker_id const& id);
-    /// Notes a request sent there since the view's as_of, so that a lagging
-    /// view is corrected by what this VM sent itself. With `sent_at` given the
-    /// note outlives every put() whose as_of is earlier; without it, it holds
-    /// until the next put(). O(residents * log workers).
+    /// Records a request that this VM sent to the worker, so that a stale view
+    /// still counts the request as queued. With `sent_at` given, the record is
+    /// kept until a put() whose as_of is not earlier than `sent_at`; without
+    /// `sent_at`, until the next put(). `prefix_key` 0 means no prefix. Does
+    /// nothing if the worker is unknown. O(residents * log workers).
     void add_sent(worker_id const& id, adapter_ref const& adapter,
                   std::uint64_t prefix_key, time_point sent_at = {});
 
+    /// Null if the worker is unknown.
     worker_view const* find(worker_id const& id) const;
     std::size_t size() const;
-    /// The usable workers where the adapter is ready or loading.
+    /// The usable workers where the adapter is ready or loading, least loaded
+    /// first.
     std::vector<worker_view const*> holders(adapter_ref const& adapter) const;
-    /// The usable workers of a base model, least loaded first; at most `most`.
+    /// At most `most` usable workers of a base model, least loaded first.
     std::vector<worker_view const*> least_loaded(base_model_id const& model,
                                                  std::size_t most) const;
-    /// The usable workers of a base model that have batch room, fullest first;
-    /// at most `most`. O(log workers + most).
+    /// At most `most` usable workers of a base model that have a free batch
+    /// slot, most loaded first. O(log workers + most).
     std::vector<worker_view const*>
     fullest_with_room(base_model_id const& model, std::size_t most) const;
-    /// As holders(), least loaded first, at most `most`; and the fullest of
-    /// those that have batch room. O(log copies + most).
+    /// The first `most` of holders(). O(log copies + most).
     std::vector<worker_view const*>
     least_loaded_holders(adapter_ref const& adapter, std::size_t most) const;
+    /// At most `most` of the holders() that have a free batch slot, most
+    /// loaded first. O(log copies + most).
     std::vector<worker_view const*>
     fullest_holders_with_room(adapter_ref const& adapter,
                               std::size_t most) const;
     std::size_t holder_count(adapter_ref const& adapter) const;
     /// Requests running or queued on a base model's usable workers.
     std::size_t in_progress(base_model_id const& model) const;
-    /// Requests that wait for their adapter's load on all usable workers: how
-    /// long the weight store's queue is.
+    /// Requests on all usable workers that wait for their adapter to load: an
+    /// estimate of the weight store's queue length.
     std::size_t stalled() const;
-    /// Every worker, in the order of ids. Linear; for status and planning.
+    /// Every worker, ordered by id. O(workers * log workers): for status and
+    /// planning, not for each request.
     std::vector<worker_view const*> all() const;
 
 private:
--- a/tests/cluster_view_test.cpp
+++ b/tests/cluster_view_test.cpp
@@ -52,7 +52,7 @@
     return view;
 }
 
-/// The same facts without an index.
+/// Reference implementation of cluster_view without indexes.
 class naive_view
 {
 public:
@@ -203,7 +203,7 @@
 
 } // namespace
 
-TEST_CASE("the indexes answer as a look at every worker would",
+TEST_CASE("index lookups return the same workers as a scan of all workers",
           "[cluster_view]")
 {
     CHECK(rc::check(
@@ -239,12 +239,13 @@
         }));
 }
 
-TEST_CASE("a lagging view is corrected by what was sent since",
+TEST_CASE("requests sent after a stale view's as_of stay counted",
           "[cluster_view]")
 {
-    // A VM sends two requests to a worker; then a hint of that worker arrives
-    // which was true between the two. Forgotten, the second request would make
-    // the worker look emptier than it is, and all VMs would send there at once.
+    // Guards against herding: a VM sends two requests to a worker, then
+    // receives a hint that describes the worker between the two. If the hint
+    // erased the second request, the worker would look less loaded than it is
+    // and every VM would send its requests there.
     cluster_view view;
     worker_view worker;
     worker.id = worker_numbered(1);
@@ -267,7 +268,7 @@
     CHECK(view.find(worker.id)->queued == 0);
 }
 
-TEST_CASE("all() is in the order of ids", "[cluster_view]")
+TEST_CASE("all() returns the workers ordered by id", "[cluster_view]")
 {
     cluster_view view;
     for (int const number : {3, 1, 2})
