--- a/src/cluster_view.cpp
+++ b/src/cluster_view.cpp
@@ -128,13 +128,13 @@
     return queued - std::min(queued, placed);
 }
 
-bool worker_view::takes_in() const
+bool worker_view::can_accept_adapter() const
 {
     if (residents.size() < adapter_slots)
         return true;
-    return evicts && std::any_of(residents.begin(), residents.end(),
+    return can_evict && std::any_of(residents.begin(), residents.end(),
                                  [](resident_view const& resident)
-                                 { return !resident.suspected; });
+                                 { return !resident.pinned; });
 }
 
 class cluster_view::implementation
--- a/src/cluster_view.hpp
+++ b/src/cluster_view.hpp
@@ -39,7 +39,7 @@
     std::size_t queued = 0;
     /// Must not be evicted even when no request of the current owner uses the
     /// adapter: a previous owner may still have requests that use it.
-    bool suspected = false;
+    bool pinned = false;
     time_point last_used{};
     friend bool operator==(resident_view const&,
                            resident_view const&) = default;
@@ -56,7 +56,7 @@
     /// Whether the owner can reach the worker and accepts new work for it.
     bool usable = true;
     /// Whether the owner can give unload orders, for which it needs the table.
-    bool evicts = true;
+    bool can_evict = true;
     std::size_t batch_slots = 8;
     std::size_t adapter_slots = 4;
     std::size_t running = 0;
@@ -77,7 +77,7 @@
     /// Whether an adapter that is not resident can be loaded, now or once
     /// requests in progress have ended: an adapter slot is free, or a resident
     /// adapter can be evicted.
-    bool takes_in() const;
+    bool can_accept_adapter() const;
 };
 
 /// All workers, indexed by adapter and by load so that a routing decision does
--- a/src/model_entry.cpp
+++ b/src/model_entry.cpp
@@ -120,7 +120,7 @@
     for (int round = 0; chosen && round < most_avoided; ++round)
     {
         worker_view const* worker = view_->find(*chosen);
-        if (worker == nullptr || worker->takes_in() || serves(*worker, adapter))
+        if (worker == nullptr || worker->can_accept_adapter() || serves(*worker, adapter))
             return chosen;
         avoided.insert(*chosen);
         chosen = policy_->choose(one.request, *view_, avoided, now);
--- a/src/mulberry_policy.cpp
+++ b/src/mulberry_policy.cpp
@@ -74,7 +74,7 @@
 bool may_go(resident_view const& resident)
 {
     return resident.state == resident_state::ready && resident.in_flight == 0 &&
-           resident.queued == 0 && !resident.suspected;
+           resident.queued == 0 && !resident.pinned;
 }
 
 /// Until a batch slot frees up for one more request.
@@ -146,7 +146,7 @@
     double const own = static_cast<double>(worker.stalled());
     double const wait =
         load_seconds_ * (1 + store_pressure * queue + own_pressure * own);
-    if (!worker.takes_in())
+    if (!worker.can_accept_adapter())
         return shut_seconds;
     auto const least = least_worth(worker, now);
     if (!least)
--- a/src/peer_codec.cpp
+++ b/src/peer_codec.cpp
@@ -60,7 +60,7 @@
     value["s"] = state_name(resident.state);
     value["f"] = wire(resident.in_flight);
     value["q"] = wire(resident.queued);
-    if (resident.suspected)
+    if (resident.pinned)
         value["p"] = true;
     return value;
 }
@@ -70,7 +70,7 @@
     Json::Value value;
     value["id"] = worker.id.str();
     value["usable"] = worker.usable;
-    value["evicts"] = worker.evicts;
+    value["evicts"] = worker.can_evict;
     value["running"] = wire(worker.running);
     value["queued"] = wire(worker.queued);
     value["residents"] = Json::arrayValue;
@@ -84,7 +84,7 @@
     worker_view worker;
     worker.id = worker_id(text_or(value, "id", ""));
     worker.usable = flag_or(value, "usable", false);
-    worker.evicts = flag_or(value, "evicts", true);
+    worker.can_evict = flag_or(value, "evicts", true);
     worker.running = number_or(value, "running", 0);
     worker.queued = number_or(value, "queued", 0);
     for (Json::Value const& one : value["residents"])
@@ -97,7 +97,7 @@
         resident.state = state_named(text_or(one, "s", ""));
         resident.in_flight = number_or(one, "f", 0);
         resident.queued = number_or(one, "q", 0);
-        resident.suspected = flag_or(one, "p", false);
+        resident.pinned = flag_or(one, "p", false);
         worker.residents.push_back(std::move(resident));
     }
     return worker;
--- a/src/safeguards.cpp
+++ b/src/safeguards.cpp
@@ -13,7 +13,7 @@
 
 bool safeguards::may_evict(eviction_facts const& facts) const
 {
-    return facts.sent == 0 && facts.waiting == 0 && !facts.suspected;
+    return facts.sent == 0 && facts.waiting == 0 && !facts.pinned;
 }
 
 bool safeguards::in_place(std::uint64_t expected, std::uint64_t offset) const
--- a/src/vm_core_cluster.cpp
+++ b/src/vm_core_cluster.cpp
@@ -64,7 +64,7 @@
         worker_view fresh = dispatcher->view(now);
         fresh.owner = settings_.ownership.vm;
         fresh.usable = fresh.usable && serves_owned(now);
-        fresh.evicts = ownership_.lease_holds(now);
+        fresh.can_evict = ownership_.lease_holds(now);
         if (worker_view const* known = view_.find(id))
             fresh.cached_prefixes = known->cached_prefixes;
         view_.put(std::move(fresh));
--- a/tests/model_entry_test.cpp
+++ b/tests/model_entry_test.cpp
@@ -74,13 +74,13 @@
         put("w2", "a", true);
     }
 
-    void put(char const* worker, char const* adapter, bool evicts)
+    void put(char const* worker, char const* adapter, bool can_evict)
     {
         worker_view shown;
         shown.id = worker_id(worker);
         shown.owner = vm_id("vm1");
         shown.adapter_slots = 1;
-        shown.evicts = evicts;
+        shown.can_evict = can_evict;
         resident_view resident;
         resident.adapter = {adapter_id(adapter), adapter_version(1)};
         shown.residents = {resident};
--- a/tests/peer_codec_test.cpp
+++ b/tests/peer_codec_test.cpp
@@ -35,12 +35,12 @@
     worker.usable = true;
     worker.running = 4;
     worker.queued = 5;
-    worker.evicts = false;
+    worker.can_evict = false;
     resident_view resident;
     resident.adapter = *parse_adapter_ref("shift-notes-0001@2");
     resident.state = resident_state::evicting;
     resident.in_flight = 2;
-    resident.suspected = true;
+    resident.pinned = true;
     worker.residents.push_back(resident);
     hint.workers.push_back(worker);
 
@@ -52,7 +52,7 @@
     REQUIRE(back.workers.size() == 1);
     CHECK(back.workers[0].id == worker.id);
     CHECK(back.workers[0].running == 4);
-    CHECK_FALSE(back.workers[0].evicts);
+    CHECK_FALSE(back.workers[0].can_evict);
     CHECK(back.workers[0].residents == worker.residents);
 }
 
