--- a/bench/budget_trial.cpp
+++ b/bench/budget_trial.cpp
@@ -180,7 +180,7 @@
         while (!under_way_.empty() && under_way_.front().due <= now_)
         {
             message const& one = under_way_.front();
-            budgets_[one.to]->hear(vm_id(std::to_string(one.from)), one.counts,
+            budgets_[one.to]->update_peer_counts(vm_id(std::to_string(one.from)), one.counts,
                                    now_);
             under_way_.pop_front();
         }
--- a/bench/counter_allotment.cpp
+++ b/bench/counter_allotment.cpp
@@ -112,7 +112,7 @@
 {
     if (now >= tell_at_ && !others_.empty())
     {
-        tell_at_ = now + random_.about(tell_interval);
+        tell_at_ = now + random_.equal_jitter(tell_interval);
         allotment_question question{self_, {}, {}};
         for (auto const& [name, state] : teams_)
             for (auto const& [vm, known] : state.counters)
--- a/bench/decision_cost.cpp
+++ b/bench/decision_cost.cpp
@@ -215,7 +215,7 @@
     std::vector<worker_view> const some(1, *shown.front());
     row.ahead =
         nanoseconds(decisions, [&](int i)
-                    { policy->ahead(some.front(), view, at(decisions + i)); });
+                    { policy->adapters_to_preload(some.front(), view, at(decisions + i)); });
     row.add_sent = add_sent_cost(workers, draw, random, requests);
     return row;
 }
--- a/src/adapter_demand.cpp
+++ b/src/adapter_demand.cpp
@@ -10,18 +10,18 @@
 
 using seconds = std::chrono::duration<double>;
 
-constexpr double slow_seconds = 400;
-constexpr double fast_seconds = 20;
+constexpr double slow_decay_seconds = 400;
+constexpr double fast_decay_seconds = 20;
 /// Arrivals within the fast window that make it believed over the slow one;
 /// fewer are noise.
-constexpr double fast_enough = 3;
+constexpr double min_fast_arrivals = 3;
 /// A rate r that stayed silent for longer than this over r is no longer
 /// believed: such a silence would come by chance once in exp(4) = 55 times.
-constexpr double silent_arrivals = 4;
+constexpr double max_missed_arrivals = 4;
 
-double decayed(double count, double elapsed, double scale)
+double decayed(double count, double elapsed, double decay_seconds)
 {
-    return count * std::exp(-elapsed / scale);
+    return count * std::exp(-elapsed / decay_seconds);
 }
 
 } // namespace
@@ -29,19 +29,21 @@
 void adapter_demand::observe(adapter_ref const& adapter, time_point now)
 {
     record& one = records_[adapter];
-    double const elapsed = seconds(now - one.last).count();
-    one.slow = decayed(one.slow, elapsed, slow_seconds) + 1;
-    one.fast = decayed(one.fast, elapsed, fast_seconds) + 1;
-    one.last = now;
-    double const since_any = seconds(now - total_.last).count();
-    total_.slow = decayed(total_.slow, since_any, slow_seconds) + 1;
-    total_.last = now;
+    double const elapsed = seconds(now - one.last_arrival).count();
+    one.slow_count = decayed(one.slow_count, elapsed, slow_decay_seconds) + 1;
+    one.fast_count = decayed(one.fast_count, elapsed, fast_decay_seconds) + 1;
+    one.last_arrival = now;
+    double const since_any = seconds(now - total_.last_arrival).count();
+    total_.slow_count =
+        decayed(total_.slow_count, since_any, slow_decay_seconds) + 1;
+    total_.last_arrival = now;
 }
 
-double adapter_demand::total(time_point now) const
+double adapter_demand::total_rate(time_point now) const
 {
-    double const elapsed = seconds(now - total_.last).count();
-    return decayed(total_.slow, elapsed, slow_seconds) / slow_seconds;
+    double const elapsed = seconds(now - total_.last_arrival).count();
+    return decayed(total_.slow_count, elapsed, slow_decay_seconds) /
+           slow_decay_seconds;
 }
 
 double adapter_demand::rate(adapter_ref const& adapter, time_point now) const
@@ -50,13 +52,15 @@
     if (at == records_.end())
         return 0;
     record const& one = at->second;
-    double const elapsed = seconds(now - one.last).count();
-    double const fast = decayed(one.fast, elapsed, fast_seconds);
-    double estimate = decayed(one.slow, elapsed, slow_seconds) / slow_seconds;
-    if (fast >= fast_enough)
-        estimate = std::max(estimate, fast / fast_seconds);
-    if (elapsed * estimate > silent_arrivals)
-        estimate = silent_arrivals / elapsed;
+    double const elapsed = seconds(now - one.last_arrival).count();
+    double const fast_count =
+        decayed(one.fast_count, elapsed, fast_decay_seconds);
+    double estimate = decayed(one.slow_count, elapsed, slow_decay_seconds) /
+                      slow_decay_seconds;
+    if (fast_count >= min_fast_arrivals)
+        estimate = std::max(estimate, fast_count / fast_decay_seconds);
+    if (elapsed * estimate > max_missed_arrivals)
+        estimate = max_missed_arrivals / elapsed;
     return estimate;
 }
 
--- a/src/adapter_demand.hpp
+++ b/src/adapter_demand.hpp
@@ -25,7 +25,7 @@
     /// Requests a second expected from now on; 0 for one never seen. O(1).
     double rate(adapter_ref const& adapter, time_point now) const;
     /// Of all adapters together, on the slow scale. O(1).
-    double total(time_point now) const;
+    double total_rate(time_point now) const;
     /// Forgets adapters and versions that are no longer declared.
     void keep_declared(declaration const& configuration);
     std::size_t size() const { return records_.size(); }
@@ -33,9 +33,9 @@
 private:
     struct record
     {
-        double slow = 0;
-        double fast = 0;
-        time_point last{};
+        double slow_count = 0;
+        double fast_count = 0;
+        time_point last_arrival{};
     };
     std::unordered_map<adapter_ref, record> records_;
     record total_;
--- a/src/adapter_loader.cpp
+++ b/src/adapter_loader.cpp
@@ -214,7 +214,7 @@
 {
     time_point const now = situation.now;
     std::vector<adapter_ref> const ahead =
-        policy_->ahead(with_residents(situation), *situation.cluster, now);
+        policy_->adapters_to_preload(with_residents(situation), *situation.cluster, now);
     for (adapter_ref const& adapter : ahead)
     {
         if (!needs_load(adapter, now))
--- a/src/answer_relay.cpp
+++ b/src/answer_relay.cpp
@@ -6,7 +6,7 @@
 answer_relay::answer_relay(safeguards const& checks, duration progress_timeout,
                            time_point now)
     : checks_(&checks), progress_timeout_(progress_timeout),
-      silent_at_(now + progress_timeout)
+      progress_deadline_(now + progress_timeout)
 {
 }
 
@@ -17,19 +17,19 @@
     // some. Passed on, the caller would read a text that no engine wrote.
     // Comparing with the one place expected is enough, since an engine numbers
     // the events of one request without gaps.
-    if (checks_->in_place(next_, offset))
+    if (checks_->is_next_event(next_, offset))
     {
         next_ = offset + 1;
-        last_seen_ = last_seen_ || last;
-        silent_at_ = now + progress_timeout_;
+        end_seen_ = end_seen_ || last;
+        progress_deadline_ = now + progress_timeout_;
         return verdict::pass;
     }
-    return offset < next_ ? verdict::repeated : verdict::gap;
+    return offset < next_ ? verdict::duplicate : verdict::gap;
 }
 
-void answer_relay::restarted(time_point now)
+void answer_relay::on_reconnect(time_point now)
 {
-    silent_at_ = now + progress_timeout_;
+    progress_deadline_ = now + progress_timeout_;
 }
 
 } // namespace mulberry
--- a/src/answer_relay.hpp
+++ b/src/answer_relay.hpp
@@ -26,7 +26,7 @@
         /// In its place: pass it on.
         pass,
         /// Delivered before (a resumed stream overlaps): drop it.
-        repeated,
+        duplicate,
         /// An event is missing: the connection is of no more use; resume at
         /// next_offset().
         gap
@@ -37,19 +37,19 @@
     std::uint64_t next_offset() const { return next_; }
     bool begun() const { return next_ > 0; }
     /// Whether an event that passed was the answer's last.
-    bool last_seen() const { return last_seen_; }
+    bool end_seen() const { return end_seen_; }
     /// The moment at which silence means that the connection is dead, although
     /// nothing said so.
-    time_point silent_at() const { return silent_at_; }
+    time_point progress_deadline() const { return progress_deadline_; }
     /// A new connection was opened to go on.
-    void restarted(time_point now);
+    void on_reconnect(time_point now);
 
 private:
     safeguards const* checks_;
     duration progress_timeout_;
     std::uint64_t next_ = 0;
-    bool last_seen_ = false;
-    time_point silent_at_;
+    bool end_seen_ = false;
+    time_point progress_deadline_;
 };
 
 } // namespace mulberry
--- a/src/baseline_policies.cpp
+++ b/src/baseline_policies.cpp
@@ -7,8 +7,8 @@
 namespace
 {
 
-constexpr double most_load_at_home = 1.25;
-constexpr std::size_t homes_tried = 8;
+constexpr double max_home_load = 1.25;
+constexpr std::size_t max_homes_tried = 8;
 
 worker_view const* usable(cluster_view const& view, worker_id const& id,
                           base_model_id const& model,
@@ -52,12 +52,13 @@
     return 0;
 }
 
-std::vector<adapter_ref> baseline_policy::ahead(worker_view const& worker,
-                                                cluster_view const&, time_point)
+std::vector<adapter_ref>
+baseline_policy::adapters_to_preload(worker_view const& worker,
+                                     cluster_view const&, time_point)
 {
     std::vector<adapter_ref> wanted;
-    auto const at = ready_.by_worker.find(worker.id);
-    if (at == ready_.by_worker.end())
+    auto const at = ready_placement_.by_worker.find(worker.id);
+    if (at == ready_placement_.by_worker.end())
         return wanted;
     std::size_t free = worker.adapter_slots;
     free -= std::min(free, worker.residents.size());
@@ -72,7 +73,7 @@
 void baseline_policy::configure(declaration const& configuration)
 {
     ring_ = worker_ring(configuration);
-    ready_ = place_ready(configuration);
+    ready_placement_ = place_ready(configuration);
 }
 
 std::optional<worker_id>
@@ -89,11 +90,11 @@
                                std::set<worker_id> const& excluded, time_point)
 {
     for (worker_id const& home :
-         ring().homes(request.base_model, request.adapter, homes_tried))
+         ring().homes(request.base_model, request.adapter, max_homes_tried))
     {
         worker_view const* worker =
             usable(view, home, request.base_model, excluded);
-        if (worker != nullptr && worker->load() < most_load_at_home)
+        if (worker != nullptr && worker->load() < max_home_load)
             return home;
     }
     return least_loaded_of(request, view, excluded);
--- a/src/baseline_policies.hpp
+++ b/src/baseline_policies.hpp
@@ -24,9 +24,9 @@
     std::optional<std::size_t>
     next(worker_view const& worker,
          std::vector<waiting_request> const& eligible, time_point now) override;
-    std::vector<adapter_ref> ahead(worker_view const& worker,
-                                   cluster_view const& view,
-                                   time_point now) override;
+    std::vector<adapter_ref> adapters_to_preload(worker_view const& worker,
+                                                 cluster_view const& view,
+                                                 time_point now) override;
     void observe(model_request const& request, time_point now) override;
     void configure(declaration const& configuration) override;
 
@@ -35,7 +35,7 @@
 
 private:
     worker_ring ring_;
-    ready_placement ready_;
+    ready_placement ready_placement_;
 };
 
 /// The worker with the lowest load, wherever the adapter is.
--- a/src/cluster_view.cpp
+++ b/src/cluster_view.cpp
@@ -12,7 +12,7 @@
 {
 
 /// A request that this VM sent and that the worker's view may not include yet.
-struct sent_note
+struct sent_request
 {
     adapter_ref adapter;
     std::uint64_t prefix_key = 0;
@@ -27,8 +27,8 @@
     double load = 0;
     /// Orders workers of equal load the same way on every VM, without
     /// comparing ids at each step of a tree lookup.
-    std::uint64_t tie = 0;
-    std::vector<sent_note> sent;
+    std::uint64_t tie_break = 0;
+    std::vector<sent_request> sent;
 };
 
 struct by_load
@@ -37,8 +37,8 @@
     {
         if (left->load != right->load)
             return left->load < right->load;
-        if (left->tie != right->tie)
-            return left->tie < right->tie;
+        if (left->tie_break != right->tie_break)
+            return left->tie_break < right->tie_break;
         return left->view.id < right->view.id;
     }
 };
@@ -46,7 +46,7 @@
 using load_order = std::set<entry*, by_load>;
 using view_list = std::vector<worker_view const*>;
 
-constexpr double no_room = 1.0;
+constexpr double full_load = 1.0;
 
 bool routable(resident_view const& resident)
 {
@@ -69,7 +69,7 @@
 view_list fullest_of(load_order const& order, std::size_t most)
 {
     entry bound;
-    bound.load = no_room;
+    bound.load = full_load;
     view_list found;
     auto at = order.lower_bound(&bound);
     while (at != order.begin() && found.size() < most)
@@ -95,7 +95,7 @@
     return view.residents.back();
 }
 
-void apply(worker_view& view, sent_note const& note)
+void apply(worker_view& view, sent_request const& note)
 {
     ++view.queued;
     ++resident_for(view, note.adapter).queued;
@@ -133,8 +133,8 @@
     if (residents.size() < adapter_slots)
         return true;
     return can_evict && std::any_of(residents.begin(), residents.end(),
-                                 [](resident_view const& resident)
-                                 { return !resident.pinned; });
+                                    [](resident_view const& resident)
+                                    { return !resident.pinned; });
 }
 
 class cluster_view::implementation
@@ -144,10 +144,10 @@
     {
         entry& at = entry_of(view.id);
         unindex(at);
-        std::erase_if(at.sent, [&](sent_note const& note)
+        std::erase_if(at.sent, [&](sent_request const& note)
                       { return note.sent_at <= view.as_of; });
         at.view = std::move(view);
-        for (sent_note const& note : at.sent)
+        for (sent_request const& note : at.sent)
             apply(at.view, note);
         index(at);
     }
@@ -161,7 +161,7 @@
         workers_.erase(at);
     }
 
-    void add_sent(worker_id const& id, sent_note note)
+    void add_sent(worker_id const& id, sent_request note)
     {
         auto const at = workers_.find(id);
         if (at == workers_.end())
@@ -190,13 +190,13 @@
     load_order const& holders(adapter_ref const& adapter) const
     {
         auto const at = by_adapter_.find(adapter);
-        return at == by_adapter_.end() ? none_ : at->second;
+        return at == by_adapter_.end() ? no_workers_ : at->second;
     }
 
     load_order const& of_model(base_model_id const& model) const
     {
         auto const at = by_model_.find(model);
-        return at == by_model_.end() ? none_ : at->second;
+        return at == by_model_.end() ? no_workers_ : at->second;
     }
 
     view_list all() const
@@ -217,7 +217,7 @@
         auto const [at, added] = workers_.try_emplace(id);
         if (added)
         {
-            at->second.tie = stable_hash(id.str());
+            at->second.tie_break = stable_hash(id.str());
             at->second.view.id = id;
             at->second.view.usable = false;
         }
@@ -264,7 +264,7 @@
     std::unordered_map<worker_id, entry> workers_;
     std::unordered_map<base_model_id, load_order> by_model_;
     std::unordered_map<adapter_ref, load_order> by_adapter_;
-    load_order none_;
+    load_order no_workers_;
     std::unordered_map<base_model_id, std::size_t> in_progress_;
     std::size_t stalled_ = 0;
 };
@@ -291,7 +291,7 @@
 void cluster_view::add_sent(worker_id const& id, adapter_ref const& adapter,
                             std::uint64_t prefix_key, time_point sent_at)
 {
-    implementation_->add_sent(id, sent_note{adapter, prefix_key, sent_at});
+    implementation_->add_sent(id, sent_request{adapter, prefix_key, sent_at});
 }
 
 worker_view const* cluster_view::find(worker_id const& id) const
--- a/src/configuration_reader.cpp
+++ b/src/configuration_reader.cpp
@@ -36,7 +36,7 @@
 {
     read_now(now, actions);
     // VMs that start together do not poll together.
-    next_poll_ = now + jitter_.about(settings_.poll);
+    next_poll_ = now + jitter_.equal_jitter(settings_.poll);
 }
 
 void configuration_reader::tick(time_point now, action_list& actions)
@@ -105,7 +105,7 @@
     if (reply.outcome == table_outcome::refused)
     {
         next_poll_ =
-            std::min(next_poll_, now + jitter_.about(settings_.poll / 2));
+            std::min(next_poll_, now + jitter_.equal_jitter(settings_.poll / 2));
         return;
     }
     if (reply.outcome == table_outcome::unreachable)
@@ -215,7 +215,7 @@
     note_fault(version_text(row.version) + " cannot be loaded: " + why,
                actions);
     if (seen_.version != in_force_)
-        next_fetch_ = now + jitter_.about(fetch_retry);
+        next_fetch_ = now + jitter_.equal_jitter(fetch_retry);
 }
 
 void configuration_reader::note_fault(std::string const& text,
--- a/src/confirm_run.cpp
+++ b/src/confirm_run.cpp
@@ -61,7 +61,7 @@
 
 void confirm_run::retry_later(time_point now)
 {
-    retry_at_ = now + around_.random.about(retry_pause);
+    retry_at_ = now + around_.random.equal_jitter(retry_pause);
 }
 
 void confirm_run::read(time_point now, action_list& actions)
@@ -206,7 +206,7 @@
 
 void confirm_run::ask(time_point now, action_list& actions)
 {
-    ask_again_ = now + around_.random.about(around_.settings.promise / 4);
+    ask_again_ = now + around_.random.equal_jitter(around_.settings.promise / 4);
     if (!around_.peers.joined())
         return;
     std::uint64_t const number = around_.peers.next_question();
--- a/src/crash_keeper.cpp
+++ b/src/crash_keeper.cpp
@@ -61,7 +61,7 @@
     if (seen.size() < repeated)
         return;
     time_point const at =
-        own_.count(request) > 0 ? now : now + jitter_.about(others_write);
+        own_.count(request) > 0 ? now : now + jitter_.equal_jitter(others_write);
     for (crash_sighting const& each : seen)
         save({request, each.crashed}, at);
 }
@@ -121,8 +121,8 @@
     take(seen, now);
     expire_at_ = std::min(expire_at_, now + expire_interval);
     bool const counts = record_.suspects(seen.request);
-    saved_[key] = counts ? seen.at + limits_.memory + jitter_.about(drop_spread)
-                         : now + jitter_.about(cleared_spread);
+    saved_[key] = counts ? seen.at + limits_.memory + jitter_.equal_jitter(drop_spread)
+                         : now + jitter_.equal_jitter(cleared_spread);
 }
 
 void crash_keeper::on_row_dropped(crash_key const& key)
@@ -143,7 +143,7 @@
     {
         crash_key const key{each.request, each.crashed};
         unsaved_.erase(key);
-        saved_[key] = each.at + limits_.memory + jitter_.about(drop_spread);
+        saved_[key] = each.at + limits_.memory + jitter_.equal_jitter(drop_spread);
     }
     for (crash_key const& each : writing_.drop)
         saved_.erase(each);
--- a/src/fill_order.cpp
+++ b/src/fill_order.cpp
@@ -24,7 +24,7 @@
 {
     std::vector<std::pair<std::uint64_t, worker_id>> order;
     batch_slots_.clear();
-    places_.clear();
+    positions_.clear();
     for (auto const& [id, worker] : configuration.workers)
     {
         order.emplace_back(stable_hash(id.str()), id);
@@ -36,31 +36,31 @@
     for (auto const& [hash, id] : order)
     {
         auto const& model = configuration.workers.at(id).base_model;
-        places_.emplace(id, place{model, placed[model]++});
+        positions_.emplace(id, position{model, placed[model]++});
     }
 }
 
-void fill_order::note(base_model_id const& model, std::size_t in_progress,
-                      time_point now)
+void fill_order::record_in_progress(base_model_id const& model,
+                                    std::size_t in_progress, time_point now)
 {
     auto const slots = batch_slots_.find(model);
     if (slots == batch_slots_.end() || slots->second <= 0)
         return;
     load& one = loads_[model];
-    double const elapsed = seconds(now - one.noted).count();
+    double const elapsed = seconds(now - one.updated_at).count();
     double const kept = std::exp(-elapsed / smoothing_seconds);
     double const batches = static_cast<double>(in_progress) / slots->second;
     one.batches = one.batches * kept + batches * (1 - kept);
-    one.noted = now;
+    one.updated_at = now;
 }
 
-double fill_order::batches(base_model_id const& model) const
+double fill_order::smoothed_batches(base_model_id const& model) const
 {
     auto const at = loads_.find(model);
     return at == loads_.end() ? 0 : at->second.batches;
 }
 
-double fill_order::all_batches() const
+double fill_order::total_smoothed_batches() const
 {
     double sum = 0;
     for (auto const& [model, one] : loads_)
@@ -68,14 +68,15 @@
     return sum;
 }
 
-double fill_order::standing(worker_id const& worker, double share) const
+double fill_order::relative_position(worker_id const& worker,
+                                     double share) const
 {
-    auto const at = places_.find(worker);
-    if (at == places_.end())
+    auto const at = positions_.find(worker);
+    if (at == positions_.end())
         return 0;
-    double const open =
-        std::max(1.0, std::ceil(batches(at->second.model) / share));
-    return static_cast<double>(at->second.number) / open;
+    double const open_workers =
+        std::max(1.0, std::ceil(smoothed_batches(at->second.model) / share));
+    return static_cast<double>(at->second.index) / open_workers;
 }
 
 } // namespace mulberry
--- a/src/jitter.hpp
+++ b/src/jitter.hpp
@@ -25,7 +25,7 @@
     }
 
     /// Between half of `most` and `most`.
-    duration about(duration most)
+    duration equal_jitter(duration most)
     {
         auto const half = static_cast<std::uint64_t>(most.count() / 2);
         auto const extra = half == 0 ? 0 : next() % half;
--- a/src/load_budget.cpp
+++ b/src/load_budget.cpp
@@ -19,7 +19,7 @@
 /// Permits are asked for at ticks and events, not at the moment they accrue.
 /// Without room for what accrues in between, a bucket that holds one permit
 /// loses it at each tick and the store runs at two thirds of its rate.
-constexpr double seconds_between_asks = 0.1;
+constexpr double polling_interval_seconds = 0.1;
 
 /// A token bucket whose rate may change; it holds one permit and what accrues
 /// until it is asked again, at most two.
@@ -30,23 +30,23 @@
     {
         refill(now);
         rate_ = rate;
-        depth_ = 1 + std::min(1.0, rate * seconds_between_asks);
-        tokens_ = std::min(tokens_, depth_);
+        capacity_ = 1 + std::min(1.0, rate * polling_interval_seconds);
+        tokens_ = std::min(tokens_, capacity_);
     }
 
     bool try_take(time_point now)
     {
         refill(now);
-        if (tokens_ < whole)
+        if (tokens_ < one_token)
             return false;
         tokens_ -= 1;
         return true;
     }
 
-    time_point next(time_point now) const
+    time_point next_token(time_point now) const
     {
         double const held = tokens_at(now);
-        if (held >= whole)
+        if (held >= one_token)
             return now;
         if (rate_ <= 0)
             return never;
@@ -55,12 +55,12 @@
 
 private:
     /// One token, less what rounding of the refill can lose.
-    static constexpr double whole = 1 - 1e-9;
+    static constexpr double one_token = 1 - 1e-9;
 
     double tokens_at(time_point now) const
     {
         double const elapsed = std::max(0.0, seconds(now - refilled_).count());
-        return std::min(depth_, tokens_ + elapsed * rate_);
+        return std::min(capacity_, tokens_ + elapsed * rate_);
     }
 
     void refill(time_point now)
@@ -70,7 +70,7 @@
     }
 
     double rate_ = 0;
-    double depth_ = 1;
+    double capacity_ = 1;
     double tokens_ = 0;
     time_point refilled_{};
 };
@@ -83,20 +83,20 @@
     void configure(store_declaration const& store) override
     {
         store_ = store;
-        share();
+        update_rate();
     }
 
     void set_members(std::size_t live_vms, time_point now) override
     {
         members_ = std::max<std::size_t>(live_vms, 1);
         now_ = std::max(now_, now);
-        share();
+        update_rate();
     }
 
     bool try_start(time_point now) override
     {
         now_ = std::max(now_, now);
-        if (running_ >= width() || !bucket_.try_take(now))
+        if (running_ >= max_running() || !bucket_.try_take(now))
             return false;
         ++running_;
         ++started_;
@@ -114,7 +114,10 @@
         waiting_ = waiting;
     }
 
-    void hear(vm_id const&, load_counts const&, time_point) override {}
+    void update_peer_counts(vm_id const&, load_counts const&,
+                            time_point) override
+    {
+    }
 
     load_counts counts() const override
     {
@@ -123,18 +126,18 @@
 
     time_point next_permit(time_point now) const override
     {
-        return bucket_.next(now);
+        return bucket_.next_token(now);
     }
 
 private:
-    std::size_t width() const
+    std::size_t max_running() const
     {
         // At least one: with more VMs than the store's width an even share of
         // it would be none, and nobody could load.
         return std::max<std::size_t>(store_.loads_at_once / members_, 1);
     }
 
-    void share()
+    void update_rate()
     {
         bucket_.set(store_.loads_per_second / static_cast<double>(members_),
                     now_);
@@ -153,7 +156,7 @@
 struct peer_counts
 {
     load_counts counts;
-    time_point heard{};
+    time_point received_at{};
 };
 
 /// A VM that wants to load has its even share, and besides an equal part of
@@ -170,19 +173,19 @@
     void configure(store_declaration const& store) override
     {
         store_ = store;
-        share(now_);
+        update_rate(now_);
     }
 
     void set_members(std::size_t live_vms, time_point now) override
     {
         members_ = std::max<std::size_t>(live_vms, 1);
-        share(now);
+        update_rate(now);
     }
 
     bool try_start(time_point now) override
     {
-        share(now);
-        if (running_ + peers_running() >= most_running())
+        update_rate(now);
+        if (running_ + peers_running() >= max_running())
             return false;
         if (!bucket_.try_take(now))
             return false;
@@ -195,17 +198,17 @@
     {
         if (running_ > 0)
             --running_;
-        share(now);
+        update_rate(now);
     }
 
     void set_waiting(std::size_t waiting, time_point now) override
     {
         waiting_ = waiting;
-        share(now);
+        update_rate(now);
     }
 
-    void hear(vm_id const& peer, load_counts const& counts,
-              time_point now) override
+    void update_peer_counts(vm_id const& peer, load_counts const& counts,
+                            time_point now) override
     {
         peer_counts& known = peers_[peer];
         bool const older = counts.life < known.counts.life ||
@@ -214,7 +217,7 @@
         if (older)
             return;
         known = {counts, now};
-        share(now);
+        update_rate(now);
     }
 
     load_counts counts() const override
@@ -224,19 +227,19 @@
 
     time_point next_permit(time_point now) const override
     {
-        return bucket_.next(now);
+        return bucket_.next_token(now);
     }
 
 private:
     /// Silence after which a peer's last counts no longer hold.
-    static constexpr duration fresh = std::chrono::seconds(2);
+    static constexpr duration peer_counts_lifetime = std::chrono::seconds(2);
 
     bool is_fresh(peer_counts const& peer, time_point now) const
     {
-        return now - peer.heard < fresh;
+        return now - peer.received_at < peer_counts_lifetime;
     }
 
-    static bool wants(load_counts const& counts)
+    static bool has_demand(load_counts const& counts)
     {
         return counts.waiting + counts.running > 0;
     }
@@ -254,19 +257,19 @@
     /// twice that: peers that always keep the width full would otherwise keep
     /// it from ever loading. Beyond its width the store is slower and refuses
     /// nothing.
-    std::size_t most_running() const
+    std::size_t max_running() const
     {
         return running_ == 0 ? 2 * store_.loads_at_once : store_.loads_at_once;
     }
 
     /// This VM's share of the rate. A silent peer keeps its even share and is
     /// counted among those that share the idle ones'.
-    void share(time_point now)
+    void update_rate(time_point now)
     {
         now_ = std::max(now_, now);
         std::size_t idle = 0;
         for (auto const& [id, peer] : peers_)
-            if (is_fresh(peer, now_) && !wants(peer.counts))
+            if (is_fresh(peer, now_) && !has_demand(peer.counts))
                 ++idle;
         idle = std::min(idle, members_ - 1);
         double const even =
--- a/src/load_budget.hpp
+++ b/src/load_budget.hpp
@@ -40,8 +40,9 @@
     /// How many loads wait here for a permit, for demand.
     virtual void set_waiting(std::size_t waiting, time_point now) = 0;
     /// Counts heard from a peer.
-    virtual void hear(vm_id const& peer, load_counts const& counts,
-                      time_point now) = 0;
+    virtual void update_peer_counts(vm_id const& peer,
+                                    load_counts const& counts,
+                                    time_point now) = 0;
     virtual load_counts counts() const = 0;
     /// When a permit may next be had, for Retry-After and ticks.
     virtual time_point next_permit(time_point now) const = 0;
--- a/src/model_entry.cpp
+++ b/src/model_entry.cpp
@@ -213,9 +213,9 @@
         event.request = one.request.id;
         actions.push_back(std::move(event));
         if (one.at == path::engine)
-            wake(one, std::min(one.relay.silent_at(), one.request.deadline));
+            wake(one, std::min(one.relay.progress_deadline(), one.request.deadline));
         return;
-    case answer_relay::verdict::repeated:
+    case answer_relay::verdict::duplicate:
         return;
     case answer_relay::verdict::gap:
         connection_lost(one, now, actions);
@@ -230,7 +230,7 @@
     if (one == nullptr)
         return;
     // As at the owner: events may be lost on the way from it, too.
-    if (checks_->ended_whole(one->relay.last_seen()))
+    if (checks_->is_complete_answer(one->relay.end_seen()))
         end_answer(*one, now, actions);
     else
         connection_lost(*one, now, actions);
@@ -366,7 +366,7 @@
     ++counts_.resumes;
     one.attempt = ids_->next_attempt();
     attempts_.emplace(one.attempt, one.request.id);
-    one.relay.restarted(now);
+    one.relay.on_reconnect(now);
     model_request copy = one.request;
     copy.id = one.tried;
     actions.push_back(note_event{"entry", "stream-resumed",
@@ -374,7 +374,7 @@
     actions.push_back(start_attempt{one.attempt, one.worker, engine_name(),
                                     fencing_number(), std::move(copy),
                                     one.relay.next_offset(), true});
-    wake(one, std::min(one.relay.silent_at(), one.request.deadline));
+    wake(one, std::min(one.relay.progress_deadline(), one.request.deadline));
 }
 
 void model_entry::answer_lost(pending& one, std::string const& why,
@@ -422,7 +422,7 @@
             route(one, now, actions);
         else if (one.at == path::engine && one.attempt.none())
             resume_at_engine(one, now, actions);
-        else if (one.at == path::engine && now >= one.relay.silent_at())
+        else if (one.at == path::engine && now >= one.relay.progress_deadline())
             connection_lost(one, now, actions);
         else
             wake(one, one.request.deadline);
--- a/src/mulberry_policy.hpp
+++ b/src/mulberry_policy.hpp
@@ -33,25 +33,25 @@
     std::optional<std::size_t>
     next(worker_view const& worker,
          std::vector<waiting_request> const& eligible, time_point now) override;
-    std::vector<adapter_ref> ahead(worker_view const& worker,
-                                   cluster_view const& view,
-                                   time_point now) override;
+    std::vector<adapter_ref> adapters_to_preload(worker_view const& worker,
+                                                 cluster_view const& view,
+                                                 time_point now) override;
     void observe(model_request const& request, time_point now) override;
     void configure(declaration const& configuration) override;
 
 private:
     /// What losing this one copy would cost: the adapter's demand, less as
     /// there are more copies of it, next to nothing beyond those it needs.
-    double worth(worker_view const& worker, adapter_ref const& adapter,
-                 time_point now) const;
+    double retention_value(worker_view const& worker,
+                           adapter_ref const& adapter, time_point now) const;
     /// Copies over which an adapter of that rate spreads what runs of it.
     double copies_needed(double rate, time_point now) const;
     bool declared_ready(worker_id const& worker,
                         adapter_ref const& adapter) const;
     /// The least worth among the residents that may go; 0 when a slot is free,
     /// none when every resident is in use.
-    std::optional<double> least_worth(worker_view const& worker,
-                                      time_point now) const;
+    std::optional<double> lowest_retention_value(worker_view const& worker,
+                                                 time_point now) const;
     double cost(model_request const& request, worker_view const& worker,
                 cluster_view const& view, time_point now) const;
     double load_cost(worker_view const& worker, cluster_view const& view,
@@ -59,24 +59,25 @@
     /// How the load side weighs against waiting for batch room.
     double load_weight(cluster_view const& view) const;
     /// Seconds of waiting that using this worker's batch is worth avoiding.
-    double batch_cost(worker_view const& worker) const;
-    std::vector<adapter_ref> ready_ahead(worker_view const& worker) const;
-    std::vector<adapter_ref> wanted_ahead(worker_view const& worker,
-                                          cluster_view const& view,
-                                          time_point now) const;
+    double opening_cost(worker_view const& worker) const;
+    std::vector<adapter_ref>
+    missing_ready_adapters(worker_view const& worker) const;
+    std::vector<adapter_ref> preload_by_demand(worker_view const& worker,
+                                               cluster_view const& view,
+                                               time_point now) const;
 
     double stall_weight_ = 0.5;
     double load_seconds_ = 0.5;
-    std::size_t store_width_ = 4;
+    std::size_t store_concurrency_ = 4;
     worker_ring ring_;
     adapter_demand demand_;
-    std::unordered_map<adapter_ref, std::size_t> copies_;
+    std::unordered_map<adapter_ref, std::size_t> copy_counts_;
     fill_order fill_order_;
-    std::unordered_map<worker_id, std::set<adapter_ref>> ready_;
-    ready_placement ready_order_;
+    std::unordered_map<worker_id, std::set<adapter_ref>> declared_ready_;
+    ready_placement ready_placement_;
     /// For each worker the adapters that were lately asked for and call it
     /// home, the candidates for a load ahead; bounded.
-    std::unordered_map<worker_id, std::set<adapter_ref>> home_demand_;
+    std::unordered_map<worker_id, std::set<adapter_ref>> preload_candidates_;
 };
 
 } // namespace mulberry
--- a/src/routing_policy.hpp
+++ b/src/routing_policy.hpp
@@ -55,9 +55,9 @@
 
     /// Adapters that this worker should load now although nobody waits for
     /// them here, best first.
-    virtual std::vector<adapter_ref> ahead(worker_view const& worker,
-                                           cluster_view const& view,
-                                           time_point now) = 0;
+    virtual std::vector<adapter_ref>
+    adapters_to_preload(worker_view const& worker, cluster_view const& view,
+                        time_point now) = 0;
 
     /// Tells the policy of a request's arrival, for demand and copies.
     virtual void observe(model_request const& request, time_point now) = 0;
--- a/src/safeguards.cpp
+++ b/src/safeguards.cpp
@@ -16,12 +16,13 @@
     return facts.sent == 0 && facts.waiting == 0 && !facts.pinned;
 }
 
-bool safeguards::in_place(std::uint64_t expected, std::uint64_t offset) const
+bool safeguards::is_next_event(std::uint64_t expected,
+                               std::uint64_t offset) const
 {
     return offset == expected;
 }
 
-bool safeguards::ended_whole(bool end_seen) const
+bool safeguards::is_complete_answer(bool end_seen) const
 {
     return end_seen;
 }
--- a/src/safeguards.hpp
+++ b/src/safeguards.hpp
@@ -66,10 +66,11 @@
 
     /// "The whole answer, never part of another's": an event is passed on
     /// only in its place.
-    virtual bool in_place(std::uint64_t expected, std::uint64_t offset) const;
+    virtual bool is_next_event(std::uint64_t expected,
+                               std::uint64_t offset) const;
 
     /// Whether an answer that stopped at that stage may be told as ended.
-    virtual bool ended_whole(bool end_seen) const;
+    virtual bool is_complete_answer(bool end_seen) const;
 
     /// "Not run" is said, and the request tried elsewhere, only when certain.
     virtual bool certainly_not_run(failure_stage stage) const;
--- a/src/stream_table.cpp
+++ b/src/stream_table.cpp
@@ -115,7 +115,7 @@
         actions.push_back(deliver_event{found->first, event.offset,
                                         event.payload, event.last});
         return std::nullopt;
-    case answer_relay::verdict::repeated:
+    case answer_relay::verdict::duplicate:
         return std::nullopt;
     case answer_relay::verdict::gap:
         break;
@@ -134,7 +134,7 @@
     // Symptom: the caller takes a text without its end for whole. The last
     // event says that it is, and events pass only without gaps, so that having
     // seen it is enough.
-    if (!checks_->ended_whole(found->second.relay.last_seen()))
+    if (!checks_->is_complete_answer(found->second.relay.end_seen()))
         return resume(found, now, actions);
     // Of a request that was started twice only one run is seen to its end.
     return finish(found, stream_end::whole, found->second.item.repeated);
@@ -156,7 +156,7 @@
         return not_run(found, event);
     // A connection that closed in the middle of an answer looks like its end
     // to a reader who does not wait for the mark of the end.
-    if (event.stage == failure_stage::answering && checks_->ended_whole(false))
+    if (event.stage == failure_stage::answering && checks_->is_complete_answer(false))
         return finish(found, stream_end::whole, true);
     return resume(found, now, actions);
 }
@@ -178,7 +178,7 @@
     {
         if (event.stage == failure_stage::answering)
         {
-            if (checks_->ended_whole(false))
+            if (checks_->is_complete_answer(false))
                 return finish(found, stream_end::whole, true);
             return resume(found, now, actions);
         }
@@ -218,7 +218,7 @@
     item.resuming = true;
     item.resume_at = never;
     item.attempt = ids_->next_attempt();
-    item.relay.restarted(now);
+    item.relay.on_reconnect(now);
     attempts_.emplace(item.attempt, found->first);
     actions.push_back(start_attempt{item.attempt, worker_, item.name, fence_,
                                     item.item.request, item.relay.next_offset(),
@@ -263,7 +263,7 @@
         // Something between the two ends may have lost track of a connection:
         // it never fails and never speaks again, while new ones work. Without
         // a limit on silence the caller would wait until the deadline.
-        else if (each.resume_at <= now || each.relay.silent_at() <= now)
+        else if (each.resume_at <= now || each.relay.progress_deadline() <= now)
             over = resume(current, now, actions);
         if (over)
             ended.push_back(std::move(*over));
--- a/src/vm_core_cluster.cpp
+++ b/src/vm_core_cluster.cpp
@@ -74,7 +74,7 @@
 void vm_core::hear_hint(vm_id const& from, ownership_hint const& hint,
                         time_point now)
 {
-    budget_->hear(from, hint.loads, now);
+    budget_->update_peer_counts(from, hint.loads, now);
     if (!declared_)
         return;
     for (worker_view const& heard : hint.workers)
--- a/src/worker_ring.cpp
+++ b/src/worker_ring.cpp
@@ -12,7 +12,7 @@
 
 /// Enough that the most loaded of 18 workers is home to about a quarter more
 /// adapters than the average.
-constexpr int points_a_worker = 32;
+constexpr int points_per_worker = 32;
 
 } // namespace
 
@@ -20,19 +20,19 @@
 {
     for (auto const& [id, worker] : configuration.workers)
     {
-        circle& one = circles_[worker.base_model];
+        hash_ring& one = rings_[worker.base_model];
         auto const number = static_cast<std::uint32_t>(one.workers.size());
         one.workers.push_back(id);
-        for (int i = 0; i < points_a_worker; ++i)
+        for (int i = 0; i < points_per_worker; ++i)
             one.points.push_back(
                 {stable_hash(id.str() + "/" + std::to_string(i)), number});
     }
-    for (auto& [model, one] : circles_)
+    for (auto& [model, one] : rings_)
         std::sort(one.points.begin(), one.points.end(),
                   [](point const& left, point const& right)
                   {
-                      return std::pair(left.place, left.worker) <
-                             std::pair(right.place, right.worker);
+                      return std::pair(left.hash, left.worker) <
+                             std::pair(right.hash, right.worker);
                   });
 }
 
@@ -41,15 +41,15 @@
                                           std::size_t most) const
 {
     std::vector<worker_id> found;
-    auto const at = circles_.find(model);
-    if (at == circles_.end())
+    auto const at = rings_.find(model);
+    if (at == rings_.end())
         return found;
-    circle const& one = at->second;
+    hash_ring const& one = at->second;
     most = std::min(most, one.workers.size());
     auto const key = stable_hash(adapter.str());
     auto next = std::lower_bound(one.points.begin(), one.points.end(), key,
                                  [](point const& left, std::uint64_t right)
-                                 { return left.place < right; });
+                                 { return left.hash < right; });
     while (found.size() < most)
     {
         if (next == one.points.end())
@@ -66,8 +66,8 @@
 worker_ring::workers(base_model_id const& model) const
 {
     static std::vector<worker_id> const none;
-    auto const at = circles_.find(model);
-    return at == circles_.end() ? none : at->second.workers;
+    auto const at = rings_.find(model);
+    return at == rings_.end() ? none : at->second.workers;
 }
 
 } // namespace mulberry
--- a/src/worker_ring.hpp
+++ b/src/worker_ring.hpp
@@ -35,15 +35,15 @@
 private:
     struct point
     {
-        std::uint64_t place = 0;
+        std::uint64_t hash = 0;
         std::uint32_t worker = 0;
     };
-    struct circle
+    struct hash_ring
     {
         std::vector<worker_id> workers;
         std::vector<point> points;
     };
-    std::unordered_map<base_model_id, circle> circles_;
+    std::unordered_map<base_model_id, hash_ring> rings_;
 };
 
 } // namespace mulberry
--- a/tests/answer_relay_test.cpp
+++ b/tests/answer_relay_test.cpp
@@ -38,15 +38,15 @@
     safeguards const checks;
     answer_relay relay(checks, 2s, time_point());
     CHECK_FALSE(relay.begun());
-    CHECK(relay.silent_at() == time_point(2s));
+    CHECK(relay.progress_deadline() == time_point(2s));
     CHECK(relay.on_event(0, false, time_point(1s)) == verdict::pass);
     CHECK(relay.begun());
-    CHECK(relay.silent_at() == time_point(3s));
-    CHECK(relay.on_event(0, false, time_point(2s)) == verdict::repeated);
+    CHECK(relay.progress_deadline() == time_point(3s));
+    CHECK(relay.on_event(0, false, time_point(2s)) == verdict::duplicate);
     CHECK(relay.on_event(5, false, time_point(2s)) == verdict::gap);
-    CHECK(relay.silent_at() == time_point(3s));
-    relay.restarted(time_point(2s));
-    CHECK(relay.silent_at() == time_point(4s));
+    CHECK(relay.progress_deadline() == time_point(3s));
+    relay.on_reconnect(time_point(2s));
+    CHECK(relay.progress_deadline() == time_point(4s));
 }
 
 TEST_CASE("the end counts only when its event passed", "[answer_relay]")
@@ -54,9 +54,9 @@
     safeguards const checks;
     answer_relay relay(checks, 2s, time_point());
     CHECK(relay.on_event(1, true, time_point()) == verdict::gap);
-    CHECK_FALSE(relay.last_seen());
+    CHECK_FALSE(relay.end_seen());
     CHECK(relay.on_event(0, false, time_point()) == verdict::pass);
-    CHECK_FALSE(relay.last_seen());
+    CHECK_FALSE(relay.end_seen());
     CHECK(relay.on_event(1, true, time_point()) == verdict::pass);
-    CHECK(relay.last_seen());
+    CHECK(relay.end_seen());
 }
--- a/tests/core_proof_test.cpp
+++ b/tests/core_proof_test.cpp
@@ -111,12 +111,12 @@
 
 struct any_place : safeguards
 {
-    bool in_place(std::uint64_t, std::uint64_t) const override { return true; }
+    bool is_next_event(std::uint64_t, std::uint64_t) const override { return true; }
 };
 
 struct cut_is_end : safeguards
 {
-    bool ended_whole(bool) const override { return true; }
+    bool is_complete_answer(bool) const override { return true; }
 };
 
 struct every_failure_is_not_run : safeguards
--- a/tests/dispatch_schedule.cpp
+++ b/tests/dispatch_schedule.cpp
@@ -48,7 +48,7 @@
     {
         return world_->below(4) ? 0 : world_->below(list.size());
     }
-    std::vector<adapter_ref> ahead(worker_view const&, cluster_view const&,
+    std::vector<adapter_ref> adapters_to_preload(worker_view const&, cluster_view const&,
                                    time_point) override
     {
         if (world_->below(10) > 0)
--- a/tests/dispatch_schedule_test.cpp
+++ b/tests/dispatch_schedule_test.cpp
@@ -140,7 +140,7 @@
 {
     struct : safeguards
     {
-        bool in_place(std::uint64_t, std::uint64_t) const override
+        bool is_next_event(std::uint64_t, std::uint64_t) const override
         {
             return true;
         }
@@ -152,7 +152,7 @@
 {
     struct : safeguards
     {
-        bool ended_whole(bool) const override { return true; }
+        bool is_complete_answer(bool) const override { return true; }
     } any_end;
     CHECK(found_out_after(any_end, violation_kind::answer_not_whole) > 0);
 }
--- a/tests/dispatcher_bench.hpp
+++ b/tests/dispatcher_bench.hpp
@@ -39,7 +39,7 @@
     {
         return 0;
     }
-    std::vector<adapter_ref> ahead(worker_view const&, cluster_view const&,
+    std::vector<adapter_ref> adapters_to_preload(worker_view const&, cluster_view const&,
                                    time_point) override
     {
         return wanted_ahead;
--- a/tests/load_budget_test.cpp
+++ b/tests/load_budget_test.cpp
@@ -47,7 +47,8 @@
 
     void exchange(std::size_t from, std::size_t to)
     {
-        budgets_[to]->hear(vm_numbered(from), budgets_[from]->counts(), now_);
+        budgets_[to]->update_peer_counts(vm_numbered(from),
+                                         budgets_[from]->counts(), now_);
     }
 
     void exchange_all()
@@ -90,7 +91,7 @@
     std::vector<std::deque<time_point>> running_;
 };
 
-std::vector<bool> any_wants(std::size_t count)
+std::vector<bool> random_demand(std::size_t count)
 {
     std::vector<bool> wants(count);
     for (std::size_t i = 0; i < count; ++i)
@@ -99,7 +100,7 @@
 }
 
 /// What a member may have saved up before it starts.
-constexpr double most_burst = 2;
+constexpr double max_saved_permits = 2;
 constexpr int steps = 200;
 double const window = std::chrono::duration<double>(step).count() * steps;
 
@@ -112,7 +113,7 @@
         {
             auto const count = *rc::gen::inRange<std::size_t>(1, 9);
             members all("even_split", count);
-            auto const wants = any_wants(count);
+            auto const wants = random_demand(count);
             std::size_t started = 0;
             for (int i = 0; i < steps; ++i)
             {
@@ -123,7 +124,7 @@
             }
             RC_ASSERT(static_cast<double>(started) <=
                       a_store().loads_per_second * window +
-                          most_burst * static_cast<double>(count));
+                          max_saved_permits * static_cast<double>(count));
         }));
 }
 
@@ -140,7 +141,7 @@
             for (int i = 0; i < steps; ++i)
             {
                 if (i % 20 == 0)
-                    wants = any_wants(count);
+                    wants = random_demand(count);
                 for (std::size_t each = 0; each < count; ++each)
                     all.set_waiting(each, wants[each] ? 3 : 0);
                 all.exchange_all();
@@ -151,7 +152,7 @@
             }
             RC_ASSERT(static_cast<double>(started) <=
                       a_store().loads_per_second * window +
-                          most_burst * static_cast<double>(count));
+                          max_saved_permits * static_cast<double>(count));
         }));
 }
 
@@ -168,7 +169,7 @@
             std::size_t started = 0;
             for (int i = 0; i < steps; ++i)
             {
-                auto const wants = any_wants(count);
+                auto const wants = random_demand(count);
                 for (std::size_t each = 0; each < count; ++each)
                     all.set_waiting(each, wants[each] ? 3 : 0);
                 for (int message = 0; message < 3; ++message)
@@ -184,7 +185,7 @@
             }
             RC_ASSERT(static_cast<double>(started) <=
                       2 * a_store().loads_per_second * window +
-                          most_burst * static_cast<double>(count));
+                          max_saved_permits * static_cast<double>(count));
         }));
 }
 
@@ -241,14 +242,14 @@
     older.started = 4;
     older.waiting = 9;
     all.at(0).set_waiting(1, all.now());
-    all.at(0).hear(vm_numbered(1), idle, all.now());
+    all.at(0).update_peer_counts(vm_numbered(1), idle, all.now());
     REQUIRE(all.at(0).try_start(all.now() + 1s));
     time_point const before = all.at(0).next_permit(all.now() + 1s);
-    all.at(0).hear(vm_numbered(1), older, all.now() + 1s);
+    all.at(0).update_peer_counts(vm_numbered(1), older, all.now() + 1s);
     CHECK(all.at(0).next_permit(all.now() + 1s) == before);
     older.life = incarnation(1);
     older.started = 99;
-    all.at(0).hear(vm_numbered(1), older, all.now() + 1s);
+    all.at(0).update_peer_counts(vm_numbered(1), older, all.now() + 1s);
     CHECK(all.at(0).next_permit(all.now() + 1s) == before);
 }
 
--- a/tests/model_entry_test.cpp
+++ b/tests/model_entry_test.cpp
@@ -36,7 +36,7 @@
     {
         return std::nullopt;
     }
-    std::vector<adapter_ref> ahead(worker_view const&, cluster_view const&,
+    std::vector<adapter_ref> adapters_to_preload(worker_view const&, cluster_view const&,
                                    time_point) override
     {
         return {};
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -310,7 +310,7 @@
     for (std::string_view const name : policy_names())
     {
         auto const policy = configured(name, configuration);
-        CHECK(policy->ahead(worker, view, time_point(1s)) ==
+        CHECK(policy->adapters_to_preload(worker, view, time_point(1s)) ==
               std::vector{adapter_numbered(0)});
     }
 
@@ -348,7 +348,8 @@
         view.put(worker);
     }
     for (worker_view const* worker : view.all())
-        CHECK(policy->ahead(*worker, view, time_point(100s)).empty());
+        CHECK(policy->adapters_to_preload(*worker, view, time_point(100s))
+                  .empty());
 }
 
 TEST_CASE("a holder with batch room is used and a second copy is not loaded",
