--- a/src/adapter_demand.cpp
+++ b/src/adapter_demand.cpp
@@ -12,11 +12,12 @@
 
 constexpr double slow_decay_seconds = 400;
 constexpr double fast_decay_seconds = 20;
-/// Arrivals within the fast window that make it believed over the slow one;
-/// fewer are noise.
+/// Decayed count from which the fast rate may replace the slow one; a lower
+/// count is noise.
 constexpr double min_fast_arrivals = 3;
-/// A rate r that stayed silent for longer than this over r is no longer
-/// believed: such a silence would come by chance once in exp(4) = 55 times.
+/// A rate is reduced once the time since the last arrival exceeds this many
+/// expected arrivals: at that rate, so long a gap occurs by chance only once in
+/// exp(4) = 55 times.
 constexpr double max_missed_arrivals = 4;
 
 double decayed(double count, double elapsed, double decay_seconds)
@@ -33,9 +34,9 @@
     one.slow_count = decayed(one.slow_count, elapsed, slow_decay_seconds) + 1;
     one.fast_count = decayed(one.fast_count, elapsed, fast_decay_seconds) + 1;
     one.last_arrival = now;
-    double const since_any = seconds(now - total_.last_arrival).count();
+    double const since_last = seconds(now - total_.last_arrival).count();
     total_.slow_count =
-        decayed(total_.slow_count, since_any, slow_decay_seconds) + 1;
+        decayed(total_.slow_count, since_last, slow_decay_seconds) + 1;
     total_.last_arrival = now;
 }
 
--- a/src/adapter_demand.hpp
+++ b/src/adapter_demand.hpp
@@ -1,4 +1,4 @@
-/// How often each adapter is asked for, estimated from arrivals.
+/// Estimates each adapter's request rate from arrivals.
 #ifndef MULBERRY_ADAPTER_DEMAND_HPP
 #define MULBERRY_ADAPTER_DEMAND_HPP
 
@@ -12,21 +12,24 @@
 namespace mulberry
 {
 
-/// Decayed arrival rates on two time scales: a slow one that tells the rare
-/// from the very rare, and a fast one that notices a shift of popularity. A
-/// rate is cut down once an adapter stays silent for longer than that rate
-/// allows, so that what was popular before a shift soon counts for little.
-/// Thread safety: none.
+/// Exponentially decayed arrival rates on two time scales: a slow one that
+/// distinguishes rarely from very rarely requested adapters, and a fast one
+/// that follows a shift of popularity. An adapter's rate is reduced once no
+/// request has arrived for much longer than the rate predicts, so that an
+/// adapter that was popular before a shift soon loses its rank. Thread safety:
+/// none.
 class adapter_demand
 {
 public:
-    /// O(1).
+    /// Counts one request for the adapter. O(1).
     void observe(adapter_ref const& adapter, time_point now);
-    /// Requests a second expected from now on; 0 for one never seen. O(1).
+    /// Expected requests per second; 0 for an adapter without a recorded
+    /// request. O(1).
     double rate(adapter_ref const& adapter, time_point now) const;
-    /// Of all adapters together, on the slow scale. O(1).
+    /// Requests per second for all adapters together, on the slow time scale.
+    /// O(1).
     double total_rate(time_point now) const;
-    /// Forgets adapters and versions that are no longer declared.
+    /// Removes the records of adapter versions that are not declared.
     void keep_declared(declaration const& configuration);
     std::size_t size() const { return records_.size(); }
 
--- a/src/baseline_policies.cpp
+++ b/src/baseline_policies.cpp
@@ -10,9 +10,11 @@
 constexpr double max_home_load = 1.25;
 constexpr std::size_t max_homes_tried = 8;
 
-worker_view const* usable(cluster_view const& view, worker_id const& id,
-                          base_model_id const& model,
-                          std::set<worker_id> const& excluded)
+/// Null unless the worker is usable, serves the base model and is not
+/// excluded.
+worker_view const* find_usable(cluster_view const& view, worker_id const& id,
+                               base_model_id const& model,
+                               std::set<worker_id> const& excluded)
 {
     worker_view const* worker = view.find(id);
     if (worker == nullptr || !worker->usable || worker->base_model != model)
@@ -93,7 +95,7 @@
          ring().homes(request.base_model, request.adapter, max_homes_tried))
     {
         worker_view const* worker =
-            usable(view, home, request.base_model, excluded);
+            find_usable(view, home, request.base_model, excluded);
         if (worker != nullptr && worker->load() < max_home_load)
             return home;
     }
@@ -111,7 +113,7 @@
     for (std::size_t i = 0; i < workers.size(); ++i)
     {
         worker_id const& id = workers[(start + i) % workers.size()];
-        if (usable(view, id, request.base_model, excluded) != nullptr)
+        if (find_usable(view, id, request.base_model, excluded) != nullptr)
             return id;
     }
     return least_loaded_of(request, view, excluded);
--- a/src/baseline_policies.hpp
+++ b/src/baseline_policies.hpp
@@ -1,4 +1,4 @@
-/// Simple policies that the project's own is measured against.
+/// Simple routing policies, against which the default policy is compared.
 #ifndef MULBERRY_BASELINE_POLICIES_HPP
 #define MULBERRY_BASELINE_POLICIES_HPP
 
@@ -11,9 +11,9 @@
 namespace mulberry
 {
 
-/// What the baselines share: waiting in order of arrival, the least recently
-/// used resident goes, and only what is declared ready is loaded ahead, into
-/// free slots. Thread safety: none.
+/// Common behaviour of the baseline policies: requests are served in order of
+/// arrival, the least recently used adapter is evicted, and only adapters
+/// declared ready are preloaded, into free slots. Thread safety: none.
 class baseline_policy : public routing_policy
 {
 public:
@@ -38,7 +38,7 @@
     ready_placement ready_placement_;
 };
 
-/// The worker with the lowest load, wherever the adapter is.
+/// Selects the least loaded worker, wherever the adapter is loaded.
 class least_loaded_policy : public baseline_policy
 {
 public:
@@ -48,8 +48,9 @@
                                     time_point now) override;
 };
 
-/// Consistent hashing on the adapter with bounded load: a home whose queue is
-/// longer than a quarter of its batch is passed over for the next.
+/// Consistent hashing on the adapter with bounded loads: a home whose queue
+/// reaches a quarter of its batch slots is skipped in favour of the next; if
+/// all homes are skipped, the least loaded worker is selected.
 class consistent_hash_policy : public baseline_policy
 {
 public:
@@ -59,7 +60,7 @@
                                     time_point now) override;
 };
 
-/// Any worker, and any victim.
+/// Selects a random worker and evicts a random adapter.
 class random_policy : public baseline_policy
 {
 public:
--- a/src/fill_order.cpp
+++ b/src/fill_order.cpp
@@ -15,7 +15,8 @@
 
 using seconds = std::chrono::duration<double>;
 
-/// Longer than an answer, so that single answers open and close nothing.
+/// Time constant of the exponential smoothing. Longer than an answer takes, so
+/// that single answers do not change how many workers are in use.
 constexpr double smoothing_seconds = 20;
 
 } // namespace
--- a/src/fill_order.hpp
+++ b/src/fill_order.hpp
@@ -1,4 +1,4 @@
-/// Which workers of a base model are kept open: the first of a fixed order.
+/// Fixed order in which a base model's workers are filled with requests.
 #ifndef MULBERRY_FILL_ORDER_HPP
 #define MULBERRY_FILL_ORDER_HPP
 
@@ -12,25 +12,28 @@
 namespace mulberry
 {
 
-/// Batches are packed by filling workers in one order that every VM computes
-/// alike. The order is fixed, so that the workers that stay open keep the
-/// adapters they have, and those that close are always the same. Thread
-/// safety: none.
+/// Packs requests into batches by filling the workers in an order that is the
+/// same on every VM. The order is fixed, so that the same workers stay in use
+/// and keep their loaded adapters when load changes. Thread safety: none.
 class fill_order
 {
 public:
     void configure(declaration const& configuration);
-    /// Notes how many requests are in progress on a base model's workers.
+    /// Updates the smoothed load of a base model with the current number of
+    /// requests in progress on its workers. Does nothing if no worker serves
+    /// the base model.
     void record_in_progress(base_model_id const& model, std::size_t in_progress,
                             time_point now);
-    /// In progress, smoothed, in batches of one worker; of one base model and
-    /// of all.
+    /// Smoothed number of requests in progress, divided by the largest number
+    /// of batch slots of a worker of the base model.
     double smoothed_batches(base_model_id const& model) const;
+    /// The sum of smoothed_batches() over all base models.
     double total_smoothed_batches() const;
 
-    /// Where a worker stands among those that hold what is in progress when
-    /// each is filled to `share`: 0 is the first, below 1 is kept open. 0 for
-    /// an unknown worker.
+    /// The worker's index in the fill order, divided by the number of workers
+    /// that hold the requests in progress when each worker's batch is filled
+    /// to `share` (0 to 1). 0 for the first worker, below 1 for a worker that
+    /// is needed. 0 for an unknown worker.
     double relative_position(worker_id const& worker, double share) const;
 
 private:
--- a/src/mulberry_policy.cpp
+++ b/src/mulberry_policy.cpp
@@ -11,65 +11,76 @@
 
 using seconds = std::chrono::duration<double>;
 
-/// Workers looked at in each of the three orders (fullest with room, least
-/// loaded, homes) and holders looked at: what bounds a decision's cost.
+/// Limits on the candidates examined for one request, which bound the time of
+/// a decision: workers of the base model in each load order (most loaded with a
+/// free batch slot, least loaded), holders of the adapter in each of the same
+/// orders, and the adapter's homes on the hash ring.
 constexpr std::size_t max_workers_per_order = 6;
 constexpr std::size_t max_holders_per_order = 4;
 constexpr std::size_t max_homes = 2;
 
-/// How long an answer takes a batch slot. The policy is told of arrivals only,
-/// so this is a guess; it weighs a queue against a load.
+/// Assumed time for which an answer occupies a batch slot. An assumption,
+/// because the policy sees arrivals but no completions. Converts a queue's
+/// length to seconds, for comparison with the delay of a load.
 constexpr double assumed_service_seconds = 2.0;
 
-/// What a cached prefix saves: the prefill of a prompt's head.
+/// Time saved by a prefix cache hit: the prefill of the prompt's prefix.
 constexpr double prefix_hit_saving_seconds = 0.2;
-/// How far ahead the loss of an evicted adapter is counted.
+/// Time after an eviction within which a new request for the evicted adapter
+/// counts as a cost of the eviction.
 constexpr double eviction_horizon_seconds = 60;
-/// As few workers are kept open, in a fixed order, as hold what runs when each
-/// is filled to this share: from the first at stall weight 0 to the second at
-/// 1. What using one beyond them costs, in seconds of waiting, and the slope
-/// among them.
+/// The running requests are packed onto as few workers as can hold them when
+/// each worker's batch is filled to a target share. The target falls linearly
+/// from max_fill_share at stall weight 0 to min_fill_share at stall weight 1.
+/// Using a worker beyond those adds open_worker_cost_seconds; among them the
+/// cost rises in fill order from 0 to fill_order_cost_seconds.
 constexpr double max_fill_share = 0.95;
 constexpr double min_fill_share = 0.85;
 constexpr double open_worker_cost_seconds = 25.0;
 constexpr double fill_order_cost_seconds = 0.3;
-/// A worker that is full of adapters pinned for an earlier owner, or whose
-/// owner cannot give unload orders, takes nothing in until that changes, which
-/// no time bounds. Sent there, a request would wait out its deadline while
-/// others have room.
+/// Cost of a worker that cannot load another adapter: all slots hold adapters
+/// pinned for a previous owner, or the owner cannot give unload orders. Nothing
+/// bounds how long that lasts, and a request sent to the worker would wait
+/// until its deadline although other workers have free slots.
 constexpr double cannot_load_cost_seconds = 1e6;
-/// A worker all of whose residents are in use lets none go for a while.
+/// Extra delay at a worker whose residents are all in use: none can be evicted
+/// until its requests have ended.
 constexpr double all_residents_busy_cost_seconds = 0.5;
-/// How much the store's queue ahead counts: a load also delays those that
-/// come after it.
+/// Weight of the weight store's queue in a load's delay. Above 1, because a
+/// load also delays the loads that come after it.
 constexpr double store_queue_weight = 2.0;
-/// How much the victim's loss weighs against the load itself.
+/// Weight of the expected reload of the evicted adapter, relative to the load.
 constexpr double victim_loss_weight = 10.0;
-/// Load side's weight for each store's width of requests that wait for loads,
-/// where that is more than the stall weight gives: a store at its limit costs
-/// both measures, since workers stay open for requests that cannot run.
+/// Weight of a load's delay per store queue length (requests that wait for
+/// loads divided by the store's concurrent loads), used where it exceeds the
+/// weight given by the stall weight. A saturated store harms both stalls and
+/// batch use, since workers stay open for requests that cannot run.
 constexpr double store_congestion_weight = 1.0;
-/// As store_queue_weight, for each request that waits for a load at the worker
-/// itself: permits are shared by all workers, one worker gets few in a row.
+/// As store_queue_weight, for each request that waits for a load at the same
+/// worker: all workers share the load permits, so that one worker gets few in
+/// a row.
 constexpr double worker_queue_weight = 2.0;
-/// Copies are needed until one adapter takes this share of a batch on each;
-/// what a copy beyond those is worth, to a needed one.
+/// An adapter needs as many copies as keep its requests at or below this share
+/// of each copy's batch. A copy beyond those has excess_copy_value times the
+/// value of a needed copy.
 constexpr double max_batch_share_per_adapter = 0.6;
 constexpr double excess_copy_value = 0.02;
 
-/// A waiting request gains one step of priority in this time, so that nothing
-/// newer overtakes it for longer than the ten steps and the bonuses below.
+/// A waiting request gains one priority step in this time. The aging prevents
+/// starvation: a newer request overtakes it only while the difference between
+/// the ten priorities and the bonuses below outweigh the difference in age.
 constexpr double seconds_per_priority_step = 1.0;
 constexpr double same_adapter_bonus = 0.25;
 constexpr std::size_t max_same_adapter_count = 8;
 constexpr double near_deadline_seconds = 2.0;
 constexpr double near_deadline_bonus = 2.0;
 
-/// Loads ahead: candidates kept a worker, how much more wanted the incoming has
-/// to be than what it replaces, and the least rate worth a load.
+/// Preloading: candidates kept for each worker, the least ratio between the
+/// demand for a preloaded adapter and the retention value of the evicted one,
+/// and the least demand that justifies a load.
 constexpr std::size_t max_preload_candidates = 16;
-constexpr double min_preload_gain = 5.0;
-constexpr double min_preload_rate = 0.03;
+constexpr double min_preload_demand_ratio = 5.0;
+constexpr double min_preload_requests_per_second = 0.03;
 
 bool is_evictable(resident_view const& resident)
 {
@@ -77,7 +88,7 @@
            resident.queued == 0 && !resident.pinned;
 }
 
-/// Until a batch slot frees up for one more request.
+/// Expected time until a batch slot is free for one more request.
 double batch_wait_seconds(worker_view const& worker)
 {
     auto const slots = std::max<std::size_t>(worker.batch_slots, 1);
@@ -94,17 +105,17 @@
                                         adapter_ref const& adapter,
                                         time_point now) const
 {
-    double retention_value = demand_.rate(adapter, now);
-    auto const known = copy_counts_.find(adapter);
-    if (known != copy_counts_.end() && known->second > 1)
+    double value = demand_.rate(adapter, now);
+    auto const count = copy_counts_.find(adapter);
+    if (count != copy_counts_.end() && count->second > 1)
     {
-        auto const copies = static_cast<double>(known->second);
-        bool const spare = copies_needed(retention_value, now) <= copies - 1;
-        retention_value *= (spare ? excess_copy_value : 1) / copies;
+        auto const copies = static_cast<double>(count->second);
+        bool const excess = copies_needed(value, now) <= copies - 1;
+        value *= (excess ? excess_copy_value : 1) / copies;
     }
     if (declared_ready(worker.id, adapter))
-        retention_value += std::numeric_limits<float>::max();
-    return retention_value;
+        value += std::numeric_limits<float>::max();
+    return value;
 }
 
 double mulberry_policy::copies_needed(double rate, time_point now) const
@@ -144,26 +155,28 @@
                                   cluster_view const& view,
                                   time_point now) const
 {
-    double const queue = static_cast<double>(view.stalled()) /
-                         static_cast<double>(store_concurrency_);
-    double const own = static_cast<double>(worker.stalled());
-    double const wait = load_seconds_ * (1 + store_queue_weight * queue +
-                                         worker_queue_weight * own);
+    double const store_queue = static_cast<double>(view.stalled()) /
+                               static_cast<double>(store_concurrency_);
+    double const worker_queue = static_cast<double>(worker.stalled());
+    double const wait = load_seconds_ * (1 + store_queue_weight * store_queue +
+                                         worker_queue_weight * worker_queue);
     if (!worker.can_accept_adapter())
         return cannot_load_cost_seconds;
-    auto const least = lowest_retention_value(worker, now);
-    if (!least)
+    auto const victim_value = lowest_retention_value(worker, now);
+    if (!victim_value)
         return wait + all_residents_busy_cost_seconds;
-    // Once asked for again within the horizon, the victim stalls as long.
-    double const missed = 1 - std::exp(-*least * eviction_horizon_seconds);
-    return wait + victim_loss_weight * missed * load_seconds_;
+    // Probability that the evicted adapter is requested again within the
+    // horizon and has to be loaded again, for Poisson arrivals.
+    double const reload_probability =
+        1 - std::exp(-*victim_value * eviction_horizon_seconds);
+    return wait + victim_loss_weight * reload_probability * load_seconds_;
 }
 
 double mulberry_policy::load_weight(cluster_view const& view) const
 {
-    double const queue = static_cast<double>(view.stalled()) /
-                         static_cast<double>(store_concurrency_);
-    return std::max(2 * stall_weight_, store_congestion_weight * queue);
+    double const store_queue = static_cast<double>(view.stalled()) /
+                               static_cast<double>(store_concurrency_);
+    return std::max(2 * stall_weight_, store_congestion_weight * store_queue);
 }
 
 double mulberry_policy::cost(model_request const& request,
@@ -183,11 +196,12 @@
     if (request.prefix_key != 0 &&
         worker.cached_prefixes.contains(request.prefix_key))
         saved = prefix_hit_saving_seconds;
-    // Added unweighted, so that it shuts also where stalls count for nothing.
-    double const shut =
+    // Added without load_weight(), so that the worker is avoided at stall
+    // weight 0 too.
+    double const cannot_load_cost =
         stall >= cannot_load_cost_seconds ? cannot_load_cost_seconds : 0;
     return batch_wait_seconds(worker) + load_weight(view) * stall +
-           opening_cost(worker) + shut - saved;
+           opening_cost(worker) + cannot_load_cost - saved;
 }
 
 double mulberry_policy::opening_cost(worker_view const& worker) const
@@ -195,8 +209,8 @@
     double const share =
         max_fill_share - (max_fill_share - min_fill_share) * stall_weight_;
     double const position = fill_order_.relative_position(worker.id, share);
-    // Squared, so that a deployment near either end gets what it asks for: at
-    // 0.8 opening a worker costs a sixteenth of what it costs at 0.2.
+    // Squared, so that stall weights near 0 and 1 have a clear effect: at 0.8
+    // opening a worker costs a sixteenth of the cost at 0.2.
     double const weight = 4 * (1 - stall_weight_) * (1 - stall_weight_);
     if (position < 1)
         return weight * fill_order_cost_seconds * position;
@@ -224,21 +238,21 @@
         best = worker;
         best_cost = value;
     };
-    std::size_t const spare = excluded.size();
+    std::size_t const extra = excluded.size();
     for (worker_view const* worker : view.fullest_holders_with_room(
-             request.adapter, max_holders_per_order + spare))
+             request.adapter, max_holders_per_order + extra))
         consider(worker);
     for (worker_view const* worker : view.least_loaded_holders(
-             request.adapter, max_holders_per_order + spare))
+             request.adapter, max_holders_per_order + extra))
         consider(worker);
     for (worker_id const& home :
          ring_.homes(request.base_model, request.adapter, max_homes))
         consider(view.find(home));
     for (worker_view const* worker : view.fullest_with_room(
-             request.base_model, max_workers_per_order + spare))
+             request.base_model, max_workers_per_order + extra))
         consider(worker);
     for (worker_view const* worker :
-         view.least_loaded(request.base_model, max_workers_per_order + spare))
+         view.least_loaded(request.base_model, max_workers_per_order + extra))
         consider(worker);
     if (best == nullptr)
         return std::nullopt;
@@ -271,21 +285,22 @@
                       std::vector<waiting_request> const& eligible,
                       time_point now)
 {
-    std::unordered_map<adapter_ref, std::size_t> group;
-    for (waiting_request const& one : eligible)
-        ++group[one.adapter];
+    std::unordered_map<adapter_ref, std::size_t> group_sizes;
+    for (waiting_request const& request : eligible)
+        ++group_sizes[request.adapter];
     std::size_t best = 0;
     double best_score = -std::numeric_limits<double>::infinity();
     for (std::size_t i = 0; i < eligible.size(); ++i)
     {
-        waiting_request const& one = eligible[i];
-        double score = one.priority;
-        score += seconds(now - one.arrived).count() / seconds_per_priority_step;
+        waiting_request const& request = eligible[i];
+        double score = request.priority;
+        score +=
+            seconds(now - request.arrived).count() / seconds_per_priority_step;
         score += same_adapter_bonus *
-                 static_cast<double>(
-                     std::min(group[one.adapter], max_same_adapter_count));
-        if (one.deadline != never &&
-            seconds(one.deadline - now).count() < near_deadline_seconds)
+                 static_cast<double>(std::min(group_sizes[request.adapter],
+                                              max_same_adapter_count));
+        if (request.deadline != never &&
+            seconds(request.deadline - now).count() < near_deadline_seconds)
             score += near_deadline_bonus;
         if (score <= best_score)
             continue;
@@ -316,7 +331,8 @@
     auto const least = lowest_retention_value(worker, now);
     if (at == preload_candidates_.end() || !least || view.stalled() > 0)
         return wanted;
-    double best = std::max(min_preload_rate, *least * min_preload_gain);
+    double best = std::max(min_preload_requests_per_second,
+                           *least * min_preload_demand_ratio);
     for (adapter_ref const& adapter : at->second)
     {
         double const rate = demand_.rate(adapter, now);
--- a/src/mulberry_policy.hpp
+++ b/src/mulberry_policy.hpp
@@ -1,4 +1,5 @@
-/// The project's own policy: what a choice costs, in seconds of waiting.
+/// The default routing policy: selects the worker with the lowest estimated
+/// cost, in seconds of waiting.
 #ifndef MULBERRY_MULBERRY_POLICY_HPP
 #define MULBERRY_MULBERRY_POLICY_HPP
 
@@ -14,11 +15,12 @@
 namespace mulberry
 {
 
-/// Weighs, for each of a few candidate workers, the expected wait for batch
-/// room, the wait for a load, what the evicted adapter will be missed for and
-/// the batch slots that using an idle worker would open. The deployment's
-/// stall weight sets how the load side weighs against the batch side. See
-/// docs/POLICY.md. Thread safety: none.
+/// Estimates a cost for each of a few candidate workers. The cost sums the
+/// queueing delay for a batch slot, the delay of loading the adapter (cold
+/// start), the expected delay of reloading the evicted adapter, and a penalty
+/// for spreading requests over more workers than their batches need. The
+/// deployment's stall weight (0 to 1) sets how much adapter loads count against
+/// batch use. See docs/POLICY.md. Thread safety: none.
 class mulberry_policy : public routing_policy
 {
 public:
@@ -40,25 +42,30 @@
     void configure(declaration const& configuration) override;
 
 private:
-    /// What losing this one copy would cost: the adapter's demand, less as
-    /// there are more copies of it, next to nothing beyond those it needs.
+    /// Value of keeping the adapter loaded on this worker: its request rate
+    /// divided by its number of copies, strongly reduced for copies beyond
+    /// copies_needed(). Adapters declared ready on the worker rank above all
+    /// others.
     double retention_value(worker_view const& worker,
                            adapter_ref const& adapter, time_point now) const;
-    /// Copies over which an adapter of that rate spreads what runs of it.
+    /// Copies that an adapter with that rate (requests per second) needs for
+    /// its running requests; fractional.
     double copies_needed(double rate, time_point now) const;
     bool declared_ready(worker_id const& worker,
                         adapter_ref const& adapter) const;
-    /// The least worth among the residents that may go; 0 when a slot is free,
-    /// none when every resident is in use.
+    /// The lowest retention value among the evictable residents; 0 if a slot is
+    /// free, nullopt if no resident is evictable.
     std::optional<double> lowest_retention_value(worker_view const& worker,
                                                  time_point now) const;
+    /// Total cost of sending the request to the worker, in seconds.
     double cost(model_request const& request, worker_view const& worker,
                 cluster_view const& view, time_point now) const;
+    /// Cost of loading one more adapter on the worker, in seconds.
     double load_cost(worker_view const& worker, cluster_view const& view,
                      time_point now) const;
-    /// How the load side weighs against waiting for batch room.
+    /// Weight of a load's delay relative to the delay for a batch slot.
     double load_weight(cluster_view const& view) const;
-    /// Seconds of waiting that using this worker's batch is worth avoiding.
+    /// Penalty in seconds for using a worker late in the fill order.
     double opening_cost(worker_view const& worker) const;
     std::vector<adapter_ref>
     missing_ready_adapters(worker_view const& worker) const;
@@ -75,8 +82,8 @@
     fill_order fill_order_;
     std::unordered_map<worker_id, std::set<adapter_ref>> declared_ready_;
     ready_placement ready_placement_;
-    /// For each worker the adapters that were lately asked for and call it
-    /// home, the candidates for a load ahead; bounded.
+    /// For each worker the recently requested adapters whose first home is the
+    /// worker; at most max_preload_candidates each.
     std::unordered_map<worker_id, std::set<adapter_ref>> preload_candidates_;
 };
 
--- a/src/worker_ring.cpp
+++ b/src/worker_ring.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// Enough that the most loaded of 18 workers is home to about a quarter more
-/// adapters than the average.
+/// Virtual nodes per worker. With 32, the most loaded of 18 workers is home to
+/// about a quarter more adapters than the average.
 constexpr int points_per_worker = 32;
 
 } // namespace
--- a/src/worker_ring.hpp
+++ b/src/worker_ring.hpp
@@ -14,22 +14,23 @@
 namespace mulberry
 {
 
-/// Homes of an adapter, the same on every VM with the same configuration.
-/// Rendezvous hashing (homes_of) gives the same promise but looks at each
-/// worker; a ring answers in the logarithm of the workers, which a decision
-/// for each request needs. Immutable. Thread safety: const calls from any
-/// thread.
+/// Computes an adapter's homes (preferred workers), which are the same on every
+/// VM with the same configuration. Rendezvous hashing (homes_of()) has that
+/// property too but takes time linear in the workers; a lookup in the ring is
+/// logarithmic, as is needed once per request. Immutable. Thread safety: const
+/// calls from any thread.
 class worker_ring
 {
 public:
     worker_ring() = default;
     explicit worker_ring(declaration const& configuration);
 
-    /// The best home first, at most `most`, each worker once.
+    /// At most `most` distinct workers, the preferred home first. Empty if no
+    /// worker serves the base model.
     std::vector<worker_id> homes(base_model_id const& model,
                                  adapter_ref const& adapter,
                                  std::size_t most) const;
-    /// The workers of a base model in the order of their ids.
+    /// The workers of a base model, ordered by id.
     std::vector<worker_id> const& workers(base_model_id const& model) const;
 
 private:
