--- a/src/adapter_loader.cpp
+++ b/src/adapter_loader.cpp
@@ -125,7 +125,7 @@
         shown.state = shown_state(item.state);
         shown.in_flight = slots_.requests(name);
         shown.queued = queued_under(name, item, queue);
-        shown.pinned = slots_.pinned(name, now);
+        shown.pinned_by_previous_owner = slots_.pinned(name, now);
         shown.last_used = item.last_used;
         list.push_back(std::move(shown));
     }
--- a/src/cluster_view.cpp
+++ b/src/cluster_view.cpp
@@ -53,26 +53,26 @@
     return resident.state != resident_state::evicting;
 }
 
-view_list first_of(load_order const& order, std::size_t most)
+view_list first_of(load_order const& order, std::size_t max_count)
 {
     view_list found;
-    found.reserve(std::min(most, order.size()));
+    found.reserve(std::min(max_count, order.size()));
     for (entry const* at : order)
     {
-        if (found.size() == most)
+        if (found.size() == max_count)
             break;
         found.push_back(&at->view);
     }
     return found;
 }
 
-view_list fullest_of(load_order const& order, std::size_t most)
+view_list fullest_of(load_order const& order, std::size_t max_count)
 {
     entry bound;
     bound.load = full_load;
     view_list found;
     auto at = order.lower_bound(&bound);
-    while (at != order.begin() && found.size() < most)
+    while (at != order.begin() && found.size() < max_count)
     {
         --at;
         found.push_back(&(*at)->view);
@@ -95,12 +95,12 @@
     return view.residents.back();
 }
 
-void apply(worker_view& view, sent_request const& note)
+void apply(worker_view& view, sent_request const& sent)
 {
     ++view.queued;
-    ++resident_for(view, note.adapter).queued;
-    if (note.prefix_key != 0)
-        view.cached_prefixes.insert(note.prefix_key);
+    ++resident_for(view, sent.adapter).queued;
+    if (sent.prefix_key != 0)
+        view.cached_prefixes.insert(sent.prefix_key);
 }
 
 } // namespace
@@ -132,9 +132,10 @@
 {
     if (residents.size() < adapter_slots)
         return true;
-    return can_evict && std::any_of(residents.begin(), residents.end(),
-                                    [](resident_view const& resident)
-                                    { return !resident.pinned; });
+    return can_evict &&
+           std::any_of(residents.begin(), residents.end(),
+                       [](resident_view const& resident)
+                       { return !resident.pinned_by_previous_owner; });
 }
 
 class cluster_view::implementation
@@ -144,11 +145,11 @@
     {
         entry& at = entry_of(view.id);
         unindex(at);
-        std::erase_if(at.sent, [&](sent_request const& note)
-                      { return note.sent_at <= view.as_of; });
+        std::erase_if(at.sent, [&](sent_request const& sent)
+                      { return sent.sent_at <= view.as_of; });
         at.view = std::move(view);
-        for (sent_request const& note : at.sent)
-            apply(at.view, note);
+        for (sent_request const& sent : at.sent)
+            apply(at.view, sent);
         index(at);
     }
 
@@ -161,15 +162,15 @@
         workers_.erase(at);
     }
 
-    void add_sent(worker_id const& id, sent_request note)
+    void add_sent(worker_id const& id, sent_request sent)
     {
         auto const at = workers_.find(id);
         if (at == workers_.end())
             return;
         unindex(at->second);
-        apply(at->second.view, note);
-        if (note.sent_at > at->second.view.as_of)
-            at->second.sent.push_back(std::move(note));
+        apply(at->second.view, sent);
+        if (sent.sent_at > at->second.view.as_of)
+            at->second.sent.push_back(std::move(sent));
         index(at->second);
     }
 
@@ -312,30 +313,31 @@
 }
 
 std::vector<worker_view const*>
-cluster_view::least_loaded(base_model_id const& model, std::size_t most) const
+cluster_view::least_loaded(base_model_id const& model,
+                           std::size_t max_count) const
 {
-    return first_of(implementation_->of_model(model), most);
+    return first_of(implementation_->of_model(model), max_count);
 }
 
 std::vector<worker_view const*>
 cluster_view::fullest_with_room(base_model_id const& model,
-                                std::size_t most) const
+                                std::size_t max_count) const
 {
-    return fullest_of(implementation_->of_model(model), most);
+    return fullest_of(implementation_->of_model(model), max_count);
 }
 
 std::vector<worker_view const*>
 cluster_view::least_loaded_holders(adapter_ref const& adapter,
-                                   std::size_t most) const
+                                   std::size_t max_count) const
 {
-    return first_of(implementation_->holders(adapter), most);
+    return first_of(implementation_->holders(adapter), max_count);
 }
 
 std::vector<worker_view const*>
 cluster_view::fullest_holders_with_room(adapter_ref const& adapter,
-                                        std::size_t most) const
+                                        std::size_t max_count) const
 {
-    return fullest_of(implementation_->holders(adapter), most);
+    return fullest_of(implementation_->holders(adapter), max_count);
 }
 
 std::size_t cluster_view::holder_count(adapter_ref const& adapter) const
--- a/src/cluster_view.hpp
+++ b/src/cluster_view.hpp
@@ -39,7 +39,7 @@
     std::size_t queued = 0;
     /// Must not be evicted even when no request of the current owner uses the
     /// adapter: a previous owner may still have requests that use it.
-    bool pinned = false;
+    bool pinned_by_previous_owner = false;
     time_point last_used{};
     friend bool operator==(resident_view const&,
                            resident_view const&) = default;
@@ -109,21 +109,22 @@
     /// The usable workers where the adapter is ready or loading, least loaded
     /// first.
     std::vector<worker_view const*> holders(adapter_ref const& adapter) const;
-    /// At most `most` usable workers of a base model, least loaded first.
+    /// At most `max_count` usable workers of a base model, least loaded first.
     std::vector<worker_view const*> least_loaded(base_model_id const& model,
-                                                 std::size_t most) const;
-    /// At most `most` usable workers of a base model that have a free batch
-    /// slot, most loaded first. O(log workers + most).
+                                                 std::size_t max_count) const;
+    /// At most `max_count` usable workers of a base model that have a free
+    /// batch slot, most loaded first. O(log workers + max_count).
     std::vector<worker_view const*>
-    fullest_with_room(base_model_id const& model, std::size_t most) const;
-    /// The first `most` of holders(). O(log copies + most).
+    fullest_with_room(base_model_id const& model, std::size_t max_count) const;
+    /// The first `max_count` of holders(). O(log copies + max_count).
     std::vector<worker_view const*>
-    least_loaded_holders(adapter_ref const& adapter, std::size_t most) const;
-    /// At most `most` of the holders() that have a free batch slot, most
-    /// loaded first. O(log copies + most).
+    least_loaded_holders(adapter_ref const& adapter,
+                         std::size_t max_count) const;
+    /// At most `max_count` of the holders() that have a free batch slot, most
+    /// loaded first. O(log copies + max_count).
     std::vector<worker_view const*>
     fullest_holders_with_room(adapter_ref const& adapter,
-                              std::size_t most) const;
+                              std::size_t max_count) const;
     std::size_t holder_count(adapter_ref const& adapter) const;
     /// Requests running or queued on a base model's usable workers.
     std::size_t in_progress(base_model_id const& model) const;
--- a/src/jitter.hpp
+++ b/src/jitter.hpp
@@ -25,11 +25,11 @@
     }
 
     /// Between half of `most` and `most`.
-    duration equal_jitter(duration most)
+    duration equal_jitter(duration max)
     {
-        auto const half = static_cast<std::uint64_t>(most.count() / 2);
+        auto const half = static_cast<std::uint64_t>(max.count() / 2);
         auto const extra = half == 0 ? 0 : next() % half;
-        return most - duration(static_cast<duration::rep>(extra));
+        return max - duration(static_cast<duration::rep>(extra));
     }
 
 private:
--- a/src/load_budget.cpp
+++ b/src/load_budget.cpp
@@ -26,7 +26,7 @@
 class token_bucket
 {
 public:
-    void set(double rate, time_point now)
+    void set_rate(double rate, time_point now)
     {
         refill(now);
         rate_ = rate;
@@ -34,7 +34,7 @@
         tokens_ = std::min(tokens_, capacity_);
     }
 
-    bool try_take(time_point now)
+    bool try_consume(time_point now)
     {
         refill(now);
         if (tokens_ < one_token)
@@ -96,7 +96,7 @@
     bool try_start(time_point now) override
     {
         now_ = std::max(now_, now);
-        if (running_ >= max_running() || !bucket_.try_take(now))
+        if (running_ >= max_running() || !bucket_.try_consume(now))
             return false;
         ++running_;
         ++started_;
@@ -139,8 +139,8 @@
 
     void update_rate()
     {
-        bucket_.set(store_.loads_per_second / static_cast<double>(members_),
-                    now_);
+        bucket_.set_rate(
+            store_.loads_per_second / static_cast<double>(members_), now_);
     }
 
     store_declaration store_;
@@ -187,7 +187,7 @@
         update_rate(now);
         if (running_ + peers_running() >= max_running())
             return false;
-        if (!bucket_.try_take(now))
+        if (!bucket_.try_consume(now))
             return false;
         ++running_;
         ++started_;
@@ -211,9 +211,10 @@
                             time_point now) override
     {
         peer_counts& known = peers_[peer];
-        bool const older = counts.life < known.counts.life ||
-                           (counts.life == known.counts.life &&
-                            counts.started < known.counts.started);
+        bool const older =
+            counts.vm_incarnation < known.counts.vm_incarnation ||
+            (counts.vm_incarnation == known.counts.vm_incarnation &&
+             counts.started < known.counts.started);
         if (older)
             return;
         known = {counts, now};
@@ -275,7 +276,8 @@
         double const even =
             store_.loads_per_second / static_cast<double>(members_);
         auto const sharing = static_cast<double>(members_ - idle);
-        bucket_.set(even + even * static_cast<double>(idle) / sharing, now_);
+        bucket_.set_rate(even + even * static_cast<double>(idle) / sharing,
+                         now_);
     }
 
     store_declaration store_;
--- a/src/load_budget.hpp
+++ b/src/load_budget.hpp
@@ -19,7 +19,7 @@
 /// lost or repeated message does no harm.
 struct load_counts
 {
-    incarnation life;
+    incarnation vm_incarnation;
     std::uint64_t started = 0;
     std::uint64_t waiting = 0;
     std::uint64_t running = 0;
--- a/src/metrics_text.cpp
+++ b/src/metrics_text.cpp
@@ -134,7 +134,7 @@
         one["adapter"] = resident.adapter.str();
         one["state"] = state_name(resident.state);
         one["in_flight"] = Json::UInt64(resident.in_flight);
-        suspects = suspects || resident.pinned;
+        suspects = suspects || resident.pinned_by_previous_owner;
         value["residents"].append(std::move(one));
     }
     value["suspects"] = suspects;
--- a/src/mulberry_policy.cpp
+++ b/src/mulberry_policy.cpp
@@ -85,7 +85,7 @@
 bool is_evictable(resident_view const& resident)
 {
     return resident.state == resident_state::ready && resident.in_flight == 0 &&
-           resident.queued == 0 && !resident.pinned;
+           resident.queued == 0 && !resident.pinned_by_previous_owner;
 }
 
 /// Expected time until a batch slot is free for one more request.
--- a/src/peer_codec.cpp
+++ b/src/peer_codec.cpp
@@ -60,7 +60,7 @@
     value["s"] = state_name(resident.state);
     value["f"] = wire(resident.in_flight);
     value["q"] = wire(resident.queued);
-    if (resident.pinned)
+    if (resident.pinned_by_previous_owner)
         value["p"] = true;
     return value;
 }
@@ -97,7 +97,7 @@
         resident.state = state_named(text_or(one, "s", ""));
         resident.in_flight = number_or(one, "f", 0);
         resident.queued = number_or(one, "q", 0);
-        resident.pinned = flag_or(one, "p", false);
+        resident.pinned_by_previous_owner = flag_or(one, "p", false);
         worker.residents.push_back(std::move(resident));
     }
     return worker;
@@ -110,7 +110,7 @@
     value["life"] = wire(hint.life.value());
     value["configuration"] = wire(hint.configuration.value());
     value["takes_work"] = hint.takes_work;
-    value["loads"]["life"] = wire(hint.loads.life.value());
+    value["loads"]["life"] = wire(hint.loads.vm_incarnation.value());
     value["loads"]["started"] = wire(hint.loads.started);
     value["loads"]["waiting"] = wire(hint.loads.waiting);
     value["loads"]["running"] = wire(hint.loads.running);
@@ -176,7 +176,7 @@
     hint.configuration = config_version(number_or(value, "configuration", 0));
     hint.takes_work = flag_or(value, "takes_work", false);
     Json::Value const& loads = value["loads"];
-    hint.loads.life = incarnation(number_or(loads, "life", 0));
+    hint.loads.vm_incarnation = incarnation(number_or(loads, "life", 0));
     hint.loads.started = number_or(loads, "started", 0);
     hint.loads.waiting = number_or(loads, "waiting", 0);
     hint.loads.running = number_or(loads, "running", 0);
--- a/src/safeguards.cpp
+++ b/src/safeguards.cpp
@@ -13,7 +13,8 @@
 
 bool safeguards::may_evict(eviction_facts const& facts) const
 {
-    return facts.sent == 0 && facts.waiting == 0 && !facts.pinned;
+    return facts.sent == 0 && facts.waiting == 0 &&
+           !facts.pinned_by_previous_owner;
 }
 
 bool safeguards::is_next_event(std::uint64_t expected,
--- a/src/safeguards.hpp
+++ b/src/safeguards.hpp
@@ -26,7 +26,7 @@
     std::size_t waiting = 0;
     /// Whether an earlier owner may still have, or may yet send, a request
     /// under that name.
-    bool pinned = false;
+    bool pinned_by_previous_owner = false;
 };
 
 /// What is known of this VM when new work is offered.
--- a/src/worker_ring.cpp
+++ b/src/worker_ring.cpp
@@ -38,19 +38,19 @@
 
 std::vector<worker_id> worker_ring::homes(base_model_id const& model,
                                           adapter_ref const& adapter,
-                                          std::size_t most) const
+                                          std::size_t max_count) const
 {
     std::vector<worker_id> found;
     auto const at = rings_.find(model);
     if (at == rings_.end())
         return found;
     hash_ring const& one = at->second;
-    most = std::min(most, one.workers.size());
+    max_count = std::min(max_count, one.workers.size());
     auto const key = stable_hash(adapter.str());
     auto next = std::lower_bound(one.points.begin(), one.points.end(), key,
                                  [](point const& left, std::uint64_t right)
                                  { return left.hash < right; });
-    while (found.size() < most)
+    while (found.size() < max_count)
     {
         if (next == one.points.end())
             next = one.points.begin();
--- a/src/worker_ring.hpp
+++ b/src/worker_ring.hpp
@@ -25,11 +25,11 @@
     worker_ring() = default;
     explicit worker_ring(declaration const& configuration);
 
-    /// At most `most` distinct workers, the preferred home first. Empty if no
-    /// worker serves the base model.
+    /// At most `max_count` distinct workers, the preferred home first. Empty if
+    /// no worker serves the base model.
     std::vector<worker_id> homes(base_model_id const& model,
                                  adapter_ref const& adapter,
-                                 std::size_t most) const;
+                                 std::size_t max_count) const;
     /// The workers of a base model, ordered by id.
     std::vector<worker_id> const& workers(base_model_id const& model) const;
 
--- a/tests/core_proof_test.cpp
+++ b/tests/core_proof_test.cpp
@@ -97,7 +97,7 @@
 {
     bool may_evict(eviction_facts const& facts) const override
     {
-        return facts.waiting == 0 && !facts.pinned;
+        return facts.waiting == 0 && !facts.pinned_by_previous_owner;
     }
 };
 
--- a/tests/dispatch_schedule_test.cpp
+++ b/tests/dispatch_schedule_test.cpp
@@ -94,7 +94,7 @@
     {
         bool may_evict(eviction_facts const& facts) const override
         {
-            return !facts.pinned;
+            return !facts.pinned_by_previous_owner;
         }
     } in_use;
     CHECK(found_out_after(in_use, violation_kind::evicted_in_flight) > 0);
--- a/tests/load_budget_test.cpp
+++ b/tests/load_budget_test.cpp
@@ -27,10 +27,10 @@
 }
 
 /// Members that always have loads waiting where `wants` says so.
-class members
+class simulated_vms
 {
 public:
-    members(std::string_view name, std::size_t count) : running_(count)
+    simulated_vms(std::string_view name, std::size_t count) : running_(count)
     {
         for (std::size_t i = 0; i < count; ++i)
         {
@@ -40,9 +40,9 @@
         }
     }
 
-    void set_waiting(std::size_t member, std::size_t waiting)
+    void set_waiting(std::size_t vm, std::size_t waiting)
     {
-        budgets_[member]->set_waiting(waiting, now_);
+        budgets_[vm]->set_waiting(waiting, now_);
     }
 
     void exchange(std::size_t from, std::size_t to)
@@ -60,18 +60,18 @@
     }
 
     /// Starts as many as the member may; how many.
-    std::size_t start(std::size_t member)
+    std::size_t start(std::size_t vm)
     {
         std::size_t started = 0;
-        while (budgets_[member]->try_start(now_))
+        while (budgets_[vm]->try_start(now_))
         {
-            running_[member].push_back(now_ + load_time);
+            running_[vm].push_back(now_ + load_time);
             ++started;
         }
         return started;
     }
 
-    void pass(duration time)
+    void advance(duration time)
     {
         now_ += time;
         for (std::size_t i = 0; i < budgets_.size(); ++i)
@@ -82,7 +82,7 @@
             }
     }
 
-    load_budget& at(std::size_t member) { return *budgets_[member]; }
+    load_budget& at(std::size_t vm) { return *budgets_[vm]; }
     time_point now() const { return now_; }
 
 private:
@@ -93,10 +93,10 @@
 
 std::vector<bool> random_demand(std::size_t count)
 {
-    std::vector<bool> wants(count);
+    std::vector<bool> has_demand(count);
     for (std::size_t i = 0; i < count; ++i)
-        wants[i] = *rc::gen::inRange(0, 2) == 1;
-    return wants;
+        has_demand[i] = *rc::gen::inRange(0, 2) == 1;
+    return has_demand;
 }
 
 /// What a member may have saved up before it starts.
@@ -112,15 +112,15 @@
         []
         {
             auto const count = *rc::gen::inRange<std::size_t>(1, 9);
-            members all("even_split", count);
-            auto const wants = random_demand(count);
+            simulated_vms all("even_split", count);
+            auto const has_demand = random_demand(count);
             std::size_t started = 0;
             for (int i = 0; i < steps; ++i)
             {
-                for (std::size_t each = 0; each < count; ++each)
-                    if (wants[each])
-                        started += all.start(each);
-                all.pass(step);
+                for (std::size_t vm = 0; vm < count; ++vm)
+                    if (has_demand[vm])
+                        started += all.start(vm);
+                all.advance(step);
             }
             RC_ASSERT(static_cast<double>(started) <=
                       a_store().loads_per_second * window +
@@ -135,20 +135,20 @@
         []
         {
             auto const count = *rc::gen::inRange<std::size_t>(1, 9);
-            members all("exchanged_counts", count);
+            simulated_vms all("exchanged_counts", count);
             std::size_t started = 0;
-            std::vector<bool> wants(count);
+            std::vector<bool> has_demand(count);
             for (int i = 0; i < steps; ++i)
             {
                 if (i % 20 == 0)
-                    wants = random_demand(count);
-                for (std::size_t each = 0; each < count; ++each)
-                    all.set_waiting(each, wants[each] ? 3 : 0);
+                    has_demand = random_demand(count);
+                for (std::size_t vm = 0; vm < count; ++vm)
+                    all.set_waiting(vm, has_demand[vm] ? 3 : 0);
                 all.exchange_all();
-                for (std::size_t each = 0; each < count; ++each)
-                    if (wants[each])
-                        started += all.start(each);
-                all.pass(step);
+                for (std::size_t vm = 0; vm < count; ++vm)
+                    if (has_demand[vm])
+                        started += all.start(vm);
+                all.advance(step);
             }
             RC_ASSERT(static_cast<double>(started) <=
                       a_store().loads_per_second * window +
@@ -165,13 +165,13 @@
         []
         {
             auto const count = *rc::gen::inRange<std::size_t>(2, 9);
-            members all("exchanged_counts", count);
+            simulated_vms all("exchanged_counts", count);
             std::size_t started = 0;
             for (int i = 0; i < steps; ++i)
             {
-                auto const wants = random_demand(count);
-                for (std::size_t each = 0; each < count; ++each)
-                    all.set_waiting(each, wants[each] ? 3 : 0);
+                auto const has_demand = random_demand(count);
+                for (std::size_t vm = 0; vm < count; ++vm)
+                    all.set_waiting(vm, has_demand[vm] ? 3 : 0);
                 for (int message = 0; message < 3; ++message)
                 {
                     auto const from = *rc::gen::inRange<std::size_t>(0, count);
@@ -179,9 +179,9 @@
                     if (from != to)
                         all.exchange(from, to);
                 }
-                for (std::size_t each = 0; each < count; ++each)
-                    started += all.start(each);
-                all.pass(step);
+                for (std::size_t vm = 0; vm < count; ++vm)
+                    started += all.start(vm);
+                all.advance(step);
             }
             RC_ASSERT(static_cast<double>(started) <=
                       2 * a_store().loads_per_second * window +
@@ -195,14 +195,14 @@
 {
     auto const started = [](std::string_view name)
     {
-        members all(name, 6);
+        simulated_vms all(name, 6);
         std::size_t sum = 0;
         for (int i = 0; i < steps; ++i)
         {
             all.set_waiting(0, 5);
             all.exchange_all();
             sum += all.start(0);
-            all.pass(step);
+            all.advance(step);
         }
         return sum;
     };
@@ -214,7 +214,7 @@
 {
     // A VM said that it had nothing to load and was then cut off. Counted as
     // idle for ever, it would load at its share while another uses it too.
-    members all("exchanged_counts", 2);
+    simulated_vms all("exchanged_counts", 2);
     all.exchange_all();
     all.set_waiting(0, 5);
     std::size_t early = 0;
@@ -222,7 +222,7 @@
     for (int i = 0; i < steps; ++i)
     {
         (i < 40 ? early : late) += all.start(0);
-        all.pass(step);
+        all.advance(step);
     }
     double const early_rate =
         static_cast<double>(early) / (window * 40 / steps);
@@ -234,9 +234,9 @@
 
 TEST_CASE("a repeated or older message changes nothing", "[load_budget]")
 {
-    members all("exchanged_counts", 2);
+    simulated_vms all("exchanged_counts", 2);
     load_counts idle;
-    idle.life = incarnation(2);
+    idle.vm_incarnation = incarnation(2);
     idle.started = 5;
     load_counts older = idle;
     older.started = 4;
@@ -247,7 +247,7 @@
     time_point const before = all.at(0).next_permit(all.now() + 1s);
     all.at(0).update_peer_counts(vm_numbered(1), older, all.now() + 1s);
     CHECK(all.at(0).next_permit(all.now() + 1s) == before);
-    older.life = incarnation(1);
+    older.vm_incarnation = incarnation(1);
     older.started = 99;
     all.at(0).update_peer_counts(vm_numbered(1), older, all.now() + 1s);
     CHECK(all.at(0).next_permit(all.now() + 1s) == before);
@@ -257,8 +257,8 @@
 {
     for (std::string_view const name : {"even_split", "exchanged_counts"})
     {
-        members all(name, 3);
-        all.pass(10s);
+        simulated_vms all(name, 3);
+        all.advance(10s);
         REQUIRE(all.start(0) == 1);
         all.at(0).finished(all.now());
         time_point const next = all.at(0).next_permit(all.now());
--- a/tests/peer_codec_test.cpp
+++ b/tests/peer_codec_test.cpp
@@ -40,7 +40,7 @@
     resident.adapter = *parse_adapter_ref("shift-notes-0001@2");
     resident.state = resident_state::evicting;
     resident.in_flight = 2;
-    resident.pinned = true;
+    resident.pinned_by_previous_owner = true;
     worker.residents.push_back(resident);
     hint.workers.push_back(worker);
 
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -464,7 +464,7 @@
                 add_resident(worker, 4, 1);
                 worker.running = 2;
                 for (resident_view& resident : worker.residents)
-                    resident.pinned = number != 4;
+                    resident.pinned_by_previous_owner = number != 4;
                 worker.can_evict = number != 4;
             }
             else
