--- a/src/answer_relay.cpp
+++ b/src/answer_relay.cpp
@@ -14,9 +14,9 @@
                                              time_point now)
 {
     // A resumed stream may repeat events or, after a lost connection, skip
-    // some. Passed on, the caller would read a text that no engine wrote.
-    // Comparing with the one place expected is enough, since an engine numbers
-    // the events of one request without gaps.
+    // some. If such events were passed on, the caller would read a text that no
+    // engine generated. Comparing the offset with the expected offset is
+    // enough, since an engine numbers the events of a request without gaps.
     if (checks_->is_next_event(next_, offset))
     {
         next_ = offset + 1;
--- a/src/answer_relay.hpp
+++ b/src/answer_relay.hpp
@@ -1,4 +1,5 @@
-/// Delivers one answer gap-free and once over several connections.
+/// Reassembles one streamed answer from several connections, without gaps or
+/// duplicates.
 #ifndef MULBERRY_ANSWER_RELAY_HPP
 #define MULBERRY_ANSWER_RELAY_HPP
 
@@ -11,37 +12,41 @@
 namespace mulberry
 {
 
-/// Tracks the place reached in one answer. Used by the entry VM and by the
-/// owner alike. Thread safety: none.
+/// Tracks the next expected event of one answer. Used by the VM that the caller
+/// is connected to and by the worker's owner. Thread safety: none.
 class answer_relay
 {
 public:
-    /// `checks` outlives this object. `progress_timeout` is how long a stream
-    /// may be silent.
+    /// `checks` must outlive this object. `progress_timeout` is the longest
+    /// time without a new event before the connection counts as dead.
     answer_relay(safeguards const& checks, duration progress_timeout,
                  time_point now);
 
     enum class verdict
     {
-        /// In its place: pass it on.
+        /// The next expected event: pass it on.
         pass,
-        /// Delivered before (a resumed stream overlaps): drop it.
+        /// An event that was passed before; drop it. Occurs when a resumed
+        /// stream overlaps.
         duplicate,
-        /// An event is missing: the connection is of no more use; resume at
+        /// An event is missing: close the connection and resume at
         /// next_offset().
         gap
     };
-    /// `last`: the event says that the answer ends with it.
+    /// Decides what to do with a received event and updates the state. `last`:
+    /// the event is marked as the answer's last.
     verdict on_event(std::uint64_t offset, bool last, time_point now);
 
     std::uint64_t next_offset() const { return next_; }
+    /// Whether an event has been passed on.
     bool begun() const { return next_ > 0; }
-    /// Whether an event that passed was the answer's last.
+    /// Whether the answer's last event has been passed on.
     bool end_seen() const { return end_seen_; }
-    /// The moment at which silence means that the connection is dead, although
-    /// nothing said so.
+    /// The time at which the connection counts as dead unless a new event
+    /// arrives before, even if the transport reports no error.
     time_point progress_deadline() const { return progress_deadline_; }
-    /// A new connection was opened to go on.
+    /// Restarts the progress timeout after a new connection was opened to
+    /// resume the answer.
     void on_reconnect(time_point now);
 
 private:
--- a/src/jitter.hpp
+++ b/src/jitter.hpp
@@ -1,4 +1,4 @@
-/// Seeded jitter for polls and retries.
+/// Deterministic jitter for the intervals of polls and retries.
 #ifndef MULBERRY_JITTER_HPP
 #define MULBERRY_JITTER_HPP
 
@@ -9,8 +9,8 @@
 namespace mulberry
 {
 
-/// The same seed gives the same times in each run (splitmix64). Thread
-/// safety: none.
+/// Pseudo-random generator (splitmix64); the same seed gives the same sequence.
+/// Thread safety: none.
 class jitter
 {
 public:
@@ -24,7 +24,7 @@
         return mixed ^ (mixed >> 31);
     }
 
-    /// Between half of `most` and `most`.
+    /// A duration between half of `max` and `max`.
     duration equal_jitter(duration max)
     {
         auto const half = static_cast<std::uint64_t>(max.count() / 2);
--- a/src/load_budget.cpp
+++ b/src/load_budget.cpp
@@ -16,13 +16,14 @@
     return std::chrono::duration_cast<duration>(seconds(value)) + duration(1);
 }
 
-/// Permits are asked for at ticks and events, not at the moment they accrue.
-/// Without room for what accrues in between, a bucket that holds one permit
-/// loses it at each tick and the store runs at two thirds of its rate.
+/// Assumed longest interval between two calls of try_start(). Tokens are
+/// consumed at ticks and events, not at the moment they accrue. A bucket that
+/// held only one token would lose what accrues between ticks, and the store
+/// would run at two thirds of its rate.
 constexpr double polling_interval_seconds = 0.1;
 
-/// A token bucket whose rate may change; it holds one permit and what accrues
-/// until it is asked again, at most two.
+/// A token bucket with a variable rate. The capacity is one token plus the
+/// tokens that accrue during a polling interval, at most two in all.
 class token_bucket
 {
 public:
@@ -45,16 +46,16 @@
 
     time_point next_token(time_point now) const
     {
-        double const held = tokens_at(now);
-        if (held >= one_token)
+        double const tokens = tokens_at(now);
+        if (tokens >= one_token)
             return now;
         if (rate_ <= 0)
             return never;
-        return now + to_duration((1 - held) / rate_);
+        return now + to_duration((1 - tokens) / rate_);
     }
 
 private:
-    /// One token, less what rounding of the refill can lose.
+    /// One token less a tolerance for rounding errors of the refill.
     static constexpr double one_token = 1 - 1e-9;
 
     double tokens_at(time_point now) const
@@ -75,8 +76,9 @@
     time_point refilled_{};
 };
 
-/// Each VM has an equal share, whether it needs it or not: needs no messages
-/// and never exceeds the rate, and leaves unused what idle VMs do not load.
+/// Gives each VM an equal share of the rate, whether the VM has loads or not.
+/// Needs no messages and never exceeds the rate, but the shares of idle VMs
+/// stay unused.
 class even_split : public load_budget
 {
 public:
@@ -132,8 +134,8 @@
 private:
     std::size_t max_running() const
     {
-        // At least one: with more VMs than the store's width an even share of
-        // it would be none, and nobody could load.
+        // At least one: with more VMs than concurrent loads, an even share
+        // would be zero and no VM could load.
         return std::max<std::size_t>(store_.loads_at_once / members_, 1);
     }
 
@@ -152,21 +154,21 @@
     std::uint64_t running_ = 0;
 };
 
-/// What is known of a peer, and since when.
+/// A peer's latest counts and the time at which this VM received them.
 struct peer_counts
 {
     load_counts counts;
     time_point received_at{};
 };
 
-/// A VM that wants to load has its even share, and besides an equal part of
-/// the even shares of the peers that lately said that they have nothing to
-/// load. Deciding locally on counts that peers exchange is the idea of the
-/// Gabion rate limiter (docs/POLICY.md cites it); its one shared bucket is not
-/// taken over, since between two exchanges every VM could spend the same
-/// tokens, which with N VMs is N times the rate. Here a peer's share that was
-/// lent out may be used twice until its new counts are heard: less than twice
-/// the rate for as long as an exchange takes, and never when all hear all.
+/// Gives a VM its even share of the rate, plus an equal part of the even shares
+/// of the peers that recently reported no demand. Deciding locally on exchanged
+/// counts follows the Gabion rate limiter (see docs/POLICY.md). Gabion's single
+/// shared bucket is not used, since every VM could spend the same tokens
+/// between two exchanges, which with N VMs allows N times the rate. Here an
+/// idle peer's share may be used twice until the peer's new counts arrive: the
+/// total stays below twice the rate for the duration of an exchange, and within
+/// the rate while every VM receives all reports.
 class exchanged_counts : public load_budget
 {
 public:
@@ -232,7 +234,7 @@
     }
 
 private:
-    /// Silence after which a peer's last counts no longer hold.
+    /// A peer's counts are ignored once they are older than this.
     static constexpr duration peer_counts_lifetime = std::chrono::seconds(2);
 
     bool is_fresh(peer_counts const& peer, time_point now) const
@@ -254,29 +256,32 @@
         return sum;
     }
 
-    /// The store's width for all together; for a VM that loads nothing yet,
-    /// twice that: peers that always keep the width full would otherwise keep
-    /// it from ever loading. Beyond its width the store is slower and refuses
-    /// nothing.
+    /// Limit on the concurrent loads of all VMs. The limit is doubled for a VM
+    /// without a running load, since peers that keep the store at its limit
+    /// would otherwise starve that VM. Beyond its limit the store is slower but
+    /// refuses no load.
     std::size_t max_running() const
     {
         return running_ == 0 ? 2 * store_.loads_at_once : store_.loads_at_once;
     }
 
-    /// This VM's share of the rate. A silent peer keeps its even share and is
-    /// counted among those that share the idle ones'.
+    /// Recomputes this VM's share of the rate. A peer without recent counts
+    /// keeps its even share and is assumed to use its part of the idle peers'
+    /// shares.
     void update_rate(time_point now)
     {
         now_ = std::max(now_, now);
-        std::size_t idle = 0;
+        std::size_t idle_peers = 0;
         for (auto const& [id, peer] : peers_)
             if (is_fresh(peer, now_) && !has_demand(peer.counts))
-                ++idle;
-        idle = std::min(idle, members_ - 1);
-        double const even =
+                ++idle_peers;
+        idle_peers = std::min(idle_peers, members_ - 1);
+        double const even_share =
             store_.loads_per_second / static_cast<double>(members_);
-        auto const sharing = static_cast<double>(members_ - idle);
-        bucket_.set_rate(even + even * static_cast<double>(idle) / sharing,
+        auto const sharing_vms = static_cast<double>(members_ - idle_peers);
+        bucket_.set_rate(even_share + even_share *
+                                          static_cast<double>(idle_peers) /
+                                          sharing_vms,
                          now_);
     }
 
--- a/tests/answer_relay_test.cpp
+++ b/tests/answer_relay_test.cpp
@@ -9,8 +9,7 @@
 using namespace std::chrono_literals;
 using verdict = answer_relay::verdict;
 
-TEST_CASE("whatever order events arrive in, what passes has no gap and no "
-          "repetition",
+TEST_CASE("passed events have no gaps or duplicates in any order of arrival",
           "[answer_relay]")
 {
     CHECK(rc::check(
@@ -33,7 +32,8 @@
         }));
 }
 
-TEST_CASE("only events in their place put silence off", "[answer_relay]")
+TEST_CASE("only the next expected event extends the progress deadline",
+          "[answer_relay]")
 {
     safeguards const checks;
     answer_relay relay(checks, 2s, time_point());
@@ -49,7 +49,8 @@
     CHECK(relay.progress_deadline() == time_point(4s));
 }
 
-TEST_CASE("the end counts only when its event passed", "[answer_relay]")
+TEST_CASE("the end is seen only when the last event is passed on",
+          "[answer_relay]")
 {
     safeguards const checks;
     answer_relay relay(checks, 2s, time_point());
--- a/tests/load_budget_test.cpp
+++ b/tests/load_budget_test.cpp
@@ -26,7 +26,7 @@
     return vm_id("vm-" + std::to_string(number));
 }
 
-/// Members that always have loads waiting where `wants` says so.
+/// A group of VMs, each with its load budget, on a simulated clock.
 class simulated_vms
 {
 public:
@@ -59,7 +59,7 @@
                     exchange(from, to);
     }
 
-    /// Starts as many as the member may; how many.
+    /// Starts as many loads as the VM's budget allows; returns their number.
     std::size_t start(std::size_t vm)
     {
         std::size_t started = 0;
@@ -99,14 +99,14 @@
     return has_demand;
 }
 
-/// What a member may have saved up before it starts.
+/// Permits that a VM can have saved before its first load.
 constexpr double max_saved_permits = 2;
 constexpr int steps = 200;
 double const window = std::chrono::duration<double>(step).count() * steps;
 
 } // namespace
 
-TEST_CASE("an even split never exceeds the rate", "[load_budget]")
+TEST_CASE("even_split never exceeds the load rate", "[load_budget]")
 {
     CHECK(rc::check(
         []
@@ -128,7 +128,8 @@
         }));
 }
 
-TEST_CASE("exchanged counts never exceed the rate while all hear all in time",
+TEST_CASE("exchanged_counts never exceeds the load rate while all reports "
+          "arrive in time",
           "[load_budget]")
 {
     CHECK(rc::check(
@@ -156,11 +157,12 @@
         }));
 }
 
-TEST_CASE("exchanged counts stay under twice the rate whatever is lost",
+TEST_CASE("exchanged_counts stays below twice the load rate when reports are "
+          "lost",
           "[load_budget]")
 {
-    // Messages between the VMs are lost at random, and who wants to load
-    // changes all the time: some VMs lend out shares whose owners use them.
+    // Reports between the VMs are lost at random while the VMs' demand changes,
+    // so that some VMs use the share of a peer that uses the share as well.
     CHECK(rc::check(
         []
         {
@@ -189,8 +191,8 @@
         }));
 }
 
-TEST_CASE("one member alone with demand has the whole rate by exchanged "
-          "counts, its part only by an even split",
+TEST_CASE("the only VM with demand gets the whole rate from exchanged_counts "
+          "and only its share from even_split",
           "[load_budget]")
 {
     auto const started = [](std::string_view name)
@@ -210,10 +212,11 @@
     CHECK(started("even_split") < 17);
 }
 
-TEST_CASE("a peer that fell silent keeps its share", "[load_budget]")
+TEST_CASE("a peer without recent reports keeps its share", "[load_budget]")
 {
-    // A VM said that it had nothing to load and was then cut off. Counted as
-    // idle for ever, it would load at its share while another uses it too.
+    // A VM reports no demand and is then partitioned from its peers. If the
+    // peers kept counting the VM as idle, they would use its share while the VM
+    // uses the share too.
     simulated_vms all("exchanged_counts", 2);
     all.exchange_all();
     all.set_waiting(0, 5);
@@ -232,7 +235,7 @@
     CHECK(late_rate < 5.5);
 }
 
-TEST_CASE("a repeated or older message changes nothing", "[load_budget]")
+TEST_CASE("an outdated report changes nothing", "[load_budget]")
 {
     simulated_vms all("exchanged_counts", 2);
     load_counts idle;
@@ -253,7 +256,7 @@
     CHECK(all.at(0).next_permit(all.now() + 1s) == before);
 }
 
-TEST_CASE("the next permit is when a start is allowed", "[load_budget]")
+TEST_CASE("a load may start at next_permit() and not before", "[load_budget]")
 {
     for (std::string_view const name : {"even_split", "exchanged_counts"})
     {
