--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -28,7 +28,7 @@
                        adapter_version(1));
 }
 
-/// The even workers serve one base model, the odd ones another.
+/// Workers with an even number serve one base model, the others another.
 base_model_id model_of(int number)
 {
     return base_model_id(number % 2 == 0 ? "even" : "odd");
@@ -135,8 +135,8 @@
 
 } // namespace
 
-TEST_CASE("every policy chooses a usable worker of the base model, or none "
-          "only where there is none",
+TEST_CASE("every policy selects a usable worker of the base model if there is "
+          "one",
           "[routing_policy]")
 {
     for (std::string_view const name : policy_names())
@@ -163,8 +163,8 @@
             }));
 }
 
-TEST_CASE("every policy's victim is among the candidates and its next among "
-          "the eligible",
+TEST_CASE("every policy evicts one of the candidates and serves one of the "
+          "eligible requests",
           "[routing_policy]")
 {
     for (std::string_view const name : policy_names())
@@ -187,7 +187,7 @@
             }));
 }
 
-TEST_CASE("a policy repeats itself for one seed and one sequence of calls",
+TEST_CASE("a policy is deterministic for a seed and a sequence of calls",
           "[routing_policy]")
 {
     for (std::string_view const name : policy_names())
@@ -215,11 +215,11 @@
             }));
 }
 
-TEST_CASE("no waiting request is overtaken for ever", "[routing_policy]")
+TEST_CASE("no waiting request starves", "[routing_policy]")
 {
-    // A caller of the least priority waits while a request of the highest
-    // priority, for a popular adapter and near its deadline, arrives every
-    // half second. Unless age counts, the caller never gets an answer.
+    // Guards against starvation: a request of the lowest priority waits while
+    // two requests of the highest priority, for a popular adapter and close to
+    // their deadlines, arrive every half second.
     auto const policy = configured("mulberry", a_declaration());
     worker_view const worker = a_worker(0);
     std::vector<waiting_request> waiting;
@@ -241,7 +241,8 @@
     CHECK(served);
 }
 
-TEST_CASE("requests for one adapter are taken together, by priority first",
+TEST_CASE("requests for the same adapter are served together, after requests "
+          "of higher priority",
           "[routing_policy]")
 {
     auto const policy = configured("mulberry", a_declaration());
@@ -257,7 +258,8 @@
                        time_point(0s)) == 0);
 }
 
-TEST_CASE("the adapter that is asked for least goes, not the one used last",
+TEST_CASE("the adapter with the lowest request rate is evicted even if it was "
+          "used most recently",
           "[routing_policy]")
 {
     auto const policy = configured("mulberry", a_declaration());
@@ -273,12 +275,13 @@
                          time_point(50s)) == adapter_numbered(2));
 }
 
-TEST_CASE("what was popular before a shift gives way soon after it",
+TEST_CASE("an adapter that lost its popularity is evicted soon after the shift",
           "[routing_policy]")
 {
-    // One adapter is asked for every second and then no more; another, never
-    // asked for before, then every fifth second. Judged by the long run alone
-    // the first would keep its slot for minutes.
+    // One adapter is requested every second and then no more; from then on
+    // another adapter, not requested before, is requested every fifth second.
+    // By the long-term rate alone, the first adapter would keep its slot for
+    // minutes.
     auto const policy = configured("mulberry", a_declaration());
     for (int i = 0; i < 300; ++i)
         policy->observe(a_request(0), time_point(std::chrono::seconds(i)));
@@ -291,7 +294,8 @@
                          time_point(360s)) == adapter_numbered(0));
 }
 
-TEST_CASE("what is declared ready is loaded ahead and kept", "[routing_policy]")
+TEST_CASE("adapters declared ready are preloaded and evicted last",
+          "[routing_policy]")
 {
     declaration configuration = a_declaration();
     ready_declaration ready;
@@ -321,13 +325,13 @@
     add_resident(worker, 2);
     CHECK(policy->victim(worker, adapter_numbered(4), worker.residents,
                          time_point(50s)) == adapter_numbered(2));
-    // Slots force it when nothing else may go.
+    // The declared adapter is evicted if there is no other candidate.
     std::vector const only{worker.residents.front()};
     CHECK(policy->victim(worker, adapter_numbered(4), only, time_point(50s)) ==
           adapter_numbered(0));
 }
 
-TEST_CASE("nothing is loaded ahead in place of what is wanted more",
+TEST_CASE("no adapter is preloaded in place of adapters with more demand",
           "[routing_policy]")
 {
     auto const policy = configured("mulberry", a_declaration());
@@ -352,7 +356,8 @@
                   .empty());
 }
 
-TEST_CASE("a holder with batch room is used and a second copy is not loaded",
+TEST_CASE("a holder with a free batch slot is selected instead of loading a "
+          "second copy",
           "[routing_policy]")
 {
     auto const policy = configured("mulberry", a_declaration(1.0));
@@ -366,8 +371,8 @@
     CHECK(policy->choose(a_request(0), view, {}, time_point(1s)) == holder.id);
 }
 
-TEST_CASE("a saturated holder is left for a load elsewhere once waiting there "
-          "costs more",
+TEST_CASE("a saturated holder is not selected once its queueing delay costs "
+          "more than a load elsewhere",
           "[routing_policy]")
 {
     auto const policy = configured("mulberry", a_declaration(0.8));
@@ -385,13 +390,14 @@
     CHECK(*chosen != holder.id);
 }
 
-TEST_CASE("the stall weight decides between opening an idle holder and a load "
-          "on a busy worker",
+TEST_CASE("the stall weight decides between an idle holder and a load on a "
+          "busy worker",
           "[routing_policy]")
 {
-    // Six requests run on the worker that is filled first. An adapter is
-    // loaded only on an idle worker that is filled last. The Trust would open
-    // that one and not let the request stall; Chia Đều would keep it closed.
+    // Six requests run on the first worker in the fill order. The requested
+    // adapter is loaded only on an idle worker, the last in the fill order. A
+    // high stall weight selects the idle worker to avoid a cold start; a low
+    // stall weight keeps that worker unused.
     declaration const configuration = a_declaration();
     std::vector<std::pair<std::uint64_t, int>> order;
     for (int i = 0; i < workers; i += 2)
@@ -421,7 +427,7 @@
     CHECK(chosen(0.1) == busy.id);
 }
 
-TEST_CASE("a worker with the prompt's prefix cached is preferred",
+TEST_CASE("a worker that has cached the prompt's prefix is preferred",
           "[routing_policy]")
 {
     auto const policy = configured("mulberry", a_declaration(1.0));
@@ -441,13 +447,13 @@
           worker_numbered(2));
 }
 
-TEST_CASE("a worker that can take nothing in is left for one that can",
+TEST_CASE("a worker that cannot load another adapter is not selected",
           "[routing_policy]")
 {
-    // A VM was frozen past its lease. Its worker's new owner treats all that is
-    // loaded there as pinned, for as long as the frozen VM may wake up; the
-    // worker is also the one that requests are packed on. Sent there, a
-    // request for another adapter would wait out its deadline while other
+    // A VM is frozen until its lease expires. The new owner of its workers
+    // treats their loaded adapters as pinned while the frozen VM may wake up,
+    // and requests are packed on one of these workers first. A request for
+    // another adapter sent there would wait until its deadline although other
     // workers have free slots.
     for (double const stall_weight : {0.0, 0.5, 1.0})
     {
