--- a/src/adapter_demand.cpp
+++ b/src/adapter_demand.cpp
@@ -29,11 +29,13 @@
 
 void adapter_demand::observe(adapter_ref const& adapter, time_point now)
 {
-    record& one = records_[adapter];
-    double const elapsed = seconds(now - one.last_arrival).count();
-    one.slow_count = decayed(one.slow_count, elapsed, slow_decay_seconds) + 1;
-    one.fast_count = decayed(one.fast_count, elapsed, fast_decay_seconds) + 1;
-    one.last_arrival = now;
+    record& arrivals = records_[adapter];
+    double const elapsed = seconds(now - arrivals.last_arrival).count();
+    arrivals.slow_count =
+        decayed(arrivals.slow_count, elapsed, slow_decay_seconds) + 1;
+    arrivals.fast_count =
+        decayed(arrivals.fast_count, elapsed, fast_decay_seconds) + 1;
+    arrivals.last_arrival = now;
     double const since_last = seconds(now - total_.last_arrival).count();
     total_.slow_count =
         decayed(total_.slow_count, since_last, slow_decay_seconds) + 1;
@@ -52,12 +54,13 @@
     auto const at = records_.find(adapter);
     if (at == records_.end())
         return 0;
-    record const& one = at->second;
-    double const elapsed = seconds(now - one.last_arrival).count();
+    record const& arrivals = at->second;
+    double const elapsed = seconds(now - arrivals.last_arrival).count();
     double const fast_count =
-        decayed(one.fast_count, elapsed, fast_decay_seconds);
-    double estimate = decayed(one.slow_count, elapsed, slow_decay_seconds) /
-                      slow_decay_seconds;
+        decayed(arrivals.fast_count, elapsed, fast_decay_seconds);
+    double estimate =
+        decayed(arrivals.slow_count, elapsed, slow_decay_seconds) /
+        slow_decay_seconds;
     if (fast_count >= min_fast_arrivals)
         estimate = std::max(estimate, fast_count / fast_decay_seconds);
     if (elapsed * estimate > max_missed_arrivals)
--- a/src/cluster_view.cpp
+++ b/src/cluster_view.cpp
@@ -108,8 +108,8 @@
 resident_view const* worker_view::find(adapter_ref const& adapter) const
 {
     auto const at = std::find_if(residents.begin(), residents.end(),
-                                 [&](resident_view const& one)
-                                 { return one.adapter == adapter; });
+                                 [&](resident_view const& resident)
+                                 { return resident.adapter == adapter; });
     return at == residents.end() ? nullptr : &*at;
 }
 
--- a/src/fill_order.cpp
+++ b/src/fill_order.cpp
@@ -47,12 +47,12 @@
     auto const slots = batch_slots_.find(model);
     if (slots == batch_slots_.end() || slots->second <= 0)
         return;
-    load& one = loads_[model];
-    double const elapsed = seconds(now - one.updated_at).count();
-    double const kept = std::exp(-elapsed / smoothing_seconds);
+    load& model_load = loads_[model];
+    double const elapsed = seconds(now - model_load.updated_at).count();
+    double const decay = std::exp(-elapsed / smoothing_seconds);
     double const batches = static_cast<double>(in_progress) / slots->second;
-    one.batches = one.batches * kept + batches * (1 - kept);
-    one.updated_at = now;
+    model_load.batches = model_load.batches * decay + batches * (1 - decay);
+    model_load.updated_at = now;
 }
 
 double fill_order::smoothed_batches(base_model_id const& model) const
@@ -64,8 +64,8 @@
 double fill_order::total_smoothed_batches() const
 {
     double sum = 0;
-    for (auto const& [model, one] : loads_)
-        sum += one.batches;
+    for (auto const& [model, model_load] : loads_)
+        sum += model_load.batches;
     return sum;
 }
 
--- a/src/worker_ring.cpp
+++ b/src/worker_ring.cpp
@@ -20,15 +20,17 @@
 {
     for (auto const& [id, worker] : configuration.workers)
     {
-        hash_ring& one = rings_[worker.base_model];
-        auto const number = static_cast<std::uint32_t>(one.workers.size());
-        one.workers.push_back(id);
+        hash_ring& ring = rings_[worker.base_model];
+        auto const worker_index =
+            static_cast<std::uint32_t>(ring.workers.size());
+        ring.workers.push_back(id);
         for (int i = 0; i < points_per_worker; ++i)
-            one.points.push_back(
-                {stable_hash(id.str() + "/" + std::to_string(i)), number});
+            ring.points.push_back(
+                {stable_hash(id.str() + "/" + std::to_string(i)),
+                 worker_index});
     }
-    for (auto& [model, one] : rings_)
-        std::sort(one.points.begin(), one.points.end(),
+    for (auto& [model, ring] : rings_)
+        std::sort(ring.points.begin(), ring.points.end(),
                   [](point const& left, point const& right)
                   {
                       return std::pair(left.hash, left.worker) <
@@ -44,17 +46,17 @@
     auto const at = rings_.find(model);
     if (at == rings_.end())
         return found;
-    hash_ring const& one = at->second;
-    max_count = std::min(max_count, one.workers.size());
+    hash_ring const& ring = at->second;
+    max_count = std::min(max_count, ring.workers.size());
     auto const key = stable_hash(adapter.str());
-    auto next = std::lower_bound(one.points.begin(), one.points.end(), key,
+    auto next = std::lower_bound(ring.points.begin(), ring.points.end(), key,
                                  [](point const& left, std::uint64_t right)
                                  { return left.hash < right; });
     while (found.size() < max_count)
     {
-        if (next == one.points.end())
-            next = one.points.begin();
-        worker_id const& home = one.workers[next->worker];
+        if (next == ring.points.end())
+            next = ring.points.begin();
+        worker_id const& home = ring.workers[next->worker];
         if (std::find(found.begin(), found.end(), home) == found.end())
             found.push_back(home);
         ++next;
