--- a/src/mulberry_policy.cpp
+++ b/src/mulberry_policy.cpp
@@ -32,8 +32,9 @@
 /// The running requests are packed onto as few workers as can hold them when
 /// each worker's batch is filled to a target share. The target falls linearly
 /// from max_fill_share at stall weight 0 to min_fill_share at stall weight 1.
-/// Using a worker beyond those adds open_worker_cost_seconds; among them the
-/// cost rises in fill order from 0 to fill_order_cost_seconds.
+/// Using a worker beyond those costs open_worker_cost_seconds; among them the
+/// cost rises in fill order from 0 to fill_order_cost_seconds. Both costs are
+/// scaled by the stall weight, see opening_cost().
 constexpr double max_fill_share = 0.95;
 constexpr double min_fill_share = 0.85;
 constexpr double open_worker_cost_seconds = 25.0;
@@ -43,8 +44,8 @@
 /// bounds how long that lasts, and a request sent to the worker would wait
 /// until its deadline although other workers have free slots.
 constexpr double cannot_load_cost_seconds = 1e6;
-/// Extra delay at a worker whose residents are all in use: none can be evicted
-/// until its requests have ended.
+/// Extra delay where no resident can be evicted at once, because all are in
+/// use, or where the requested adapter itself is being evicted.
 constexpr double all_residents_busy_cost_seconds = 0.5;
 /// Weight of the weight store's queue in a load's delay. Above 1, because a
 /// load also delays the loads that come after it.
