--- a/bench/decision_cost.cpp
+++ b/bench/decision_cost.cpp
@@ -192,7 +192,7 @@
         model_request request = requests.front();
         request.adapter = adapter_numbered(i);
         policy->observe(request, start);
-        policy->choose(request, view, {}, start);
+        policy->choose_worker(request, view, {}, start);
     }
     row.bytes_an_adapter = static_cast<double>(allocated() - before_policy) /
                            static_cast<double>(adapters);
@@ -202,7 +202,7 @@
     row.choose =
         nanoseconds(decisions,
                     [&](int i) {
-                        policy->choose(requests[static_cast<std::size_t>(i)],
+                        policy->choose_worker(requests[static_cast<std::size_t>(i)],
                                        view, {}, at(i));
                     });
     std::vector<worker_view> views;
--- a/bench/trial_run.cpp
+++ b/bench/trial_run.cpp
@@ -142,7 +142,7 @@
     {
         request_record& record = records_[place];
         auto const worker =
-            policy_->choose(request, view_, record.tried, queue_.now());
+            policy_->choose_worker(request, view_, record.tried, queue_.now());
         if (!worker)
         {
             record.failed = true;
--- a/src/adapter_loader.cpp
+++ b/src/adapter_loader.cpp
@@ -189,7 +189,7 @@
             return;
         }
         auto const next =
-            policy_->next(with_residents(situation), eligible, now);
+            policy_->choose_next(with_residents(situation), eligible, now);
         if (!next)
             return;
         adapter_ref const& adapter = eligible[*next].adapter;
@@ -286,7 +286,7 @@
             {item.adapter, resident_state::ready, slots_.requests(name),
              queued_under(name, item, situation.queue), false, item.last_used});
     }
-    auto const victim = policy_->victim(with_residents(situation), incoming,
+    auto const victim = policy_->choose_victim(with_residents(situation), incoming,
                                         candidates, situation.now);
     if (!victim)
         return std::nullopt;
--- a/src/baseline_policies.cpp
+++ b/src/baseline_policies.cpp
@@ -36,9 +36,9 @@
 } // namespace
 
 std::optional<adapter_ref>
-baseline_policy::victim(worker_view const&, adapter_ref const&,
-                        std::vector<resident_view> const& candidates,
-                        time_point)
+baseline_policy::choose_victim(worker_view const&, adapter_ref const&,
+                               std::vector<resident_view> const& candidates,
+                               time_point)
 {
     auto const oldest = std::min_element(
         candidates.begin(), candidates.end(),
@@ -48,8 +48,8 @@
 }
 
 std::optional<std::size_t>
-baseline_policy::next(worker_view const&, std::vector<waiting_request> const&,
-                      time_point)
+baseline_policy::choose_next(worker_view const&,
+                             std::vector<waiting_request> const&, time_point)
 {
     return 0;
 }
@@ -78,18 +78,16 @@
     ready_placement_ = place_ready(configuration);
 }
 
-std::optional<worker_id>
-least_loaded_policy::choose(model_request const& request,
-                            cluster_view const& view,
-                            std::set<worker_id> const& excluded, time_point)
+std::optional<worker_id> least_loaded_policy::choose_worker(
+    model_request const& request, cluster_view const& view,
+    std::set<worker_id> const& excluded, time_point)
 {
     return least_loaded_of(request, view, excluded);
 }
 
-std::optional<worker_id>
-consistent_hash_policy::choose(model_request const& request,
-                               cluster_view const& view,
-                               std::set<worker_id> const& excluded, time_point)
+std::optional<worker_id> consistent_hash_policy::choose_worker(
+    model_request const& request, cluster_view const& view,
+    std::set<worker_id> const& excluded, time_point)
 {
     for (worker_id const& home :
          ring().homes(request.base_model, request.adapter, max_homes_tried))
@@ -103,8 +101,9 @@
 }
 
 std::optional<worker_id>
-random_policy::choose(model_request const& request, cluster_view const& view,
-                      std::set<worker_id> const& excluded, time_point)
+random_policy::choose_worker(model_request const& request,
+                             cluster_view const& view,
+                             std::set<worker_id> const& excluded, time_point)
 {
     auto const& workers = ring().workers(request.base_model);
     if (workers.empty())
@@ -120,8 +119,9 @@
 }
 
 std::optional<adapter_ref>
-random_policy::victim(worker_view const&, adapter_ref const&,
-                      std::vector<resident_view> const& candidates, time_point)
+random_policy::choose_victim(worker_view const&, adapter_ref const&,
+                             std::vector<resident_view> const& candidates,
+                             time_point)
 {
     return candidates[random_() % candidates.size()].adapter;
 }
--- a/src/baseline_policies.hpp
+++ b/src/baseline_policies.hpp
@@ -18,12 +18,13 @@
 {
 public:
     std::optional<adapter_ref>
-    victim(worker_view const& worker, adapter_ref const& incoming,
-           std::vector<resident_view> const& candidates,
-           time_point now) override;
+    choose_victim(worker_view const& worker, adapter_ref const& incoming,
+                  std::vector<resident_view> const& candidates,
+                  time_point now) override;
     std::optional<std::size_t>
-    next(worker_view const& worker,
-         std::vector<waiting_request> const& eligible, time_point now) override;
+    choose_next(worker_view const& worker,
+                std::vector<waiting_request> const& eligible,
+                time_point now) override;
     std::vector<adapter_ref> adapters_to_preload(worker_view const& worker,
                                                  cluster_view const& view,
                                                  time_point now) override;
@@ -42,10 +43,10 @@
 class least_loaded_policy : public baseline_policy
 {
 public:
-    std::optional<worker_id> choose(model_request const& request,
-                                    cluster_view const& view,
-                                    std::set<worker_id> const& excluded,
-                                    time_point now) override;
+    std::optional<worker_id> choose_worker(model_request const& request,
+                                           cluster_view const& view,
+                                           std::set<worker_id> const& excluded,
+                                           time_point now) override;
 };
 
 /// Consistent hashing on the adapter with bounded loads: a home whose queue
@@ -54,10 +55,10 @@
 class consistent_hash_policy : public baseline_policy
 {
 public:
-    std::optional<worker_id> choose(model_request const& request,
-                                    cluster_view const& view,
-                                    std::set<worker_id> const& excluded,
-                                    time_point now) override;
+    std::optional<worker_id> choose_worker(model_request const& request,
+                                           cluster_view const& view,
+                                           std::set<worker_id> const& excluded,
+                                           time_point now) override;
 };
 
 /// Selects a random worker and evicts a random adapter.
@@ -66,14 +67,14 @@
 public:
     explicit random_policy(std::uint64_t seed) : random_(seed) {}
 
-    std::optional<worker_id> choose(model_request const& request,
-                                    cluster_view const& view,
-                                    std::set<worker_id> const& excluded,
-                                    time_point now) override;
+    std::optional<worker_id> choose_worker(model_request const& request,
+                                           cluster_view const& view,
+                                           std::set<worker_id> const& excluded,
+                                           time_point now) override;
     std::optional<adapter_ref>
-    victim(worker_view const& worker, adapter_ref const& incoming,
-           std::vector<resident_view> const& candidates,
-           time_point now) override;
+    choose_victim(worker_view const& worker, adapter_ref const& incoming,
+                  std::vector<resident_view> const& candidates,
+                  time_point now) override;
 
 private:
     std::mt19937_64 random_;
--- a/src/dispatch_core.cpp
+++ b/src/dispatch_core.cpp
@@ -49,7 +49,7 @@
         std::vector<waiting_request> const eligible = queue_.select(can_go);
         if (eligible.empty())
             return;
-        auto const next = policy_->next(view(now), eligible, now);
+        auto const next = policy_->choose_next(view(now), eligible, now);
         if (!next)
             return;
         queued_request item = *queue_.take(eligible[*next].id);
--- a/src/model_entry.cpp
+++ b/src/model_entry.cpp
@@ -109,7 +109,7 @@
                                                     time_point now)
 {
     adapter_ref const& adapter = one.request.adapter;
-    auto const first = policy_->choose(one.request, *view_, one.excluded, now);
+    auto const first = policy_->choose_worker(one.request, *view_, one.excluded, now);
     auto chosen = first;
     // Failure: the table is lost, and a worker that is full can evict nothing.
     // Symptom: requests for an adapter that is loaded elsewhere are sent there
@@ -123,7 +123,7 @@
         if (worker == nullptr || worker->can_accept_adapter() || serves(*worker, adapter))
             return chosen;
         avoided.insert(*chosen);
-        chosen = policy_->choose(one.request, *view_, avoided, now);
+        chosen = policy_->choose_worker(one.request, *view_, avoided, now);
     }
     return chosen ? chosen : first;
 }
--- a/src/mulberry_policy.cpp
+++ b/src/mulberry_policy.cpp
@@ -218,9 +218,9 @@
     return weight * open_worker_cost_seconds;
 }
 
-std::optional<worker_id>
-mulberry_policy::choose(model_request const& request, cluster_view const& view,
-                        std::set<worker_id> const& excluded, time_point now)
+std::optional<worker_id> mulberry_policy::choose_worker(
+    model_request const& request, cluster_view const& view,
+    std::set<worker_id> const& excluded, time_point now)
 {
     copy_counts_[request.adapter] = view.holder_count(request.adapter);
     fill_order_.record_in_progress(request.base_model,
@@ -261,9 +261,9 @@
 }
 
 std::optional<adapter_ref>
-mulberry_policy::victim(worker_view const& worker, adapter_ref const&,
-                        std::vector<resident_view> const& candidates,
-                        time_point now)
+mulberry_policy::choose_victim(worker_view const& worker, adapter_ref const&,
+                               std::vector<resident_view> const& candidates,
+                               time_point now)
 {
     resident_view const* best = nullptr;
     double least = 0;
@@ -282,9 +282,9 @@
 }
 
 std::optional<std::size_t>
-mulberry_policy::next(worker_view const&,
-                      std::vector<waiting_request> const& eligible,
-                      time_point now)
+mulberry_policy::choose_next(worker_view const&,
+                             std::vector<waiting_request> const& eligible,
+                             time_point now)
 {
     std::unordered_map<adapter_ref, std::size_t> group_sizes;
     for (waiting_request const& request : eligible)
--- a/src/mulberry_policy.hpp
+++ b/src/mulberry_policy.hpp
@@ -24,17 +24,18 @@
 class mulberry_policy : public routing_policy
 {
 public:
-    std::optional<worker_id> choose(model_request const& request,
-                                    cluster_view const& view,
-                                    std::set<worker_id> const& excluded,
-                                    time_point now) override;
+    std::optional<worker_id> choose_worker(model_request const& request,
+                                           cluster_view const& view,
+                                           std::set<worker_id> const& excluded,
+                                           time_point now) override;
     std::optional<adapter_ref>
-    victim(worker_view const& worker, adapter_ref const& incoming,
-           std::vector<resident_view> const& candidates,
-           time_point now) override;
+    choose_victim(worker_view const& worker, adapter_ref const& incoming,
+                  std::vector<resident_view> const& candidates,
+                  time_point now) override;
     std::optional<std::size_t>
-    next(worker_view const& worker,
-         std::vector<waiting_request> const& eligible, time_point now) override;
+    choose_next(worker_view const& worker,
+                std::vector<waiting_request> const& eligible,
+                time_point now) override;
     std::vector<adapter_ref> adapters_to_preload(worker_view const& worker,
                                                  cluster_view const& view,
                                                  time_point now) override;
--- a/src/routing_policy.hpp
+++ b/src/routing_policy.hpp
@@ -37,25 +37,26 @@
     /// Selects the worker for a request; nullopt if no usable worker outside
     /// `excluded` serves the base model. The caller excludes workers at which
     /// the request has failed or would wait in vain.
-    virtual std::optional<worker_id> choose(model_request const& request,
-                                            cluster_view const& view,
-                                            std::set<worker_id> const& excluded,
-                                            time_point now) = 0;
+    virtual std::optional<worker_id>
+    choose_worker(model_request const& request, cluster_view const& view,
+                  std::set<worker_id> const& excluded, time_point now) = 0;
 
     /// Selects which of the evictable `candidates` is evicted to free a slot
     /// for `incoming`; nullopt to wait instead. Precondition: `candidates` is
     /// not empty.
     virtual std::optional<adapter_ref>
-    victim(worker_view const& worker, adapter_ref const& incoming,
-           std::vector<resident_view> const& candidates, time_point now) = 0;
+    choose_victim(worker_view const& worker, adapter_ref const& incoming,
+                  std::vector<resident_view> const& candidates,
+                  time_point now) = 0;
 
     /// Selects the next request to send or, if `eligible` holds requests whose
     /// adapter is not loaded, the next to load an adapter for. Returns an
     /// index into `eligible`; nullopt to wait. Precondition: `eligible` is not
     /// empty and in order of arrival.
     virtual std::optional<std::size_t>
-    next(worker_view const& worker,
-         std::vector<waiting_request> const& eligible, time_point now) = 0;
+    choose_next(worker_view const& worker,
+                std::vector<waiting_request> const& eligible,
+                time_point now) = 0;
 
     /// Adapters that this worker should load now although no request waits for
     /// them at the worker, most useful first.
--- a/tests/dispatch_schedule.cpp
+++ b/tests/dispatch_schedule.cpp
@@ -30,19 +30,19 @@
 public:
     explicit chance_policy(virtual_world& world) : world_(&world) {}
 
-    std::optional<worker_id> choose(model_request const&, cluster_view const&,
+    std::optional<worker_id> choose_worker(model_request const&, cluster_view const&,
                                     std::set<worker_id> const&,
                                     time_point) override
     {
         return test_worker().id;
     }
     std::optional<adapter_ref>
-    victim(worker_view const&, adapter_ref const&,
+    choose_victim(worker_view const&, adapter_ref const&,
            std::vector<resident_view> const& candidates, time_point) override
     {
         return candidates[world_->below(candidates.size())].adapter;
     }
-    std::optional<std::size_t> next(worker_view const&,
+    std::optional<std::size_t> choose_next(worker_view const&,
                                     std::vector<waiting_request> const& list,
                                     time_point) override
     {
--- a/tests/dispatcher_bench.hpp
+++ b/tests/dispatcher_bench.hpp
@@ -18,14 +18,14 @@
 public:
     std::vector<adapter_ref> wanted_ahead;
 
-    std::optional<worker_id> choose(model_request const&, cluster_view const&,
+    std::optional<worker_id> choose_worker(model_request const&, cluster_view const&,
                                     std::set<worker_id> const&,
                                     time_point) override
     {
         return std::nullopt;
     }
     std::optional<adapter_ref>
-    victim(worker_view const&, adapter_ref const&,
+    choose_victim(worker_view const&, adapter_ref const&,
            std::vector<resident_view> const& candidates, time_point) override
     {
         auto const older = [](resident_view const& a, resident_view const& b)
@@ -33,7 +33,7 @@
         return std::min_element(candidates.begin(), candidates.end(), older)
             ->adapter;
     }
-    std::optional<std::size_t> next(worker_view const&,
+    std::optional<std::size_t> choose_next(worker_view const&,
                                     std::vector<waiting_request> const&,
                                     time_point) override
     {
--- a/tests/model_entry_test.cpp
+++ b/tests/model_entry_test.cpp
@@ -14,7 +14,7 @@
 class first_worker_policy : public routing_policy
 {
 public:
-    std::optional<worker_id> choose(model_request const&,
+    std::optional<worker_id> choose_worker(model_request const&,
                                     cluster_view const& view,
                                     std::set<worker_id> const& excluded,
                                     time_point) override
@@ -24,13 +24,13 @@
                 return each->id;
         return std::nullopt;
     }
-    std::optional<adapter_ref> victim(worker_view const&, adapter_ref const&,
+    std::optional<adapter_ref> choose_victim(worker_view const&, adapter_ref const&,
                                       std::vector<resident_view> const&,
                                       time_point) override
     {
         return std::nullopt;
     }
-    std::optional<std::size_t> next(worker_view const&,
+    std::optional<std::size_t> choose_next(worker_view const&,
                                     std::vector<waiting_request> const&,
                                     time_point) override
     {
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -140,27 +140,28 @@
           "[routing_policy]")
 {
     for (std::string_view const name : policy_names())
-        CHECK(rc::check(
-            std::string(name),
-            [&]
-            {
-                auto const policy = configured(name, a_declaration());
-                cluster_view view;
-                for (int i = 0; i < workers; ++i)
-                    view.put(any_worker(i));
-                auto const excluded = any_excluded();
-                auto const request = a_request(*rc::gen::inRange(0, adapters));
-                policy->observe(request, time_point(1s));
-                auto const chosen =
-                    policy->choose(request, view, excluded, time_point(1s));
-                bool any = false;
-                for (worker_view const* one : view.all())
-                    any = any || may_serve(*one, request, excluded);
-                RC_ASSERT(chosen.has_value() == any);
-                if (chosen)
-                    RC_ASSERT(
-                        may_serve(*view.find(*chosen), request, excluded));
-            }));
+        CHECK(rc::check(std::string(name),
+                        [&]
+                        {
+                            auto const policy =
+                                configured(name, a_declaration());
+                            cluster_view view;
+                            for (int i = 0; i < workers; ++i)
+                                view.put(any_worker(i));
+                            auto const excluded = any_excluded();
+                            auto const request =
+                                a_request(*rc::gen::inRange(0, adapters));
+                            policy->observe(request, time_point(1s));
+                            auto const chosen = policy->choose_worker(
+                                request, view, excluded, time_point(1s));
+                            bool any = false;
+                            for (worker_view const* one : view.all())
+                                any = any || may_serve(*one, request, excluded);
+                            RC_ASSERT(chosen.has_value() == any);
+                            if (chosen)
+                                RC_ASSERT(may_serve(*view.find(*chosen),
+                                                    request, excluded));
+                        }));
 }
 
 TEST_CASE("every policy evicts one of the candidates and serves one of the "
@@ -176,12 +177,13 @@
                 worker_view worker = any_worker(0);
                 add_resident(worker, 5);
                 auto const victim =
-                    policy->victim(worker, adapter_numbered(7),
-                                   worker.residents, time_point(1s));
+                    policy->choose_victim(worker, adapter_numbered(7),
+                                          worker.residents, time_point(1s));
                 RC_ASSERT(victim.has_value());
                 RC_ASSERT(worker.find(*victim) != nullptr);
                 auto const waiting = any_waiting();
-                auto const next = policy->next(worker, waiting, time_point(1s));
+                auto const next =
+                    policy->choose_next(worker, waiting, time_point(1s));
                 RC_ASSERT(next.has_value());
                 RC_ASSERT(*next < waiting.size());
             }));
@@ -207,8 +209,10 @@
                     time_point const now{std::chrono::seconds(i)};
                     one->observe(request, now);
                     other->observe(request, now);
-                    auto const chosen = one->choose(request, view, {}, now);
-                    RC_ASSERT(other->choose(request, view, {}, now) == chosen);
+                    auto const chosen =
+                        one->choose_worker(request, view, {}, now);
+                    RC_ASSERT(other->choose_worker(request, view, {}, now) ==
+                              chosen);
                     if (chosen)
                         view.add_sent(*chosen, request.adapter, 0, now);
                 }
@@ -233,7 +237,7 @@
             waiting.push_back({request_id(std::to_string(i)),
                                adapter_numbered(4), most_priority, at,
                                at + 1s});
-        auto const next = policy->next(worker, waiting, at);
+        auto const next = policy->choose_next(worker, waiting, at);
         REQUIRE(next);
         served = *next == 0;
         waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(*next));
@@ -252,10 +256,12 @@
                                priority, time_point(0s), never};
     };
     worker_view const worker = a_worker(0);
-    CHECK(policy->next(worker, {waiting(0, 5), waiting(2, 5), waiting(2, 5)},
-                       time_point(0s)) == 1);
-    CHECK(policy->next(worker, {waiting(0, 9), waiting(2, 5), waiting(2, 5)},
-                       time_point(0s)) == 0);
+    CHECK(policy->choose_next(worker,
+                              {waiting(0, 5), waiting(2, 5), waiting(2, 5)},
+                              time_point(0s)) == 1);
+    CHECK(policy->choose_next(worker,
+                              {waiting(0, 9), waiting(2, 5), waiting(2, 5)},
+                              time_point(0s)) == 0);
 }
 
 TEST_CASE("the adapter with the lowest request rate is evicted even if it was "
@@ -271,8 +277,8 @@
     add_resident(worker, 2);
     worker.residents[0].last_used = time_point(40s);
     worker.residents[1].last_used = time_point(49s);
-    CHECK(policy->victim(worker, adapter_numbered(4), worker.residents,
-                         time_point(50s)) == adapter_numbered(2));
+    CHECK(policy->choose_victim(worker, adapter_numbered(4), worker.residents,
+                                time_point(50s)) == adapter_numbered(2));
 }
 
 TEST_CASE("an adapter that lost its popularity is evicted soon after the shift",
@@ -290,8 +296,8 @@
     worker_view worker = a_worker(0);
     add_resident(worker, 0);
     add_resident(worker, 2);
-    CHECK(policy->victim(worker, adapter_numbered(4), worker.residents,
-                         time_point(360s)) == adapter_numbered(0));
+    CHECK(policy->choose_victim(worker, adapter_numbered(4), worker.residents,
+                                time_point(360s)) == adapter_numbered(0));
 }
 
 TEST_CASE("adapters declared ready are preloaded and evicted last",
@@ -323,12 +329,12 @@
         policy->observe(a_request(2), time_point(std::chrono::seconds(i)));
     add_resident(worker, 0);
     add_resident(worker, 2);
-    CHECK(policy->victim(worker, adapter_numbered(4), worker.residents,
-                         time_point(50s)) == adapter_numbered(2));
+    CHECK(policy->choose_victim(worker, adapter_numbered(4), worker.residents,
+                                time_point(50s)) == adapter_numbered(2));
     // The declared adapter is evicted if there is no other candidate.
     std::vector const only{worker.residents.front()};
-    CHECK(policy->victim(worker, adapter_numbered(4), only, time_point(50s)) ==
-          adapter_numbered(0));
+    CHECK(policy->choose_victim(worker, adapter_numbered(4), only,
+                                time_point(50s)) == adapter_numbered(0));
 }
 
 TEST_CASE("no adapter is preloaded in place of adapters with more demand",
@@ -368,7 +374,8 @@
     holder.running = 7;
     add_resident(holder, 0, 7);
     view.put(holder);
-    CHECK(policy->choose(a_request(0), view, {}, time_point(1s)) == holder.id);
+    CHECK(policy->choose_worker(a_request(0), view, {}, time_point(1s)) ==
+          holder.id);
 }
 
 TEST_CASE("a saturated holder is not selected once its queueing delay costs "
@@ -385,7 +392,8 @@
     add_resident(holder, 0, 8);
     holder.residents.front().queued = 30;
     view.put(holder);
-    auto const chosen = policy->choose(a_request(0), view, {}, time_point(1s));
+    auto const chosen =
+        policy->choose_worker(a_request(0), view, {}, time_point(1s));
     REQUIRE(chosen);
     CHECK(*chosen != holder.id);
 }
@@ -419,8 +427,8 @@
         auto const policy = configured("mulberry", a_declaration(stall_weight));
         std::optional<worker_id> last;
         for (int i = 1; i < 100; ++i)
-            last = policy->choose(a_request(0), view, {},
-                                  time_point(std::chrono::seconds(i)));
+            last = policy->choose_worker(a_request(0), view, {},
+                                         time_point(std::chrono::seconds(i)));
         return last;
     };
     CHECK(chosen(0.95) == idle.id);
@@ -443,7 +451,7 @@
     }
     model_request request = a_request(0);
     request.prefix_key = 77;
-    CHECK(policy->choose(request, view, {}, time_point(1s)) ==
+    CHECK(policy->choose_worker(request, view, {}, time_point(1s)) ==
           worker_numbered(2));
 }
 
@@ -483,10 +491,11 @@
             view.put(worker);
         }
         time_point const now{1h};
-        auto const chosen = policy->choose(a_request(0), view, {}, now);
+        auto const chosen = policy->choose_worker(a_request(0), view, {}, now);
         REQUIRE(chosen);
         CHECK(*chosen == worker_numbered(6));
-        auto const resident = policy->choose(a_request(2), view, {}, now);
+        auto const resident =
+            policy->choose_worker(a_request(2), view, {}, now);
         REQUIRE(resident);
         CHECK(*resident != worker_numbered(6));
     }
