--- a/src/mulberry_policy.hpp
+++ b/src/mulberry_policy.hpp
@@ -68,13 +68,18 @@
     double load_weight(cluster_view const& view) const;
     /// Penalty in seconds for using a worker late in the fill order.
     double opening_cost(worker_view const& worker) const;
+    /// The adapters declared ready for the worker that are not resident.
     std::vector<adapter_ref>
     missing_ready_adapters(worker_view const& worker) const;
+    /// The most requested adapter whose home is the worker and that no worker
+    /// holds. Empty while requests wait for loads on any worker, or if the
+    /// demand does not justify a load.
     std::vector<adapter_ref> preload_by_demand(worker_view const& worker,
                                                cluster_view const& view,
                                                time_point now) const;
 
     double stall_weight_ = 0.5;
+    /// Duration of one load while the store runs its concurrent loads.
     double load_seconds_ = 0.5;
     std::size_t store_concurrency_ = 4;
     worker_ring ring_;
