--- a/tests/answer_relay_test.cpp
+++ b/tests/answer_relay_test.cpp
@@ -22,11 +22,11 @@
             for (std::uint64_t const arrival : arrivals)
             {
                 std::uint64_t const offset = arrival % 8;
-                verdict const what =
+                verdict const result =
                     relay.on_event(offset, false, time_point());
-                RC_ASSERT((what == verdict::pass) == (offset == expected));
-                RC_ASSERT((what == verdict::gap) == (offset > expected));
-                expected += what == verdict::pass;
+                RC_ASSERT((result == verdict::pass) == (offset == expected));
+                RC_ASSERT((result == verdict::gap) == (offset > expected));
+                expected += result == verdict::pass;
                 RC_ASSERT(relay.next_offset() == expected);
             }
         }));
--- a/tests/cluster_view_test.cpp
+++ b/tests/cluster_view_test.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-constexpr int workers = 9;
-constexpr int adapters = 6;
+constexpr int worker_count = 9;
+constexpr int adapter_count = 6;
 
 worker_id worker_numbered(int number)
 {
@@ -31,16 +31,16 @@
     return base_model_id("model-" + std::to_string(number));
 }
 
-worker_view any_worker()
+worker_view random_worker()
 {
     worker_view view;
-    view.id = worker_numbered(*rc::gen::inRange(0, workers));
+    view.id = worker_numbered(*rc::gen::inRange(0, worker_count));
     view.base_model = model_numbered(*rc::gen::inRange(0, 2));
     view.usable = *rc::gen::inRange(0, 4) != 0;
     view.batch_slots = 4;
     view.running = *rc::gen::inRange<std::size_t>(0, 5);
     view.as_of = time_point(duration(*rc::gen::inRange(0, 5)));
-    for (int i = 0; i < adapters; ++i)
+    for (int i = 0; i < adapter_count; ++i)
     {
         if (*rc::gen::inRange(0, 3) != 0)
             continue;
@@ -53,10 +53,10 @@
 }
 
 /// Reference implementation of cluster_view without indexes.
-class naive_view
+class reference_view
 {
 public:
-    struct note
+    struct sent_request
     {
         adapter_ref adapter;
         time_point at;
@@ -64,18 +64,18 @@
 
     void put(worker_view view)
     {
-        auto& notes = notes_[view.id];
-        std::erase_if(notes,
-                      [&](note const& one) { return one.at <= view.as_of; });
+        auto& sent = sent_[view.id];
+        std::erase_if(sent, [&](sent_request const& one)
+                      { return one.at <= view.as_of; });
         worker_view& kept = views_[view.id] = std::move(view);
-        for (note const& one : notes)
+        for (sent_request const& one : sent)
             apply(kept, one.adapter);
     }
 
     void remove(worker_id const& id)
     {
         views_.erase(id);
-        notes_.erase(id);
+        sent_.erase(id);
     }
 
     void add_sent(worker_id const& id, adapter_ref const& adapter,
@@ -86,7 +86,7 @@
             return;
         apply(found->second, adapter);
         if (at > found->second.as_of)
-            notes_[id].push_back({adapter, at});
+            sent_[id].push_back({adapter, at});
     }
 
     std::map<worker_id, worker_view> const& views() const { return views_; }
@@ -131,30 +131,31 @@
     }
 
     std::map<worker_id, worker_view> views_;
-    std::map<worker_id, std::vector<note>> notes_;
+    std::map<worker_id, std::vector<sent_request>> sent_;
 };
 
-void change(cluster_view& view, naive_view& naive)
+void apply_random_change(cluster_view& view, reference_view& reference)
 {
-    int const what = *rc::gen::inRange(0, 5);
-    worker_id const id = worker_numbered(*rc::gen::inRange(0, workers));
-    if (what == 0)
+    int const kind = *rc::gen::inRange(0, 5);
+    worker_id const id = worker_numbered(*rc::gen::inRange(0, worker_count));
+    if (kind == 0)
     {
         view.remove(id);
-        naive.remove(id);
+        reference.remove(id);
     }
-    else if (what == 1)
+    else if (kind == 1)
     {
-        auto const adapter = adapter_numbered(*rc::gen::inRange(0, adapters));
+        auto const adapter =
+            adapter_numbered(*rc::gen::inRange(0, adapter_count));
         time_point const at(duration(*rc::gen::inRange(0, 6)));
         view.add_sent(id, adapter, 7, at);
-        naive.add_sent(id, adapter, at);
+        reference.add_sent(id, adapter, at);
     }
     else
     {
-        worker_view const one = any_worker();
+        worker_view const one = random_worker();
         view.put(one);
-        naive.put(one);
+        reference.put(one);
     }
 }
 
@@ -167,33 +168,33 @@
     return ids;
 }
 
-void check_adapter(cluster_view const& view, naive_view const& naive,
+void check_adapter(cluster_view const& view, reference_view const& reference,
                    adapter_ref const& adapter)
 {
-    auto const expected = naive.holders(adapter);
+    auto const expected = reference.holders(adapter);
     RC_ASSERT(ids_of(view.holders(adapter)) == expected);
     RC_ASSERT(view.holder_count(adapter) == expected.size());
     auto const least = view.least_loaded_holders(adapter, 2);
     RC_ASSERT(least.size() == std::min<std::size_t>(2, expected.size()));
     for (worker_view const* one :
-         view.fullest_holders_with_room(adapter, workers))
+         view.fullest_holders_with_room(adapter, worker_count))
     {
         RC_ASSERT(expected.contains(one->id));
         RC_ASSERT(one->load() < 1);
     }
 }
 
-void check_model(cluster_view const& view, naive_view const& naive,
+void check_model(cluster_view const& view, reference_view const& reference,
                  base_model_id const& model)
 {
-    auto const expected = naive.loads(model);
+    auto const expected = reference.loads(model);
     std::vector<double> found;
-    for (worker_view const* one : view.least_loaded(model, workers))
+    for (worker_view const* one : view.least_loaded(model, worker_count))
         found.push_back(one->load());
     RC_ASSERT(std::is_sorted(found.begin(), found.end()));
     RC_ASSERT(std::multiset<double>(found.begin(), found.end()) == expected);
     std::vector<double> room;
-    for (worker_view const* one : view.fullest_with_room(model, workers))
+    for (worker_view const* one : view.fullest_with_room(model, worker_count))
         room.push_back(one->load());
     RC_ASSERT(std::is_sorted(room.rbegin(), room.rend()));
     auto const with_room = static_cast<std::size_t>(
@@ -210,14 +211,14 @@
         []
         {
             cluster_view view;
-            naive_view naive;
+            reference_view reference;
             int const changes = *rc::gen::inRange(1, 40);
             for (int i = 0; i < changes; ++i)
-                change(view, naive);
-            RC_ASSERT(view.size() == naive.views().size());
+                apply_random_change(view, reference);
+            RC_ASSERT(view.size() == reference.views().size());
             std::map<base_model_id, std::size_t> in_progress;
             std::size_t stalled = 0;
-            for (auto const& [id, one] : naive.views())
+            for (auto const& [id, one] : reference.views())
             {
                 RC_ASSERT(view.find(id) != nullptr);
                 RC_ASSERT(view.find(id)->queued == one.queued);
@@ -228,12 +229,12 @@
                 stalled += one.stalled();
             }
             RC_ASSERT(view.stalled() == stalled);
-            for (int i = 0; i < adapters; ++i)
-                check_adapter(view, naive, adapter_numbered(i));
+            for (int i = 0; i < adapter_count; ++i)
+                check_adapter(view, reference, adapter_numbered(i));
             for (int i = 0; i < 2; ++i)
             {
                 base_model_id const model = model_numbered(i);
-                check_model(view, naive, model);
+                check_model(view, reference, model);
                 RC_ASSERT(view.in_progress(model) == in_progress[model]);
             }
         }));
--- a/tests/load_budget_test.cpp
+++ b/tests/load_budget_test.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr duration step = 50ms;
+constexpr duration time_step = 50ms;
 constexpr duration load_time = 400ms;
 
 store_declaration a_store()
@@ -102,7 +102,8 @@
 /// Permits that a VM can have saved before its first load.
 constexpr double max_saved_permits = 2;
 constexpr int steps = 200;
-double const window = std::chrono::duration<double>(step).count() * steps;
+double const window_seconds =
+    std::chrono::duration<double>(time_step).count() * steps;
 
 } // namespace
 
@@ -112,18 +113,18 @@
         []
         {
             auto const count = *rc::gen::inRange<std::size_t>(1, 9);
-            simulated_vms all("even_split", count);
+            simulated_vms vms("even_split", count);
             auto const has_demand = random_demand(count);
             std::size_t started = 0;
             for (int i = 0; i < steps; ++i)
             {
                 for (std::size_t vm = 0; vm < count; ++vm)
                     if (has_demand[vm])
-                        started += all.start(vm);
-                all.advance(step);
+                        started += vms.start(vm);
+                vms.advance(time_step);
             }
             RC_ASSERT(static_cast<double>(started) <=
-                      a_store().loads_per_second * window +
+                      a_store().loads_per_second * window_seconds +
                           max_saved_permits * static_cast<double>(count));
         }));
 }
@@ -136,7 +137,7 @@
         []
         {
             auto const count = *rc::gen::inRange<std::size_t>(1, 9);
-            simulated_vms all("exchanged_counts", count);
+            simulated_vms vms("exchanged_counts", count);
             std::size_t started = 0;
             std::vector<bool> has_demand(count);
             for (int i = 0; i < steps; ++i)
@@ -144,15 +145,15 @@
                 if (i % 20 == 0)
                     has_demand = random_demand(count);
                 for (std::size_t vm = 0; vm < count; ++vm)
-                    all.set_waiting(vm, has_demand[vm] ? 3 : 0);
-                all.exchange_all();
+                    vms.set_waiting(vm, has_demand[vm] ? 3 : 0);
+                vms.exchange_all();
                 for (std::size_t vm = 0; vm < count; ++vm)
                     if (has_demand[vm])
-                        started += all.start(vm);
-                all.advance(step);
+                        started += vms.start(vm);
+                vms.advance(time_step);
             }
             RC_ASSERT(static_cast<double>(started) <=
-                      a_store().loads_per_second * window +
+                      a_store().loads_per_second * window_seconds +
                           max_saved_permits * static_cast<double>(count));
         }));
 }
@@ -167,26 +168,26 @@
         []
         {
             auto const count = *rc::gen::inRange<std::size_t>(2, 9);
-            simulated_vms all("exchanged_counts", count);
+            simulated_vms vms("exchanged_counts", count);
             std::size_t started = 0;
             for (int i = 0; i < steps; ++i)
             {
                 auto const has_demand = random_demand(count);
                 for (std::size_t vm = 0; vm < count; ++vm)
-                    all.set_waiting(vm, has_demand[vm] ? 3 : 0);
+                    vms.set_waiting(vm, has_demand[vm] ? 3 : 0);
                 for (int message = 0; message < 3; ++message)
                 {
                     auto const from = *rc::gen::inRange<std::size_t>(0, count);
                     auto const to = *rc::gen::inRange<std::size_t>(0, count);
                     if (from != to)
-                        all.exchange(from, to);
+                        vms.exchange(from, to);
                 }
                 for (std::size_t vm = 0; vm < count; ++vm)
-                    started += all.start(vm);
-                all.advance(step);
+                    started += vms.start(vm);
+                vms.advance(time_step);
             }
             RC_ASSERT(static_cast<double>(started) <=
-                      2 * a_store().loads_per_second * window +
+                      2 * a_store().loads_per_second * window_seconds +
                           max_saved_permits * static_cast<double>(count));
         }));
 }
@@ -197,14 +198,14 @@
 {
     auto const started = [](std::string_view name)
     {
-        simulated_vms all(name, 6);
+        simulated_vms vms(name, 6);
         std::size_t sum = 0;
         for (int i = 0; i < steps; ++i)
         {
-            all.set_waiting(0, 5);
-            all.exchange_all();
-            sum += all.start(0);
-            all.advance(step);
+            vms.set_waiting(0, 5);
+            vms.exchange_all();
+            sum += vms.start(0);
+            vms.advance(time_step);
         }
         return sum;
     };
@@ -217,56 +218,56 @@
     // A VM reports no demand and is then partitioned from its peers. If the
     // peers kept counting the VM as idle, they would use its share while the VM
     // uses the share too.
-    simulated_vms all("exchanged_counts", 2);
-    all.exchange_all();
-    all.set_waiting(0, 5);
+    simulated_vms vms("exchanged_counts", 2);
+    vms.exchange_all();
+    vms.set_waiting(0, 5);
     std::size_t early = 0;
     std::size_t late = 0;
     for (int i = 0; i < steps; ++i)
     {
-        (i < 40 ? early : late) += all.start(0);
-        all.advance(step);
+        (i < 40 ? early : late) += vms.start(0);
+        vms.advance(time_step);
     }
     double const early_rate =
-        static_cast<double>(early) / (window * 40 / steps);
+        static_cast<double>(early) / (window_seconds * 40 / steps);
     double const late_rate =
-        static_cast<double>(late) / (window * (steps - 40) / steps);
+        static_cast<double>(late) / (window_seconds * (steps - 40) / steps);
     CHECK(early_rate > 7);
     CHECK(late_rate < 5.5);
 }
 
 TEST_CASE("an outdated report changes nothing", "[load_budget]")
 {
-    simulated_vms all("exchanged_counts", 2);
+    simulated_vms vms("exchanged_counts", 2);
     load_counts idle;
     idle.vm_incarnation = incarnation(2);
     idle.started = 5;
     load_counts older = idle;
     older.started = 4;
     older.waiting = 9;
-    all.at(0).set_waiting(1, all.now());
-    all.at(0).update_peer_counts(vm_numbered(1), idle, all.now());
-    REQUIRE(all.at(0).try_start(all.now() + 1s));
-    time_point const before = all.at(0).next_permit(all.now() + 1s);
-    all.at(0).update_peer_counts(vm_numbered(1), older, all.now() + 1s);
-    CHECK(all.at(0).next_permit(all.now() + 1s) == before);
+    vms.at(0).set_waiting(1, vms.now());
+    vms.at(0).update_peer_counts(vm_numbered(1), idle, vms.now());
+    REQUIRE(vms.at(0).try_start(vms.now() + 1s));
+    time_point const before = vms.at(0).next_permit(vms.now() + 1s);
+    vms.at(0).update_peer_counts(vm_numbered(1), older, vms.now() + 1s);
+    CHECK(vms.at(0).next_permit(vms.now() + 1s) == before);
     older.vm_incarnation = incarnation(1);
     older.started = 99;
-    all.at(0).update_peer_counts(vm_numbered(1), older, all.now() + 1s);
-    CHECK(all.at(0).next_permit(all.now() + 1s) == before);
+    vms.at(0).update_peer_counts(vm_numbered(1), older, vms.now() + 1s);
+    CHECK(vms.at(0).next_permit(vms.now() + 1s) == before);
 }
 
 TEST_CASE("a load may start at next_permit() and not before", "[load_budget]")
 {
     for (std::string_view const name : {"even_split", "exchanged_counts"})
     {
-        simulated_vms all(name, 3);
-        all.advance(10s);
-        REQUIRE(all.start(0) == 1);
-        all.at(0).finished(all.now());
-        time_point const next = all.at(0).next_permit(all.now());
-        CHECK(next > all.now());
-        CHECK_FALSE(all.at(0).try_start(next - 1ms));
-        CHECK(all.at(0).try_start(next));
+        simulated_vms vms(name, 3);
+        vms.advance(10s);
+        REQUIRE(vms.start(0) == 1);
+        vms.at(0).finished(vms.now());
+        time_point const next = vms.at(0).next_permit(vms.now());
+        CHECK(next > vms.now());
+        CHECK_FALSE(vms.at(0).try_start(next - 1ms));
+        CHECK(vms.at(0).try_start(next));
     }
 }
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -14,8 +14,8 @@
 namespace
 {
 
-constexpr int workers = 8;
-constexpr int adapters = 12;
+constexpr int worker_count = 8;
+constexpr int adapter_count = 12;
 
 worker_id worker_numbered(int number)
 {
@@ -38,7 +38,7 @@
 {
     declaration result;
     result.stall_weight = stall_weight;
-    for (int i = 0; i < workers; ++i)
+    for (int i = 0; i < worker_count; ++i)
     {
         worker_declaration worker;
         worker.id = worker_numbered(i);
@@ -46,7 +46,7 @@
         worker.domain = domain_id(i % 3 == 0 ? "a" : "b");
         result.workers.emplace(worker.id, worker);
     }
-    for (int i = 0; i < adapters; ++i)
+    for (int i = 0; i < adapter_count; ++i)
     {
         adapter_declaration adapter;
         adapter.id = adapter_numbered(i).adapter();
@@ -90,22 +90,22 @@
     return policy;
 }
 
-worker_view any_worker(int number)
+worker_view random_worker(int number)
 {
     worker_view view = a_worker(number);
     view.usable = *rc::gen::inRange(0, 4) != 0;
     view.running = *rc::gen::inRange<std::size_t>(0, 9);
     view.queued = *rc::gen::inRange<std::size_t>(0, 4);
-    for (int i = 0; i < adapters && view.residents.size() < 4; ++i)
+    for (int i = 0; i < adapter_count && view.residents.size() < 4; ++i)
         if (*rc::gen::inRange(0, 4) == 0)
             add_resident(view, i, *rc::gen::inRange<std::size_t>(0, 2));
     return view;
 }
 
-std::set<worker_id> any_excluded()
+std::set<worker_id> random_excluded()
 {
     std::set<worker_id> excluded;
-    for (int i = 0; i < workers; ++i)
+    for (int i = 0; i < worker_count; ++i)
         if (*rc::gen::inRange(0, 4) == 0)
             excluded.insert(worker_numbered(i));
     return excluded;
@@ -118,7 +118,7 @@
            !excluded.contains(worker.id);
 }
 
-std::vector<waiting_request> any_waiting()
+std::vector<waiting_request> random_waiting()
 {
     std::vector<waiting_request> waiting;
     int const count = *rc::gen::inRange(1, 20);
@@ -126,7 +126,7 @@
     {
         waiting_request one;
         one.id = request_id(std::to_string(i));
-        one.adapter = adapter_numbered(*rc::gen::inRange(0, adapters));
+        one.adapter = adapter_numbered(*rc::gen::inRange(0, adapter_count));
         one.priority = *rc::gen::inRange(0, 10);
         waiting.push_back(one);
     }
@@ -146,11 +146,11 @@
                             auto const policy =
                                 configured(name, a_declaration());
                             cluster_view view;
-                            for (int i = 0; i < workers; ++i)
-                                view.put(any_worker(i));
-                            auto const excluded = any_excluded();
+                            for (int i = 0; i < worker_count; ++i)
+                                view.put(random_worker(i));
+                            auto const excluded = random_excluded();
                             auto const request =
-                                a_request(*rc::gen::inRange(0, adapters));
+                                a_request(*rc::gen::inRange(0, adapter_count));
                             policy->observe(request, time_point(1s));
                             auto const chosen = policy->choose_worker(
                                 request, view, excluded, time_point(1s));
@@ -174,14 +174,14 @@
             [&]
             {
                 auto const policy = configured(name, a_declaration());
-                worker_view worker = any_worker(0);
+                worker_view worker = random_worker(0);
                 add_resident(worker, 5);
                 auto const victim =
                     policy->choose_victim(worker, adapter_numbered(7),
                                           worker.residents, time_point(1s));
                 RC_ASSERT(victim.has_value());
                 RC_ASSERT(worker.find(*victim) != nullptr);
-                auto const waiting = any_waiting();
+                auto const waiting = random_waiting();
                 auto const next =
                     policy->choose_next(worker, waiting, time_point(1s));
                 RC_ASSERT(next.has_value());
@@ -200,12 +200,12 @@
                 auto const one = configured(name, a_declaration());
                 auto const other = configured(name, a_declaration());
                 cluster_view view;
-                for (int i = 0; i < workers; ++i)
-                    view.put(any_worker(i));
+                for (int i = 0; i < worker_count; ++i)
+                    view.put(random_worker(i));
                 for (int i = 0; i < 10; ++i)
                 {
                     auto const request =
-                        a_request(*rc::gen::inRange(0, adapters));
+                        a_request(*rc::gen::inRange(0, adapter_count));
                     time_point const now{std::chrono::seconds(i)};
                     one->observe(request, now);
                     other->observe(request, now);
@@ -350,7 +350,7 @@
             policy->observe(a_request(0), now);
     }
     cluster_view view;
-    for (int i = 0; i < workers; i += 2)
+    for (int i = 0; i < worker_count; i += 2)
     {
         worker_view worker = a_worker(i);
         for (int adapter = 2; adapter < 10; adapter += 2)
@@ -368,7 +368,7 @@
 {
     auto const policy = configured("mulberry", a_declaration(1.0));
     cluster_view view;
-    for (int i = 0; i < workers; i += 2)
+    for (int i = 0; i < worker_count; i += 2)
         view.put(a_worker(i));
     worker_view holder = a_worker(4);
     holder.running = 7;
@@ -384,7 +384,7 @@
 {
     auto const policy = configured("mulberry", a_declaration(0.8));
     cluster_view view;
-    for (int i = 0; i < workers; i += 2)
+    for (int i = 0; i < worker_count; i += 2)
         view.put(a_worker(i));
     worker_view holder = a_worker(4);
     holder.running = 8;
@@ -408,7 +408,7 @@
     // stall weight keeps that worker unused.
     declaration const configuration = a_declaration();
     std::vector<std::pair<std::uint64_t, int>> order;
-    for (int i = 0; i < workers; i += 2)
+    for (int i = 0; i < worker_count; i += 2)
         order.emplace_back(stable_hash(worker_numbered(i).str()), i);
     std::sort(order.begin(), order.end());
     cluster_view view;
