--- a/src/action.hpp
+++ b/src/action.hpp
@@ -1,4 +1,5 @@
-/// What the decision core asks the shell to do. The core never acts itself.
+/// Actions that the decision core returns for the shell to perform. The core
+/// itself performs no I/O.
 #ifndef MULBERRY_ACTION_HPP
 #define MULBERRY_ACTION_HPP
 
@@ -20,7 +21,7 @@
 namespace mulberry
 {
 
-/// Send a request to a worker, or resume its stream there.
+/// Sends a request to a worker, or resumes the stream of its answer.
 struct start_attempt
 {
     attempt_id attempt;
@@ -28,22 +29,22 @@
     engine_name name;
     fencing_number fence;
     model_request request;
-    /// The first event wanted. With `resume` false it is 0.
+    /// Offset of the first event to receive; 0 if `resume` is false.
     std::uint64_t offset = 0;
     bool resume = false;
 };
 
-/// Drop the connection of an attempt; nothing more is heard of it.
+/// Closes the connection of an attempt; no more events of the attempt follow.
 struct cancel_attempt
 {
     attempt_id attempt;
     worker_id worker;
     request_id request;
-    /// Also tell the engine to stop the stream (DELETE).
+    /// Also request the engine to stop generating (DELETE).
     bool stop_at_engine = false;
 };
 
-/// Hand a request over to the VM that owns the worker.
+/// Forwards a request to the VM that owns the worker.
 struct forward_request
 {
     attempt_id attempt;
@@ -52,30 +53,31 @@
     model_request request;
 };
 
-/// Pass one event of the answer to whoever asked (a caller or a peer).
+/// Passes one event of the answer to the client, a caller or a peer.
 struct deliver_event
 {
     request_id request;
     std::uint64_t offset = 0;
     /// The engine's JSON of this event.
     std::string payload;
-    /// See attempt_chunk.
+    /// Whether this is the last event, as in attempt_chunk.
     bool last = false;
 };
 
-/// The answer is whole.
+/// Reports that the answer is complete.
 struct deliver_end
 {
     request_id request;
 };
 
-/// The final answer is an error; nothing follows.
+/// Reports an error as the final answer; nothing follows.
 struct deliver_error
 {
     request_id request;
     error what;
 };
 
+/// Orders an engine to load an adapter.
 struct load_adapter
 {
     order_id order;
@@ -86,6 +88,7 @@
     time_point deadline;
 };
 
+/// Orders an engine to unload an adapter.
 struct unload_adapter
 {
     order_id order;
@@ -95,8 +98,9 @@
     time_point deadline;
 };
 
-/// Have the intent to unload recorded in the worker's row, conditional on
-/// this VM's ownership, before the order is sent.
+/// Records the intent to unload in the worker's row, on condition that this VM
+/// still owns the worker. The order is sent only after that. Handled within
+/// the core.
 struct record_intent
 {
     order_id order;
@@ -104,13 +108,15 @@
     engine_name name;
 };
 
-/// The order of an intent is over: the row may forget it.
+/// Removes an intent from the worker's row after its order has ended. Handled
+/// within the core.
 struct forget_intent
 {
     worker_id worker;
     engine_name name;
 };
 
+/// Runs a conditional transaction on the table.
 struct transact
 {
     operation_id operation;
@@ -118,6 +124,7 @@
     time_point deadline;
 };
 
+/// Reads one row of the table.
 struct read_row
 {
     operation_id operation;
@@ -125,6 +132,7 @@
     time_point deadline;
 };
 
+/// Reads all rows of the table whose key has a prefix.
 struct scan_rows
 {
     operation_id operation;
@@ -132,7 +140,7 @@
     time_point deadline;
 };
 
-/// Read an object of the object store.
+/// Reads an object of the object store.
 struct fetch_object
 {
     operation_id operation;
@@ -140,8 +148,8 @@
     time_point deadline;
 };
 
-/// Write an object. Objects are named by their content's digest and never
-/// change, so that writing one twice does no harm.
+/// Writes an object. The key of an object is the digest of its content, so
+/// objects never change and writing one is idempotent.
 struct store_object
 {
     operation_id operation;
@@ -150,20 +158,21 @@
     time_point deadline;
 };
 
-/// Send a message to another VM's peers' listener; it may be lost.
+/// Sends a message to the peers' listener of another VM. The message may be
+/// lost.
 struct send_peer_message
 {
     vm_id to;
     peer_message message;
 };
 
-/// A plain service's call, as the caller sent it.
+/// A call of a plain service, as the caller sent it.
 struct service_request
 {
     request_id id;
     service_id service;
     std::string method;
-    /// The path and query that go to the service.
+    /// Path and query that are sent to the service.
     std::string target;
     std::vector<std::pair<std::string, std::string>> headers;
     std::shared_ptr<std::string const> body;
@@ -172,6 +181,7 @@
     time_point deadline = never;
 };
 
+/// Sends a call to a worker of a plain service.
 struct call_service
 {
     attempt_id attempt;
@@ -179,7 +189,7 @@
     service_request request;
 };
 
-/// A plain service's whole answer.
+/// The complete answer of a plain service.
 struct service_answer
 {
     int status = 0;
@@ -189,20 +199,22 @@
                            service_answer const&) = default;
 };
 
+/// Passes a plain service's answer to the caller.
 struct deliver_service_answer
 {
     request_id request;
     service_answer answer;
-    /// Kept from an earlier run under the same Idempotency-Key.
+    /// Whether the answer was stored by an earlier run with the same
+    /// Idempotency-Key.
     bool replayed = false;
 };
 
-/// An event for the time line.
+/// Publishes an event of the time line, for the log and the operators.
 struct publish_event
 {
-    /// The part that speaks, as in the log prefix.
+    /// The component that reports the event, as in the log prefix.
     std::string part;
-    /// A closed, hyphenated name: `worker-gained`.
+    /// A name from a fixed set, with hyphens, such as `worker-gained`.
     std::string kind;
     std::string text;
 };
@@ -214,11 +226,11 @@
                  fetch_object, store_object, send_peer_message, call_service,
                  deliver_service_answer, publish_event>;
 
-/// Actions in the order in which they are to be done.
+/// Actions in the order in which they must be performed.
 using action_list = std::vector<action>;
 
-/// Hands out ids that are unique within the process; part of the core's
-/// state, so that a schedule replays with the same ids.
+/// Generates ids that are unique within the process. It is part of the core's
+/// state, so that a replayed schedule gets the same ids.
 class id_source
 {
 public:
--- a/src/call_registry.hpp
+++ b/src/call_registry.hpp
@@ -1,4 +1,5 @@
-/// An HTTP client that knows which call carries which attempt.
+/// An HTTP client that maps attempts to their calls, so that an attempt can be
+/// cancelled by its id.
 #ifndef MULBERRY_CALL_REGISTRY_HPP
 #define MULBERRY_CALL_REGISTRY_HPP
 
@@ -13,20 +14,22 @@
 namespace mulberry
 {
 
-/// Thread safe.
+/// Thread safety: all methods may be called from any thread.
 class call_registry
 {
 public:
+    /// Starts the attempt's call. The observer calls ended() when the call is
+    /// over.
     void start(attempt_id attempt, http_call call,
                std::shared_ptr<http_call_observer> observer)
     {
-        // Held over start(), so that an observer that ends at once finds its
-        // entry to erase.
+        // Locked during start(): if the call ends at once, ended() must wait
+        // until the entry that it erases exists.
         std::lock_guard const lock(mutex_);
         calls_[attempt] = client_.start(std::move(call), std::move(observer));
     }
 
-    /// Closes the attempt's connection if it is still open.
+    /// Cancels the attempt's call; no effect if the call has ended.
     void cancel(attempt_id attempt)
     {
         std::lock_guard const lock(mutex_);
@@ -37,19 +40,21 @@
         calls_.erase(place);
     }
 
+    /// Removes the entry of an attempt whose call has ended.
     void ended(attempt_id attempt)
     {
         std::lock_guard const lock(mutex_);
         calls_.erase(attempt);
     }
 
-    /// For calls that are no attempts.
+    /// The client itself, for calls that do not belong to an attempt.
     http_client& client() { return client_; }
 
 private:
     std::mutex mutex_;
     std::unordered_map<attempt_id, call_handle> calls_;
-    // Last, so that its thread, which calls ended(), is joined first.
+    // Declared last, so that it is destroyed first: its thread, which calls
+    // ended(), must be joined while the other members exist.
     http_client client_;
 };
 
--- a/src/core_event.hpp
+++ b/src/core_event.hpp
@@ -1,4 +1,4 @@
-/// Everything that can happen to the decision core.
+/// Events that the decision core handles.
 #ifndef MULBERRY_CORE_EVENT_HPP
 #define MULBERRY_CORE_EVENT_HPP
 
@@ -18,13 +18,14 @@
 namespace mulberry
 {
 
-/// A caller asks for an answer of an adapter. base_model and application are
-/// filled in by the core.
+/// A caller requests an answer of an adapter. The core fills in base_model, and
+/// application if it is empty.
 struct model_request_arrived
 {
     model_request request;
 };
 
+/// A caller calls a plain service.
 struct service_request_arrived
 {
     service_request request;
@@ -36,49 +37,55 @@
     request_id request;
 };
 
-/// A peer forwards a request for a worker that it believes is ours. The
-/// answer goes out under the request's id.
+/// A peer forwarded a request for a worker that, as far as the peer knows, this
+/// VM owns. The answer is delivered under the request's id.
 struct forwarded_request_arrived
 {
     worker_id worker;
     model_request request;
 };
 
+/// Another VM sent a message.
 struct peer_message_received
 {
     vm_id from;
     peer_message message;
 };
 
+/// The platform's list of VMs was read.
 struct vm_list_received
 {
     std::vector<listed_vm> vms;
 };
 
-/// An operator confirms a plan.
+/// An operator confirms a configuration change.
 struct confirm_requested
 {
+    /// Identifies the confirm in confirm_settled.
     std::uint64_t ticket = 0;
+    /// The version on which the change is based.
     config_version base;
+    /// Digest of canonical_text.
     std::string digest;
     std::string canonical_text;
 };
 
-/// This VM is to leave: SIGTERM, an operator's drain, or the platform's list.
+/// This VM must leave, because of SIGTERM, an operator's drain, or the
+/// platform's list.
 struct leave_requested
 {
     std::string why;
 };
 
-/// The calendar, by the wall clock that only the shell reads.
+/// A calendar quarter started, by the wall clock, which only the shell reads.
 struct quarter_started
 {
-    /// 2026-Q4.
+    /// Such as 2026-Q4.
     std::string name;
     time_point ends = never;
 };
 
-/// Time passes.
+/// Sent at short intervals, so that the core handles deadlines and retries.
 struct clock_ticked
 {
 };
--- a/src/model_entry.cpp
+++ b/src/model_entry.cpp
@@ -12,7 +12,7 @@
 constexpr duration owner_poll_interval = std::chrono::milliseconds(50);
 constexpr duration default_retry_after = std::chrono::seconds(1);
 
-/// How many workers that can load nothing are passed over for one try.
+/// How many workers that cannot load the adapter one routing decision skips.
 constexpr int max_avoided_workers = 8;
 
 bool has_usable_resident(worker_view const& worker, adapter_ref const& adapter)
@@ -114,11 +114,11 @@
     auto const first =
         policy_->choose(pending.request, *view_, pending.excluded, now);
     auto chosen = first;
-    // Failure: the table is lost, and a worker that is full can evict nothing.
-    // Symptom: requests for an adapter that is loaded elsewhere are sent there
-    // by a policy that looks only at the load, and wait in vain. Policies are
-    // asked again without such workers; if none is left, the owner of the first
-    // one says at once that it cannot load.
+    // While the table is unreachable, a full worker cannot evict. A policy that
+    // considers only the load could still send it requests for an adapter that
+    // is loaded elsewhere, and they would wait in vain. So the policy chooses
+    // again without such workers. If no worker is left, the request goes to
+    // the first choice, whose owner reports at once that it cannot load.
     std::set<worker_id> avoided = pending.excluded;
     for (int skipped = 0; chosen && skipped < max_avoided_workers; ++skipped)
     {
@@ -149,7 +149,8 @@
     if (owner == settings_.vm)
     {
         pending.path = attempt_path::local;
-        // The dispatcher may answer at once, which changes `one`.
+        // The dispatcher may answer during this call, which changes or removes
+        // `pending`.
         owner_->submit_locally(pending.worker, std::move(try_request), now,
                                actions);
         return;
@@ -190,8 +191,9 @@
     pending_request* pending = find_by_attempt(event.attempt);
     if (pending == nullptr)
         return;
-    // The owner that sent the request may have gone, so the fence in the name
-    // is not known here; adapter, version and request must be the ones asked.
+    // The fencing number in the name is not checked: the owner that sent the
+    // request may have changed, and its number is not known here. Adapter,
+    // version and request must match.
     auto const echoed_name = parse_engine_name(event.name.str());
     engine_name const wanted =
         engine_name_for(pending->request.adapter,
@@ -201,9 +203,10 @@
     {
         actions.push_back(publish_event{
             "entry", "answer-dropped",
-            pending->try_id.str() + " as " + wanted.str() + " was wanted, " +
+            pending->try_id.str() + " as " + wanted.str() + " was expected, " +
                 event.request.str() + " as " + event.name.str() + " came"});
-        on_answer_lost(*pending, "another request's answer came", now, actions);
+        on_answer_lost(*pending, "the engine sent another request's answer",
+                       now, actions);
         return;
     }
     relay_event(*pending, {{}, event.offset, event.payload, event.last}, now,
@@ -238,7 +241,9 @@
     pending_request* pending = find_by_attempt(event.attempt);
     if (pending == nullptr)
         return;
-    // As at the owner: events may be lost on the way from it, too.
+    // The end marker alone does not prove that the answer is complete: events
+    // may be lost between the owner and this VM as well as between the engine
+    // and the owner, which makes the same check.
     if (checks_->ended_whole(pending->relay.last_seen()))
         complete_answer(*pending, now, actions);
     else
@@ -279,8 +284,8 @@
             on_connection_lost(*pending, now, actions);
         return;
     }
-    // A peer that could not be reached at all, or that refused the request
-    // with a status, has not passed it on.
+    // A peer that was unreachable or refused the request with a status code
+    // has not forwarded the request to the worker.
     if (checks_->certainly_not_run(event.stage) && !pending->relay.begun())
         on_not_run(*pending,
                    error(error_kind::back_end_unavailable,
@@ -336,8 +341,8 @@
     }
     duration const pause = budget_.backoff(attempt_count, settings_.retry_base,
                                            settings_.retry_cap);
-    // Waiting for a try that would start after the deadline only keeps the
-    // caller from knowing; it is told now, with when to come back.
+    // A retry that would start after the deadline cannot succeed, so the
+    // caller gets the error, with its Retry-After, now.
     if (!allowed || now + pause >= pending.request.deadline)
     {
         fail(pending, why, actions);
@@ -399,13 +404,13 @@
     pending.may_have_run = true;
     if (pending.relay.begun())
     {
-        // Another engine would word the rest differently: what was delivered
-        // and what followed would never have been one answer.
+        // Another engine would generate a different continuation, which does
+        // not fit the part that was already delivered.
         fail(pending, error(error_kind::answer_cut, why, ran::yes), actions);
         return;
     }
-    // Nothing was delivered and an answer changes nothing at the engine, so it
-    // may be made afresh under a new id.
+    // Nothing was delivered, and generating an answer has no side effects at
+    // the engine, so the request may run again under a new id.
     clear_try(pending);
     pending.excluded.insert(pending.worker);
     if (++pending.retries > settings_.max_retries || !budget_.try_take())
@@ -482,9 +487,9 @@
     ++counts_.failed;
     if (counter_ != nullptr)
         counter_->count_failed(pending.request, why.kind());
-    // An earlier try was lost after it was sent; that the last one certainly
-    // did not run says nothing of it. Told "not run", the caller would ask
-    // again for what an engine has made or is yet to make.
+    // The last try certainly did not run, but an earlier one was lost after
+    // sending and may have run or may still run. If the error said "not run",
+    // the caller would repeat a request that an engine has run or will run.
     bool const may_have_run_earlier =
         pending.may_have_run && why.request_ran() == ran::no;
     actions.push_back(deliver_error{
--- a/src/model_entry.hpp
+++ b/src/model_entry.hpp
@@ -1,6 +1,7 @@
-/// The entry VM's side of a model request: which worker, through which VM,
-/// another try when it is certain that nothing ran, and the caller's one final
-/// answer. Pure: no I/O, clock or threads.
+/// The entry VM's handling of model requests: chooses the worker and the VM
+/// that owns it, retries a request that certainly did not run, resumes broken
+/// streams and delivers exactly one final answer to the caller. No I/O, clock
+/// or threads.
 #ifndef MULBERRY_MODEL_ENTRY_HPP
 #define MULBERRY_MODEL_ENTRY_HPP
 
@@ -28,21 +29,22 @@
 struct entry_settings
 {
     vm_id vm;
-    /// How long a request may wait for a worker to have an owner, as after a
-    /// VM failure, before it is given up.
+    /// How long a request may wait until a worker has an owner, for example
+    /// after a VM failure, before the request fails.
     duration unowned_wait = std::chrono::seconds(8);
-    /// Silence on a stream resumed straight at the engine.
+    /// Idle timeout of a stream resumed directly at the engine.
     duration progress_timeout = std::chrono::seconds(2);
     duration retry_base = std::chrono::milliseconds(50);
     duration retry_cap = std::chrono::seconds(1);
     int max_retries = 4;
-    /// Tries at VMs that turned out not to own the worker; they cost little
-    /// and happen while ownership moves.
+    /// Maximum tries at VMs that do not own the worker. Such misroutes are
+    /// cheap and happen while ownership moves, so they have their own limit.
     int max_misroutes = 8;
     int max_resumes = 4;
     std::uint64_t seed = 1;
 };
 
+/// Counts since the start of the VM.
 struct entry_counts
 {
     std::uint64_t accepted = 0;
@@ -52,12 +54,13 @@
     std::uint64_t resumes = 0;
 };
 
-/// Hands a request to this VM's own dispatcher of a worker.
+/// Interface to this VM's own dispatchers of the workers that it owns.
 class local_owner
 {
 public:
     virtual ~local_owner() = default;
-    /// Answers come back through model_entry::on_local_*.
+    /// Answers are returned through model_entry::on_local_*, possibly before
+    /// this call returns.
     virtual void submit_locally(worker_id const& worker, model_request request,
                                 time_point now, action_list& actions) = 0;
     virtual void withdraw_locally(worker_id const& worker,
@@ -74,25 +77,31 @@
                 cluster_view& view, local_owner& owner,
                 safeguards const& checks, id_source& ids);
 
-    /// Told of every request that ends; may be null. Outlives this object.
+    /// Sets the counter that is notified when a request ends. Null disables
+    /// counting; otherwise `counter` outlives this object.
     void set_counter(answer_counter* counter) { counter_ = counter; }
 
     /// Precondition: the adapter version is in the configuration in force.
     void submit(model_request request, time_point now, action_list& actions);
-    /// The caller went away: its request is stopped, nothing is delivered.
+    /// Stops a request whose caller has disconnected; delivers nothing. No
+    /// effect for an unknown request.
     void withdraw(request_id const& request, time_point now,
                   action_list& actions);
 
-    /// Events of attempts that this entry made (forwarded or resumed).
+    /// Whether this object started the attempt (forwarded the request or
+    /// resumed its stream) and the attempt is still open.
     bool knows(attempt_id attempt) const;
+    /// Handle events of attempts; events of unknown attempts are ignored.
     void on_chunk(attempt_chunk const& event, time_point now,
                   action_list& actions);
     void on_end(attempt_end const& event, time_point now, action_list& actions);
     void on_failure(attempt_failure const& event, time_point now,
                     action_list& actions);
 
-    /// What this VM's own dispatcher delivers, by the id it was given.
+    /// Whether `try_id` is the id of a request's current try.
     bool knows_try(request_id const& try_id) const;
+    /// Handle what this VM's own dispatcher delivers; `event.request` is the
+    /// id of the try. Unknown tries are ignored.
     void on_local_event(deliver_event const& event, time_point now,
                         action_list& actions);
     void on_local_end(deliver_end const& event, time_point now,
@@ -100,25 +109,29 @@
     void on_local_error(deliver_error const& event, time_point now,
                         action_list& actions);
 
-    /// Retries that are due, deadlines, silences.
+    /// Starts due retries and resumptions and enforces deadlines and idle
+    /// timeouts.
     void tick(time_point now, action_list& actions);
     std::size_t in_progress() const { return requests_.size(); }
     entry_counts counts() const { return counts_; }
-    /// From a request's arrival to its first event, and to its whole answer.
+    /// Time from a request's arrival to the first event of its answer.
     latency_summary first_event_latency() const
     {
         return first_event_meter_.summary();
     }
+    /// Time from a request's arrival to its complete answer.
     latency_summary answer_latency() const { return answer_meter_.summary(); }
 
 private:
+    /// The way by which the answer of the current try arrives.
     enum class attempt_path
     {
-        /// Not at any worker: waiting to be routed.
+        /// No current try: the request waits to be routed.
         none,
         local,
         peer,
-        /// Resumed straight at the engine after its owner was lost.
+        /// Resumed directly at the engine after the way through its owner
+        /// was lost.
         engine
     };
 
@@ -135,21 +148,22 @@
         answer_relay relay;
         attempt_path path = attempt_path::none;
         worker_id worker;
-        /// The id of the current try; each try has its own, so that a late
-        /// copy of an earlier one can never be taken for it.
+        /// Id of the current try. Each try has its own id, so that a late
+        /// answer to an earlier try is never mistaken for the current one's.
         request_id try_id;
         attempt_id attempt;
         int tries = 0;
         int retries = 0;
         int misroutes = 0;
         int resumes = 0;
-        /// An earlier try was sent and lost; it may run yet.
+        /// Whether an earlier try was sent and lost, and may still run.
         bool may_have_run = false;
         std::set<worker_id> excluded;
-        /// When to route (path none) or to resume (path engine) next.
+        /// When to route (attempt_path::none) or to resume
+        /// (attempt_path::engine) next.
         time_point next_try_at{};
         time_point give_up_routing_at;
-        /// Its place in wake_queue_.
+        /// Key of this request in wake_queue_.
         time_point wake_at{};
     };
 
@@ -164,21 +178,27 @@
                      time_point now, action_list& actions);
     void complete_answer(pending_request& pending, time_point now,
                          action_list& actions);
-    /// It is certain that nothing ran.
+    /// Retries or fails a request whose current try certainly did not run.
     void on_not_run(pending_request& pending, error const& why, time_point now,
                     action_list& actions);
-    /// The way to the answer is lost; the engine may still be making it.
+    /// Handles a lost connection while the engine may still be generating the
+    /// answer: resumes the stream at the engine, up to max_resumes times.
     void on_connection_lost(pending_request& pending, time_point now,
                             action_list& actions);
     void resume_at_engine(pending_request& pending, time_point now,
                           action_list& actions);
-    /// The engine cannot go on with the answer.
+    /// Handles an answer that the engine cannot continue: retries the request
+    /// if nothing was delivered, otherwise fails it.
     void on_answer_lost(pending_request& pending, std::string const& why,
                         time_point now, action_list& actions);
+    /// Cancels the current try, with `stop_at_engine` also at the engine.
     void stop_try(pending_request& pending, bool stop_at_engine, time_point now,
                   action_list& actions);
+    /// Forgets the current try without cancelling it.
     void clear_try(pending_request& pending);
+    /// Replaces the request's entry in wake_queue_.
     void schedule_wake(pending_request& pending, time_point at);
+    /// Delivers the final error and removes the request.
     void fail(pending_request& pending, error const& why, action_list& actions);
     void remove(pending_request& pending);
     pending_request* find(request_id const& request);
@@ -196,7 +216,7 @@
     request_map requests_;
     std::unordered_map<request_id, request_id> requests_by_try_;
     std::unordered_map<attempt_id, request_id> requests_by_attempt_;
-    /// Requests by the next moment at which time alone changes something.
+    /// Requests ordered by when tick() must look at them next.
     std::set<std::pair<time_point, request_id>> wake_queue_;
     entry_counts counts_;
     latency_meter first_event_meter_;
--- a/src/ports.hpp
+++ b/src/ports.hpp
@@ -1,5 +1,6 @@
-/// The shell's listeners outwards, as the decision loop uses them. Each turns
-/// actions into calls and posts what becomes of them to an event_sink.
+/// Interfaces by which the decision loop performs actions. Each port turns
+/// actions into calls to another process and posts the results as events to an
+/// event_sink.
 #ifndef MULBERRY_PORTS_HPP
 #define MULBERRY_PORTS_HPP
 
@@ -13,7 +14,7 @@
 namespace mulberry
 {
 
-/// Towards engines. Called on the decision thread; never blocks.
+/// Calls to engines. Called on the decision thread; never blocks.
 class engine_port
 {
 public:
@@ -24,12 +25,12 @@
     virtual void cancel(cancel_attempt const& what) = 0;
     virtual void load(load_adapter const& what) = 0;
     virtual void unload(unload_adapter const& what) = 0;
-    /// Asks these workers for their load.
+    /// Requests a load report from each of these workers.
     virtual void
     request_load_reports(std::vector<worker_id> const& workers) = 0;
 };
 
-/// Towards plain services. Called on the decision thread; never blocks.
+/// Calls to plain services. Called on the decision thread; never blocks.
 class service_port
 {
 public:
@@ -40,7 +41,7 @@
     virtual void cancel(attempt_id attempt) = 0;
 };
 
-/// Towards the platform's service. Called on the decision thread; never
+/// Calls to the platform's service. Called on the decision thread; never
 /// blocks.
 class platform_port
 {
@@ -51,11 +52,12 @@
     virtual void run(scan_rows const& what) = 0;
     virtual void run(fetch_object const& what) = 0;
     virtual void run(store_object const& what) = 0;
+    /// Requests the platform's list of VMs.
     virtual void request_vm_list() = 0;
 };
 
-/// Towards other VMs' peers' listeners. Called on the decision thread; never
-/// blocks. An address is IP:PORT; empty if it is not known.
+/// Calls to the peers' listeners of other VMs. Called on the decision thread;
+/// never blocks. An address is IP:PORT, or empty if it is unknown.
 class peer_port
 {
 public:
--- a/src/vm_core.cpp
+++ b/src/vm_core.cpp
@@ -11,10 +11,12 @@
 {
 
 constexpr duration default_retry_after = std::chrono::seconds(1);
-/// How long a VM that has left may try to write so before it ends anyway; its
-/// successors then treat it as suspect until the platform's list drops it.
+/// How long a leaving VM tries to close its row before it exits anyway. Without
+/// the closed row, its successors treat the VM as suspect until the platform's
+/// list no longer contains it.
 constexpr duration close_timeout = std::chrono::seconds(10);
-/// Of that, how long for what it counted.
+/// The part of close_timeout in which the VM waits for its last counts to be
+/// written.
 constexpr duration flush_timeout = std::chrono::seconds(5);
 
 quarter_settings with_vm(quarter_settings settings, vm_id const& vm)
@@ -75,7 +77,7 @@
     {
         for (std::size_t next = 0; next < raw.size(); ++next)
         {
-            // A copy: handling it may append to `raw`.
+            // Moved out, because handling the action may append to `raw`.
             action one = std::move(raw[next]);
             if (!handle_internally(one, now, raw))
                 actions.push_back(std::move(one));
@@ -376,8 +378,9 @@
     for (auto const& [id, dispatcher] : dispatchers_)
         loads_wanted += dispatcher->loads_wanted();
     budget_->set_waiting(loads_wanted, now);
-    // Without the table no intent can be recorded, and adapters that wait for
-    // theirs serve nobody.
+    // Without the lease no intent to unload can be recorded, and an adapter
+    // that waits for its intent serves no requests. So evictions wait for the
+    // lease.
     bool const may_evict = ownership_.lease_holds(now);
     for (worker_dispatcher* one : all_dispatchers())
     {
@@ -395,8 +398,8 @@
 
 void vm_core::release_retired(time_point now, action_list& actions)
 {
-    // Signed off too early, the successor would evict an adapter under a
-    // request that this VM gave up and the engine still runs.
+    // If this VM signed off too early, the next owner could evict an adapter
+    // while the engine still runs a request that this VM gave up.
     auto const is_still_needed = [&](retired_dispatcher const& one)
     {
         return one.dispatcher->in_progress() != 0 ||
@@ -420,8 +423,8 @@
 void vm_core::release_if_last_dispatcher(worker_id const& worker,
                                          time_point now, action_list& actions)
 {
-    // A worker lost, regained and lost again may have two dispatchers with
-    // requests under way; the signature speaks for both.
+    // A worker that was lost, regained and lost again may have two dispatchers
+    // with requests in progress; signing off covers both.
     auto const is_for_worker = [&](retired_dispatcher const& one)
     { return one.worker == worker; };
     if (std::none_of(retired_.begin(), retired_.end(), is_for_worker))
@@ -440,7 +443,8 @@
             count_usage(*one, now);
     }
     quarter_.flush(now, actions);
-    // Once its row is closed, the rows it wrote may be folded at any moment.
+    // Once this VM's row is closed, other VMs may fold the rows with its counts
+    // at any time, so the counts are written first.
     if (!quarter_.flushed() &&
         now < close_deadline_ - close_timeout + flush_timeout)
         return;
--- a/src/vm_core.hpp
+++ b/src/vm_core.hpp
@@ -1,5 +1,6 @@
-/// The decision core of one entry VM: events with the time go in, actions come
-/// out. No I/O, clock, threads or global state; deterministic for one seed.
+/// The decision core of one entry VM: a state machine that takes events with
+/// their time and returns actions. No I/O, clock, threads or global state;
+/// deterministic for a given seed.
 #ifndef MULBERRY_VM_CORE_HPP
 #define MULBERRY_VM_CORE_HPP
 
@@ -26,33 +27,39 @@
 namespace mulberry
 {
 
+/// Settings of the core and its parts.
 struct core_settings
 {
     ownership_settings ownership;
     configuration_settings configuration;
     service_settings services;
-    /// Its VM is ownership.vm.
+    /// The core sets its `vm` to ownership.vm.
     quarter_settings quarter;
     entry_settings entry;
     dispatcher_limits dispatch;
+    /// Interval of ownership hints to the other VMs.
     duration hint_interval = std::chrono::milliseconds(200);
-    /// How long a leaving VM still passes new requests on, while the balancer
-    /// learns of it; after that it refuses them.
+    /// How long a leaving VM still accepts new requests and forwards them to
+    /// other VMs, while the load balancer learns that the VM leaves. After
+    /// this time the VM refuses new requests.
     duration drain_grace = std::chrono::seconds(2);
+    /// Name of the routing policy, see make_policy().
     std::string policy = "mulberry";
+    /// Name of the load budget, see make_load_budget().
     std::string load_budget = "exchanged_counts";
     std::uint64_t seed = 1;
 };
 
-/// How a confirm ended, for the operators' listener.
+/// Result of an operator's confirm, for the operators' listener.
 using confirm_result = confirm_settled;
 
-/// What the VM looks like from outside, at a moment. Value.
+/// Snapshot of the VM's state for status pages and metrics. Value.
 struct core_status
 {
     struct worker_status
     {
         worker_view view;
+        /// Fencing number of this VM's ownership.
         fencing_number fence;
         dispatch_counts counts;
     };
@@ -62,14 +69,18 @@
     bool leaving = false;
     bool takes_new_work = false;
     bool lease_holds = false;
+    /// Whether this VM serves while the table is unreachable, because a
+    /// majority of VMs promised to confirm no other configuration meanwhile.
     bool going_on_without_table = false;
     bool configuration_known = false;
     config_version configuration;
     std::shared_ptr<declaration const> declared;
+    /// Workers that this VM owns.
     std::vector<worker_status> workers;
     std::vector<member_view> members;
-    /// What is loaded anywhere, as far as this VM knows.
+    /// Adapters resident at any worker, as far as this VM knows.
     std::map<worker_id, std::vector<adapter_ref>> residents;
+    /// Requests in progress.
     std::size_t in_progress = 0;
     entry_counts entry;
     latency_summary first_event_latency;
@@ -77,12 +88,13 @@
     service_counts services;
     /// Counts of workers that this VM no longer owns.
     dispatch_counts retired_counts;
-    /// Of the whole deployment.
+    /// The current quarter, such as 2026-Q4.
     std::string quarter;
+    /// Standing of every target in this quarter, for the whole deployment.
     std::vector<target_standing> standings;
 };
 
-/// Thread safety: none; one thread feeds it.
+/// Thread safety: none; all calls come from one thread.
 class vm_core : private local_owner, private answer_counter
 {
 public:
@@ -94,24 +106,29 @@
 
     /// Registers the VM and reads the configuration.
     void start(time_point now, action_list& actions);
-    /// Takes one event. Precondition: `now` never falls.
+    /// Handles one event and appends the resulting actions. Precondition:
+    /// `now` is not before that of an earlier call.
     void handle(core_event const& event, time_point now, action_list& actions);
 
-    /// Confirms that ended since the last call.
+    /// Returns and clears the results of confirms that ended since the last
+    /// call.
     std::vector<confirm_result> take_confirms();
-    /// Whether the VM has left and its process may end.
+    /// Whether the VM has left and its process may exit.
     bool can_exit(time_point now) const;
+    /// Whether new requests are accepted now.
     bool takes_new_work(time_point now) const;
     core_status status(time_point now) const;
-    /// The configuration in force; null before the first.
+    /// The configuration in force; null until one is known.
     std::shared_ptr<declaration const> declared() const { return declared_; }
-    /// The workers whose load reports the core needs: those it owns, and
-    /// those it gave up while something of its own is left there.
+    /// The workers whose load reports the core needs: workers that this VM
+    /// owns, and workers that it gave up while requests or orders of this VM
+    /// may still be in progress there.
     std::vector<worker_id> watched_workers() const;
-    /// IP:PORT of a VM's peers' listener; empty if it is not known.
+    /// IP:PORT of the peers' listener of a VM; empty if unknown.
     std::string address_of(vm_id const& vm) const;
 
 private:
+    /// The dispatcher of a worker that this VM no longer owns.
     struct retired_dispatcher
     {
         worker_id worker;
@@ -154,13 +171,16 @@
     void count_withdrawn(model_request const& request,
                          duration waited) override;
 
-    /// Passes on to `actions` what the shell has to do, feeds what concerns
-    /// the core's own parts back to them, and acts on what the keepers
-    /// reported, until nothing is left over.
+    /// Moves the actions that the shell has to perform from `raw` to
+    /// `actions`, handles the other actions within the core, and handles the
+    /// events of the ownership and configuration keepers, until no action or
+    /// event is left.
     void process_actions(action_list& raw, time_point now,
                          action_list& actions);
-    /// Whether the action was for a part of the core itself.
+    /// Handles an action that is meant for a part of the core, and returns
+    /// whether it was one.
     bool handle_internally(action const& one, time_point now, action_list& raw);
+    /// Handle the keeper's events; return whether there were any.
     bool handle_ownership_events(time_point now, action_list& actions);
     bool handle_configuration_events(time_point now, action_list& actions);
     void on_worker_gained(worker_gained const& event, time_point now,
@@ -172,26 +192,37 @@
     void on_ownership_hint(vm_id const& from, ownership_hint const& hint,
                            time_point now);
     void send_hints(time_point now, action_list& actions);
+    /// Passes the VMs whose votes count to the configuration keeper.
     void refresh_voters(time_point now);
+    /// Updates the cluster view of the workers that this VM owns.
     void refresh_view(time_point now);
+    /// Updates the owners of the other workers in the cluster view.
     void refresh_owners(time_point now);
+    /// Removes retired dispatchers that have nothing in progress and signs off
+    /// from their workers.
     void release_retired(time_point now, action_list& actions);
+    /// Signs off from a worker unless another retired dispatcher still has
+    /// requests there.
     void release_if_last_dispatcher(worker_id const& worker, time_point now,
                                     action_list& actions);
+    /// On leaving: writes the last counts and closes this VM's row once no
+    /// request is in progress.
     void close_when_idle(time_point now, action_list& actions);
     void update_quarter(time_point now, action_list& actions);
     void count_usage(worker_dispatcher& dispatcher, time_point now);
-    /// Whether this VM is the one that folds the rows of lives that are over.
+    /// Whether this VM folds the rows of ended incarnations: the registered
+    /// VM with the lowest id does.
     bool folds_rows() const;
-    /// What new work is answered while takes_new_work() is false.
+    /// The error for new requests while takes_new_work() is false.
     error admission_error() const;
-    /// Whether this VM may admit work for the workers it owns.
+    /// Whether this VM may admit requests for the workers that it owns.
     bool may_serve_owned_workers(time_point now) const;
     std::size_t in_progress() const;
-    /// The dispatcher that knows an attempt, order or request; null if none.
+    /// The dispatcher, retired or not, that knows an attempt, order or
+    /// request; null if none.
     template <class Id>
     worker_dispatcher* dispatcher_of(Id const& id);
-    /// Every dispatcher, those of workers given up among them.
+    /// All dispatchers, including the retired ones.
     std::vector<worker_dispatcher*> all_dispatchers() const;
 
     core_settings settings_;
@@ -207,10 +238,11 @@
     model_entry entry_;
     std::shared_ptr<declaration const> declared_;
     std::map<worker_id, std::unique_ptr<worker_dispatcher>> dispatchers_;
-    /// Dispatchers of workers given up, while requests of theirs go on.
+    /// Dispatchers of workers that this VM gave up, while requests or orders
+    /// of theirs may be in progress.
     std::vector<retired_dispatcher> retired_;
     std::vector<confirm_result> confirms_;
-    /// The VMs whose promises count, as last told to configuration_.
+    /// The VMs whose promises count, as last passed to configuration_.
     std::vector<std::pair<vm_id, incarnation>> voters_;
     dispatch_counts retired_counts_;
     time_point next_hint_at_{};
--- a/src/vm_core_cluster.cpp
+++ b/src/vm_core_cluster.cpp
@@ -1,4 +1,5 @@
-// What a VM's core knows of the other VMs and their workers, and tells them.
+// The core's knowledge of other VMs and their workers, and the ownership hints
+// that VMs exchange.
 #include "vm_core.hpp"
 
 #include <algorithm>
@@ -46,10 +47,11 @@
     if (now < next_voter_refresh_at_)
         return;
     next_voter_refresh_at_ = now + voters_interval;
-    // VMs that lost the table lapse and are no members any more, while a
-    // majority of them rightly goes on without it. Counted by members alone,
-    // the few that still see the table would be a majority of their own and
-    // confirm a configuration that the others do not learn of.
+    // The lease of a VM that cannot reach the table lapses and the VM is no
+    // longer a member, although a majority of such VMs may continue to serve.
+    // If only members had votes, the few VMs that still reach the table would
+    // form their own majority and confirm a configuration that the others do
+    // not learn of.
     auto voters = ownership_.possibly_alive();
     if (voters == voters_)
         return;
@@ -83,9 +85,9 @@
         if (declared == declared_->workers.end() ||
             dispatchers_.count(reported.id) != 0)
             continue;
-        // Hints cross with changes of owner; only the owner of the rows last
-        // read speaks for a worker, so a late hint cannot bring back a VM that
-        // has given it up.
+        // A hint may arrive after a change of owner. Only hints of the owner
+        // in the rows last read count, so that a late hint cannot restore a
+        // VM that has given up the worker.
         if (ownership_.owner_of(reported.id) != from)
             continue;
         worker_view fresh = reported;
--- a/src/vm_core_counts.cpp
+++ b/src/vm_core_counts.cpp
@@ -1,4 +1,4 @@
-// What a VM's core counts, and how it looks from outside.
+// The core's counts for the quarter's targets, and its status.
 #include "vm_core.hpp"
 
 #include <algorithm>
