--- a/tests/core_engine.cpp
+++ b/tests/core_engine.cpp
@@ -15,7 +15,7 @@
 constexpr int status_old_fence = 412;
 constexpr int status_unavailable = 503;
 /// Of a hundred events or orders, those that an enabled fault strikes.
-constexpr std::size_t struck = 25;
+constexpr std::size_t fault_percent = 25;
 
 order_result refused(order_id order, int status)
 {
@@ -24,14 +24,14 @@
 
 } // namespace
 
-std::string encode_piece(answer_piece const& piece)
+std::string encode_event(answer_piece const& piece)
 {
     return piece.written_for.str() + "|" + piece.name.str() + "|" +
            std::to_string(piece.offset) + "|" + std::to_string(piece.run) +
            (piece.last ? "|last" : "|");
 }
 
-answer_piece decode_piece(std::string const& text)
+answer_piece decode_event(std::string const& text)
 {
     std::vector<std::string> parts;
     std::size_t from = 0;
@@ -55,20 +55,20 @@
 
 void core_engine::refuse(core_link_ptr const& link, int status)
 {
-    around_->send(link, attempt_failure{link->attempt, failure_stage::refused,
-                                        status, "", "", std::nullopt});
+    context_->send(link, attempt_failure{link->attempt, failure_stage::refused,
+                                         status, "", "", std::nullopt});
 }
 
 void core_engine::start(start_attempt const& what, core_link_ptr const& link)
 {
     if (faults.unreachable)
-        return around_->send(link, attempt_failure{link->attempt,
-                                                   failure_stage::not_sent, 0,
-                                                   "", "", std::nullopt});
-    if (faults.silent_streams && around_->percent(struck))
+        return context_->send(link, attempt_failure{link->attempt,
+                                                    failure_stage::not_sent, 0,
+                                                    "", "", std::nullopt});
+    if (faults.silent_streams && context_->percent(fault_percent))
     {
         link->silent = true;
-        if (around_->percent(50))
+        if (context_->percent(50))
             return;
     }
     if (what.resume)
@@ -88,12 +88,12 @@
     auto item = std::make_shared<run>();
     item->request = what.request.id;
     item->name = what.name;
-    item->number = ++around_->runs;
-    item->total = 1 + around_->below(6);
+    item->number = ++context_->runs;
+    item->total = 1 + context_->below(6);
     item->to = link;
     runs_[item->request] = item;
     active_.push_back(item);
-    begin_waiting();
+    start_waiting();
 }
 
 void core_engine::resume(start_attempt const& what, core_link_ptr const& link)
@@ -105,8 +105,8 @@
     item.to = link;
     for (std::uint64_t each = what.offset; each < item.emitted; ++each)
         write(item, each);
-    if (item.over)
-        around_->send(link, attempt_end{link->attempt});
+    if (item.finished)
+        context_->send(link, attempt_end{link->attempt});
 }
 
 void core_engine::cancel(request_id const& request)
@@ -118,7 +118,7 @@
     runs_.erase(found);
 }
 
-void core_engine::begin_waiting()
+void core_engine::start_waiting()
 {
     std::size_t running = 0;
     for (run_ptr const& each : active_)
@@ -129,27 +129,27 @@
             continue;
         ++running;
         each->running = true;
-        around_->seen.started_at_backend(root_of(each->request), each->name);
-        next_event(each);
+        context_->seen.started_at_backend(root_of(each->request), each->name);
+        schedule_event(each);
     }
 }
 
-void core_engine::next_event(run_ptr const& item)
+void core_engine::schedule_event(run_ptr const& item)
 {
-    around_->time.after(
-        around_->between(5, 40),
+    context_->time.after(
+        context_->between(5, 40),
         [this, item]
         {
             if (item->stopped)
                 return;
             write(*item, item->emitted++);
             if (item->emitted < item->total)
-                return next_event(item);
-            item->over = true;
-            around_->seen.finished_at_backend(root_of(item->request));
+                return schedule_event(item);
+            item->finished = true;
+            context_->seen.finished_at_backend(root_of(item->request));
             std::erase(active_, item);
-            around_->send(item->to, attempt_end{item->to->attempt});
-            begin_waiting();
+            context_->send(item->to, attempt_end{item->to->attempt});
+            start_waiting();
         });
 }
 
@@ -158,41 +158,41 @@
     core_link_ptr const to = item.to;
     bool const last = offset + 1 == item.total;
     answer_piece piece{item.request, item.name, offset, item.number, last};
-    bool const strikes = around_->percent(struck);
-    to->silent |= faults.silent_streams && strikes;
-    if (faults.cut_streams && strikes)
-        return around_->send(to, attempt_failure{to->attempt,
-                                                 to->begun
-                                                     ? failure_stage::answering
-                                                     : failure_stage::sent,
-                                                 0, "", "", std::nullopt});
-    if (faults.skipped_events && strikes)
+    bool const fault_occurs = context_->percent(fault_percent);
+    to->silent |= faults.silent_streams && fault_occurs;
+    if (faults.cut_streams && fault_occurs)
+        return context_->send(to, attempt_failure{to->attempt,
+                                                  to->begun
+                                                      ? failure_stage::answering
+                                                      : failure_stage::sent,
+                                                  0, "", "", std::nullopt});
+    if (faults.skipped_events && fault_occurs)
         return;
-    if (faults.wrong_echo && strikes)
+    if (faults.wrong_echo && fault_occurs)
         piece.name = engine_name("other@1#1");
-    if (faults.crossed_events && strikes && !active_.empty())
-        piece.written_for = active_[around_->below(active_.size())]->request;
+    if (faults.crossed_events && fault_occurs && !active_.empty())
+        piece.written_for = active_[context_->below(active_.size())]->request;
     to->begun = true;
-    around_->send(to,
-                  attempt_chunk{to->attempt, offset, piece.name,
-                                piece.written_for, encode_piece(piece), last});
+    context_->send(to,
+                   attempt_chunk{to->attempt, offset, piece.name,
+                                 piece.written_for, encode_event(piece), last});
 }
 
 void core_engine::stop(run_ptr const& item)
 {
     item->stopped = true;
     std::erase(active_, item);
-    begin_waiting();
+    start_waiting();
 }
 
-void core_engine::lose(run_ptr const& item)
+void core_engine::fail_stream(run_ptr const& item)
 {
     item->stopped = true;
-    around_->send(item->to,
-                  attempt_failure{item->to->attempt,
-                                  item->to->begun ? failure_stage::answering
-                                                  : failure_stage::sent,
-                                  0, "", "", std::nullopt});
+    context_->send(item->to,
+                   attempt_failure{item->to->attempt,
+                                   item->to->begun ? failure_stage::answering
+                                                   : failure_stage::sent,
+                                   0, "", "", std::nullopt});
 }
 
 void core_engine::load(load_adapter const& what, order_answer const& answer)
@@ -205,17 +205,17 @@
         loaded_.size() + loading_.size() >= declared_.adapter_slots)
         return answer(refused(what.order, status_conflict));
     loading_.insert(what.name);
-    bool const lost = faults.lost_orders && around_->percent(struck);
+    bool const lost = faults.lost_orders && context_->percent(fault_percent);
     if (lost)
-        around_->time.at(
+        context_->time.at(
             what.deadline,
             [order = what.order, answer] {
                 answer({order, order_result::outcome::unknown, 0, ""});
             });
-    duration const takes = faults.slow_loads ? around_->between(200, 600)
-                                             : around_->between(5, 40);
-    around_->time.after(
-        takes,
+    duration const load_time = faults.slow_loads ? context_->between(200, 600)
+                                                 : context_->between(5, 40);
+    context_->time.after(
+        load_time,
         [this, what, answer, lost, boot = boot_]
         {
             if (boot == boot_)
@@ -229,7 +229,7 @@
                               order_answer const& answer)
 {
     loading_.erase(what.name);
-    bool const fails = faults.failed_loads && around_->percent(60);
+    bool const fails = faults.failed_loads && context_->percent(60);
     if (!fails)
         loaded_.insert(what.name);
     if (!answer)
@@ -245,30 +245,31 @@
         return answer(refused(what.order, 0));
     if (!fence_holds(what.fence))
         return answer(refused(what.order, status_old_fence));
-    if (!faults.lost_orders || !around_->percent(struck))
-        return answer(take_out(what));
-    around_->time.at(what.deadline,
-                     [order = what.order, answer] {
-                         answer({order, order_result::outcome::unknown, 0, ""});
-                     });
-    if (around_->percent(50))
-        around_->time.after(around_->between(1, 300),
-                            [this, what] { take_out(what); });
+    if (!faults.lost_orders || !context_->percent(fault_percent))
+        return answer(remove_adapter(what));
+    context_->time.at(
+        what.deadline,
+        [order = what.order, answer] {
+            answer({order, order_result::outcome::unknown, 0, ""});
+        });
+    if (context_->percent(50))
+        context_->time.after(context_->between(1, 300),
+                             [this, what] { remove_adapter(what); });
 }
 
-order_result core_engine::take_out(unload_adapter const& what)
+order_result core_engine::remove_adapter(unload_adapter const& what)
 {
     if (loaded_.erase(what.name) == 0)
         return refused(what.order, status_not_found);
-    std::vector<run_ptr> under;
+    std::vector<run_ptr> affected;
     for (run_ptr const& each : active_)
         if (each->name == what.name)
-            under.push_back(each);
-    around_->seen.unloaded(what.name, under.size());
-    for (run_ptr const& each : under)
+            affected.push_back(each);
+    context_->seen.unloaded(what.name, affected.size());
+    for (run_ptr const& each : affected)
     {
         stop(each);
-        lose(each);
+        fail_stream(each);
     }
     return {what.order, order_result::outcome::done, 200, ""};
 }
@@ -278,7 +279,7 @@
     engine_report shown;
     shown.worker = declared_.id;
     shown.boot = boot_id(std::to_string(boot_));
-    shown.as_of = around_->time.now();
+    shown.as_of = context_->time.now();
     for (engine_name const& name : loaded_)
         shown.adapters.push_back({name, 0});
     for (run_ptr const& each : active_)
@@ -297,7 +298,7 @@
     loading_.clear();
     runs_.clear();
     for (run_ptr const& each : std::exchange(active_, {}))
-        lose(each);
+        fail_stream(each);
 }
 
 } // namespace mulberry::tests
--- a/tests/core_engine.hpp
+++ b/tests/core_engine.hpp
@@ -30,8 +30,8 @@
 public:
     using order_answer = std::function<void(order_result)>;
 
-    core_engine(core_surroundings& around, worker_declaration declared)
-        : around_(&around), declared_(std::move(declared))
+    core_engine(core_context& context, worker_declaration declared)
+        : context_(&context), declared_(std::move(declared))
     {
     }
 
@@ -56,7 +56,7 @@
         std::uint64_t total = 0;
         std::uint64_t emitted = 0;
         bool running = false;
-        bool over = false;
+        bool finished = false;
         bool stopped = false;
         core_link_ptr to;
     };
@@ -66,15 +66,15 @@
     void post(start_attempt const& what, core_link_ptr const& link);
     void resume(start_attempt const& what, core_link_ptr const& link);
     void refuse(core_link_ptr const& link, int status);
-    void begin_waiting();
-    void next_event(run_ptr const& item);
+    void start_waiting();
+    void schedule_event(run_ptr const& item);
     void write(run const& item, std::uint64_t offset);
     void stop(run_ptr const& item);
-    void lose(run_ptr const& item);
+    void fail_stream(run_ptr const& item);
     void finish_load(load_adapter const& what, order_answer const& answer);
-    order_result take_out(unload_adapter const& what);
+    order_result remove_adapter(unload_adapter const& what);
 
-    core_surroundings* around_;
+    core_context* context_;
     worker_declaration declared_;
     fencing_number highest_fence_;
     int boot_ = 1;
--- a/tests/core_invariants.cpp
+++ b/tests/core_invariants.cpp
@@ -10,26 +10,26 @@
 
 using mulberry_test::violation_kind;
 
-promise broken_by(violation_kind kind)
+invariant invariant_of(violation_kind kind)
 {
     switch (kind)
     {
     case violation_kind::wrong_adapter:
-        return promise::exact_adapter;
+        return invariant::exact_adapter;
     case violation_kind::evicted_in_flight:
-        return promise::not_evicted_in_flight;
+        return invariant::not_evicted_in_flight;
     case violation_kind::foreign_answer:
     case violation_kind::answer_not_whole:
     case violation_kind::final_answers:
-        return promise::whole_own_answer;
+        return invariant::complete_own_answer;
     case violation_kind::untrue_ran:
-        return promise::not_run_is_true;
+        return invariant::not_run_is_true;
     case violation_kind::ran_twice:
-        return promise::at_most_once;
+        return invariant::at_most_once;
     case violation_kind::work_while_leaving:
-        return promise::leaving_takes_no_work;
+        return invariant::leaving_takes_no_work;
     }
-    return promise::service;
+    return invariant::service;
 }
 
 std::string text_of(config_version version)
@@ -42,7 +42,7 @@
 void core_invariants::ended(vm_id const& vm, std::size_t open_requests)
 {
     if (open_requests > 0)
-        found_.push_back({promise::shutdown_interrupts_nothing,
+        found_.push_back({invariant::shutdown_interrupts_nothing,
                           vm.str() + " ended with " +
                               std::to_string(open_requests) +
                               " requests in progress"});
@@ -50,43 +50,44 @@
 
 void core_invariants::confirmed(config_version version, time_point now)
 {
-    told_.emplace(version, now);
+    confirmed_at_.emplace(version, now);
 }
 
-void core_invariants::would_take_work(vm_id const& vm, config_version in_force,
-                                      time_point now, duration bound)
+void core_invariants::check_admitted_version(vm_id const& vm,
+                                             config_version in_force,
+                                             time_point now, duration bound)
 {
-    config_version& highest = highest_[vm];
+    config_version& highest = highest_versions_[vm];
     if (in_force < highest)
-        found_.push_back({promise::configuration_holds,
+        found_.push_back({invariant::configuration_holds,
                           vm.str() + " went back from version " +
                               text_of(highest) + " to " + text_of(in_force)});
     highest = std::max(highest, in_force);
-    for (auto const& [version, told_at] : told_)
-        if (version > in_force && now > told_at + bound)
-            found_.push_back({promise::configuration_holds,
+    for (auto const& [version, confirmed_at] : confirmed_at_)
+        if (version > in_force && now > confirmed_at + bound)
+            found_.push_back({invariant::configuration_holds,
                               vm.str() + " takes work under version " +
                                   text_of(in_force) + " after " +
                                   text_of(version) + " was confirmed"});
 }
 
-void core_invariants::not_in_service(std::string text)
+void core_invariants::report_service_failure(std::string text)
 {
-    found_.push_back({promise::service, std::move(text)});
+    found_.push_back({invariant::service, std::move(text)});
 }
 
-std::vector<broken_promise> core_invariants::check() const
+std::vector<invariant_violation> core_invariants::check() const
 {
-    std::vector<broken_promise> all = found_;
+    std::vector<invariant_violation> all = found_;
     for (mulberry_test::violation const& each : seen.check())
-        all.push_back({broken_by(each.kind), each.text});
+        all.push_back({invariant_of(each.kind), each.text});
     return all;
 }
 
-std::string to_string(std::vector<broken_promise> const& all)
+std::string to_string(std::vector<invariant_violation> const& all)
 {
     std::string text;
-    for (broken_promise const& each : all)
+    for (invariant_violation const& each : all)
         text += "line " + std::to_string(static_cast<int>(each.which) + 1) +
                 ": " + each.text + "\n";
     return text;
--- a/tests/core_invariants.hpp
+++ b/tests/core_invariants.hpp
@@ -15,11 +15,11 @@
 
 /// In the brief's order; `service` is that requests are answered again and
 /// that leaving VMs end, which the eight lines rest on.
-enum class promise
+enum class invariant
 {
     exact_adapter,
     not_evicted_in_flight,
-    whole_own_answer,
+    complete_own_answer,
     not_run_is_true,
     at_most_once,
     leaving_takes_no_work,
@@ -28,9 +28,9 @@
     service
 };
 
-struct broken_promise
+struct invariant_violation
 {
-    promise which;
+    invariant which;
     std::string text;
 };
 
@@ -46,19 +46,19 @@
     void confirmed(config_version version, time_point now);
     /// A VM would take new work under that version. `bound`: how long after
     /// the operator was told an older one may be in force.
-    void would_take_work(vm_id const& vm, config_version in_force,
-                         time_point now, duration bound);
-    void not_in_service(std::string text);
+    void check_admitted_version(vm_id const& vm, config_version in_force,
+                                time_point now, duration bound);
+    void report_service_failure(std::string text);
 
-    std::vector<broken_promise> check() const;
+    std::vector<invariant_violation> check() const;
 
 private:
-    std::vector<broken_promise> found_;
-    std::map<config_version, time_point> told_;
-    std::map<vm_id, config_version> highest_;
+    std::vector<invariant_violation> found_;
+    std::map<config_version, time_point> confirmed_at_;
+    std::map<vm_id, config_version> highest_versions_;
 };
 
-std::string to_string(std::vector<broken_promise> const& all);
+std::string to_string(std::vector<invariant_violation> const& all);
 
 } // namespace mulberry::tests
 
--- a/tests/core_link.hpp
+++ b/tests/core_link.hpp
@@ -42,11 +42,11 @@
     /// Forwarded requests that it is to answer.
     std::map<request_id, core_link_ptr> writers;
     /// Callers' requests, and those without a final answer.
-    std::set<request_id> taken;
+    std::set<request_id> caller_requests;
     std::set<request_id> unanswered;
     std::optional<time_point> left_at;
     /// Requests that came in when no more should have.
-    std::set<std::string> late_work;
+    std::set<std::string> late_requests;
     time_point woken_at{};
 };
 using core_process_ptr = std::shared_ptr<core_process>;
@@ -68,7 +68,7 @@
 };
 
 /// What the fakes share.
-struct core_surroundings
+struct core_context
 {
     virtual_time& time;
     std::mt19937_64& random;
@@ -80,10 +80,10 @@
 
     std::size_t below(std::size_t bound) { return random() % bound; }
     bool percent(std::size_t share) { return below(100) < share; }
-    duration between(int least_ms, int most_ms)
+    duration between(int min_ms, int max_ms)
     {
-        auto const span = static_cast<std::size_t>(most_ms - least_ms + 1);
-        return std::chrono::milliseconds(least_ms +
+        auto const span = static_cast<std::size_t>(max_ms - min_ms + 1);
+        return std::chrono::milliseconds(min_ms +
                                          static_cast<int>(below(span)));
     }
     duration latency()
@@ -98,8 +98,8 @@
     return request_id(id.str().substr(0, id.str().find('.')));
 }
 
-std::string encode_piece(answer_piece const& piece);
-answer_piece decode_piece(std::string const& text);
+std::string encode_event(answer_piece const& piece);
+answer_piece decode_event(std::string const& text);
 
 } // namespace mulberry::tests
 
--- a/tests/core_network.cpp
+++ b/tests/core_network.cpp
@@ -10,16 +10,16 @@
 
 using namespace std::chrono_literals;
 
-constexpr duration peer_silence = 400ms;
+constexpr duration peer_silence_timeout = 400ms;
 constexpr duration keep_alive_interval = 100ms;
-constexpr std::size_t struck = 40;
+constexpr std::size_t fault_percent = 40;
 
 attempt_failure failure_of(core_link_ptr const& link, failure_stage stage)
 {
     return {link->attempt, stage, 0, "", "", std::nullopt};
 }
 
-failure_stage broken_stage(core_link_ptr const& link)
+failure_stage failure_stage_of(core_link_ptr const& link)
 {
     return link->begun ? failure_stage::answering : failure_stage::sent;
 }
@@ -48,7 +48,7 @@
 void core_simulation::send(core_link_ptr const& link, core_event event)
 {
     time_point const arrival =
-        std::max(link->last_arrival, time_.now() + around_.latency());
+        std::max(link->last_arrival, time_.now() + context_.latency());
     link->last_arrival = arrival;
     time_.at(arrival,
              [this, link, event = std::move(event)]
@@ -67,17 +67,17 @@
 
 void core_simulation::break_link(core_link_ptr const& link)
 {
-    send(link, failure_of(link, broken_stage(link)));
+    send(link, failure_of(link, failure_stage_of(link)));
 }
 
 /// The client closes its end; a peer that answers is told.
-void core_simulation::hang_up(core_link_ptr const& link)
+void core_simulation::close_link(core_link_ptr const& link)
 {
     link->open = false;
     link->client->open.erase(link->attempt);
     if (!link->server || link->silent)
         return;
-    time_.after(around_.latency(),
+    time_.after(context_.latency(),
                 [this, link]
                 {
                     core_process_ptr const server = link->server;
@@ -89,15 +89,15 @@
                 });
 }
 
-void core_simulation::note_new_work(core_process_ptr const& process,
-                                    request_id const& request)
+void core_simulation::record_late_send(core_process_ptr const& process,
+                                       request_id const& request)
 {
     // At the VM a request came in under its own name or as an entry's try.
-    if (!process->late_work.contains(request.str()) &&
-        !process->late_work.contains(root_of(request).str()))
+    if (!process->late_requests.contains(request.str()) &&
+        !process->late_requests.contains(root_of(request).str()))
         return;
-    promises_.seen.leaving(process->id.str());
-    promises_.seen.accepted(process->id.str(), request);
+    invariants_.seen.leaving(process->id.str());
+    invariants_.seen.accepted(process->id.str(), request);
 }
 
 void core_simulation::on(core_process_ptr const& process,
@@ -105,8 +105,8 @@
 {
     core_link_ptr const link = connect(process, what.attempt, what.request.id);
     if (!what.resume)
-        note_new_work(process, what.request.id);
-    time_.after(around_.latency(), [this, link, what]
+        record_late_send(process, what.request.id);
+    time_.after(context_.latency(), [this, link, what]
                 { engines_.at(what.worker).start(what, link); });
 }
 
@@ -115,26 +115,27 @@
 {
     auto const found = process->open.find(what.attempt);
     if (found != process->open.end())
-        hang_up(core_link_ptr(found->second));
+        close_link(core_link_ptr(found->second));
     if (what.stop_at_engine)
-        time_.after(around_.latency(), [this, what]
+        time_.after(context_.latency(), [this, what]
                     { engines_.at(what.worker).cancel(what.request); });
 }
 
 void core_simulation::on(core_process_ptr const& process,
                          forward_request const& what)
 {
-    note_new_work(process, what.request.id);
+    record_late_send(process, what.request.id);
     core_link_ptr const link = connect(process, what.attempt, what.request.id);
     std::size_t const vm = vm_of(what.owner);
-    time_.after(around_.latency(), [this, link, vm, what]
-                { arrive_forwarded(link, vm, what.worker, what.request); });
-    watch(link);
+    time_.after(context_.latency(), [this, link, vm, what]
+                { on_forwarded_arrival(link, vm, what.worker, what.request); });
+    watch_link(link);
 }
 
-void core_simulation::arrive_forwarded(core_link_ptr const& link,
-                                       std::size_t vm, worker_id const& worker,
-                                       model_request const& request)
+void core_simulation::on_forwarded_arrival(core_link_ptr const& link,
+                                           std::size_t vm,
+                                           worker_id const& worker,
+                                           model_request const& request)
 {
     core_process_ptr const server = vms_[vm];
     if (!server->running)
@@ -143,11 +144,11 @@
     server->writers[request.id] = link;
     feed(server, forwarded_request_arrived{worker, request});
     if (!link->open)
-        hang_up(link);
+        close_link(link);
 }
 
 /// The shell's watch on a peer: its keep-alive comments, and their absence.
-void core_simulation::watch(core_link_ptr const& link)
+void core_simulation::watch_link(core_link_ptr const& link)
 {
     time_.after(
         keep_alive_interval,
@@ -158,16 +159,16 @@
             core_process_ptr const server = link->server;
             if (server && server->running && !server->paused && !link->silent)
                 link->last_byte = time_.now();
-            if (time_.now() < link->last_byte + peer_silence)
-                return watch(link);
-            core_event const lost = failure_of(link, broken_stage(link));
-            hang_up(link);
+            if (time_.now() < link->last_byte + peer_silence_timeout)
+                return watch_link(link);
+            core_event const lost = failure_of(link, failure_stage_of(link));
+            close_link(link);
             feed(link->client, lost);
         });
 }
 
-core_link_ptr core_simulation::take_writer(core_process_ptr const& process,
-                                           request_id const& request)
+core_link_ptr core_simulation::remove_writer(core_process_ptr const& process,
+                                             request_id const& request)
 {
     auto const found = process->writers.find(request);
     if (found == process->writers.end())
@@ -180,14 +181,14 @@
 void core_simulation::on(core_process_ptr const& process,
                          deliver_event const& what)
 {
-    answer_piece const piece = decode_piece(what.payload);
-    if (process->taken.contains(what.request))
+    answer_piece const piece = decode_event(what.payload);
+    if (process->caller_requests.contains(what.request))
     {
         answer_piece told = piece;
         told.written_for = root_of(piece.written_for);
         if (process->unanswered.contains(what.request) ||
             !outcomes_[what.request].empty())
-            promises_.seen.answer_event(what.request, told);
+            invariants_.seen.answer_event(what.request, told);
         return;
     }
     auto const response_writer = process->writers.find(what.request);
@@ -202,28 +203,28 @@
 void core_simulation::on(core_process_ptr const& process,
                          deliver_end const& what)
 {
-    if (process->taken.contains(what.request))
+    if (process->caller_requests.contains(what.request))
     {
-        promises_.seen.answered_whole(what.request);
+        invariants_.seen.answered_whole(what.request);
         ++counts_.whole;
         finish(process, what.request, "whole");
     }
-    else if (core_link_ptr const link = take_writer(process, what.request))
+    else if (core_link_ptr const link = remove_writer(process, what.request))
         send(link, attempt_end{link->attempt});
 }
 
 void core_simulation::on(core_process_ptr const& process,
                          deliver_error const& what)
 {
-    if (process->taken.contains(what.request))
+    if (process->caller_requests.contains(what.request))
     {
-        promises_.seen.answered_error(what.request, what.what);
+        invariants_.seen.answered_error(what.request, what.what);
         ++counts_.failed;
         finish(process, what.request,
                std::string(answer_of(what.what.kind()).name) + ": " +
                    what.what.text());
     }
-    else if (core_link_ptr const link = take_writer(process, what.request))
+    else if (core_link_ptr const link = remove_writer(process, what.request))
     {
         attempt_failure failure = failure_of(link, failure_stage::answering);
         failure.peer_error = what.what;
@@ -234,7 +235,7 @@
 void core_simulation::on(core_process_ptr const& process,
                          deliver_service_answer const& what)
 {
-    promises_.seen.answered_whole(what.request);
+    invariants_.seen.answered_whole(what.request);
     ++counts_.service_answers;
     finish(process, what.request, "whole");
 }
@@ -244,10 +245,10 @@
 {
     auto const answer = [this, process](order_result const& result)
     {
-        time_.after(around_.latency(),
+        time_.after(context_.latency(),
                     [this, process, result] { feed(process, result); });
     };
-    time_.after(around_.latency(), [this, what, answer]
+    time_.after(context_.latency(), [this, what, answer]
                 { engines_.at(what.worker).load(what, answer); });
 }
 
@@ -256,17 +257,17 @@
 {
     auto const answer = [this, process](order_result const& result)
     {
-        time_.after(around_.latency(),
+        time_.after(context_.latency(),
                     [this, process, result] { feed(process, result); });
     };
-    time_.after(around_.latency(), [this, what, answer]
+    time_.after(context_.latency(), [this, what, answer]
                 { engines_.at(what.worker).unload(what, answer); });
 }
 
 void core_simulation::answer_object(core_process_ptr const& process,
                                     object_reply reply, time_point deadline)
 {
-    time_point when = time_.now() + around_.latency();
+    time_point when = time_.now() + context_.latency();
     if (objects_down_)
     {
         reply.outcome = object_outcome::unreachable;
@@ -290,7 +291,7 @@
 void core_simulation::on(core_process_ptr const& process,
                          store_object const& what)
 {
-    if (!objects_down_ || around_.percent(50))
+    if (!objects_down_ || context_.percent(50))
         objects_[what.key] = *what.bytes;
     answer_object(process, {what.operation, object_outcome::done, ""},
                   what.deadline);
@@ -299,9 +300,9 @@
 void core_simulation::on(core_process_ptr const& process,
                          send_peer_message const& what)
 {
-    if (lose_messages_ && around_.percent(70))
+    if (lose_messages_ && context_.percent(70))
         return;
-    time_.after(around_.latency(),
+    time_.after(context_.latency(),
                 [this, vm = vm_of(what.to), from = process->id,
                  message = what.message] {
                     feed(vms_[vm], peer_message_received{from, message});
@@ -311,11 +312,11 @@
 void core_simulation::on(core_process_ptr const& process,
                          call_service const& what)
 {
-    note_new_work(process, what.request.id);
+    record_late_send(process, what.request.id);
     core_link_ptr const link = connect(process, what.attempt, what.request.id);
-    if (service_refuses_ && around_.percent(struck))
+    if (service_refuses_ && context_.percent(fault_percent))
         return send(link, failure_of(link, failure_stage::not_sent));
-    time_.after(around_.latency() + around_.between(5, 40),
+    time_.after(context_.latency() + context_.between(5, 40),
                 [this, link, request = what.request]
                 { run_service(link, request); });
 }
@@ -323,12 +324,12 @@
 void core_simulation::run_service(core_link_ptr const& link,
                                   service_request const& request)
 {
-    bool const strikes = around_.percent(struck);
-    bool const before = around_.percent(50);
-    link->silent |= service_silent_ && strikes;
-    bool const cut = service_cut_ && strikes;
+    bool const fault_occurs = context_.percent(fault_percent);
+    bool const before = context_.percent(50);
+    link->silent |= service_silent_ && fault_occurs;
+    bool const cut = service_cut_ && fault_occurs;
     if (!before || !(cut || link->silent))
-        promises_.seen.service_ran(request.key.str(), request.id);
+        invariants_.seen.service_ran(request.key.str(), request.id);
     if (cut)
         return break_link(link);
     send(link, service_attempt_answer{
@@ -343,7 +344,7 @@
                   [this, process](table_reply const& reply)
                   {
                       // Answers overtake one another on a slow network.
-                      time_.after(around_.latency(), [this, process, reply]
+                      time_.after(context_.latency(), [this, process, reply]
                                   { feed(process, reply); });
                   });
 }
--- a/tests/core_proof_test.cpp
+++ b/tests/core_proof_test.cpp
@@ -21,8 +21,8 @@
 {
     static Gen<core_step> arbitrary()
     {
-        auto const spread = [](int least, int end)
-        { return gen::resize(kNominalSize, gen::inRange(least, end)); };
+        auto const spread = [](int min, int end)
+        { return gen::resize(kNominalSize, gen::inRange(min, end)); };
         return gen::build<core_step>(
             gen::set(
                 &core_step::kind,
@@ -57,34 +57,35 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t vm_count = 3;
-constexpr int schedules_to_find = 400;
-constexpr std::string_view nothing_broken{};
+constexpr int max_schedules = 400;
+constexpr std::string_view no_violations{};
 
-std::vector<broken_promise> run_one(core_schedule const& what,
-                                    safeguards const& checks)
+std::vector<invariant_violation> violations_of(core_schedule const& what,
+                                               safeguards const& checks)
 {
     core_simulation world(vm_count, what.seed, checks);
     return world.run(what);
 }
 
 /// Whether the schedules, in a fixed order, show that promise broken.
-bool finds(promise wanted, safeguards const& checks,
-           std::vector<core_step> const& besides = {})
+bool finds_violation(invariant wanted, safeguards const& checks,
+                     std::vector<core_step> const& additional_steps = {})
 {
     auto const generator = rc::gen::arbitrary<core_schedule>();
     rc::Random random(1);
-    for (int count = 0; count < schedules_to_find; ++count)
+    for (int count = 0; count < max_schedules; ++count)
     {
         core_schedule what = generator(random.split(), 100).value();
-        what.steps.insert(what.steps.end(), besides.begin(), besides.end());
-        for (broken_promise const& each : run_one(what, checks))
+        what.steps.insert(what.steps.end(), additional_steps.begin(),
+                          additional_steps.end());
+        for (invariant_violation const& each : violations_of(what, checks))
             if (each.which == wanted)
                 return true;
     }
     return false;
 }
 
-struct any_echo : safeguards
+struct accepts_any_echo : safeguards
 {
     bool answers_request(engine_name const&, engine_name const&,
                          request_id const&, request_id const&) const override
@@ -109,17 +110,17 @@
     }
 };
 
-struct any_place : safeguards
+struct accepts_any_offset : safeguards
 {
     bool in_place(std::uint64_t, std::uint64_t) const override { return true; }
 };
 
-struct cut_is_end : safeguards
+struct treats_cut_as_end : safeguards
 {
     bool ended_whole(bool) const override { return true; }
 };
 
-struct every_failure_is_not_run : safeguards
+struct treats_failures_as_not_run : safeguards
 {
     bool certainly_not_run(failure_stage) const override { return true; }
 };
@@ -137,7 +138,7 @@
     }
 };
 
-struct takes_work_unknowing : safeguards
+struct takes_work_without_configuration : safeguards
 {
     bool takes_new_work(admission_facts const& facts) const override
     {
@@ -145,12 +146,12 @@
     }
 };
 
-struct stops_at_once : safeguards
+struct stops_with_open_requests : safeguards
 {
     bool may_stop(std::size_t) const override { return true; }
 };
 
-struct replaces_with_any : safeguards
+struct accepts_older_versions : safeguards
 {
     bool replaces(config_version, config_version) const override
     {
@@ -167,7 +168,7 @@
     CHECK(rc::check("no line is broken",
                     [&](core_schedule const& what)
                     {
-                        auto const found = run_one(what, checks);
+                        auto const found = violations_of(what, checks);
                         if (!found.empty())
                             RC_FAIL(to_string(found));
                     }));
@@ -175,59 +176,68 @@
 
 TEST_CASE("without the check of the echo another adapter answers", "[left-out]")
 {
-    CHECK(finds(promise::exact_adapter, any_echo()));
-    CHECK(finds(promise::whole_own_answer, any_echo()));
+    CHECK(finds_violation(invariant::exact_adapter, accepts_any_echo()));
+    CHECK(finds_violation(invariant::complete_own_answer, accepts_any_echo()));
 }
 
 TEST_CASE("without the count of requests an adapter is evicted in flight",
           "[left-out]")
 {
-    CHECK(finds(promise::not_evicted_in_flight, overlooks_sent_requests()));
+    CHECK(finds_violation(invariant::not_evicted_in_flight,
+                          overlooks_sent_requests()));
 }
 
 TEST_CASE("without the pins an adapter is evicted in flight", "[left-out]")
 {
-    CHECK(finds(promise::not_evicted_in_flight, ignores_suspects()));
+    CHECK(
+        finds_violation(invariant::not_evicted_in_flight, ignores_suspects()));
 }
 
 TEST_CASE("without the check of places and ends an answer is not whole",
           "[left-out]")
 {
-    CHECK(finds(promise::whole_own_answer, any_place()));
-    CHECK(finds(promise::whole_own_answer, cut_is_end()));
+    CHECK(
+        finds_violation(invariant::complete_own_answer, accepts_any_offset()));
+    CHECK(finds_violation(invariant::complete_own_answer, treats_cut_as_end()));
 }
 
 TEST_CASE("without certainty a request that ran is told as not run",
           "[left-out]")
 {
-    CHECK(finds(promise::not_run_is_true, every_failure_is_not_run()));
+    CHECK(finds_violation(invariant::not_run_is_true,
+                          treats_failures_as_not_run()));
 }
 
 TEST_CASE("without a claim a call runs twice", "[left-out]")
 {
-    CHECK(finds(promise::at_most_once, calls_without_claim()));
+    CHECK(finds_violation(invariant::at_most_once, calls_without_claim()));
 }
 
 TEST_CASE("without its check a leaving VM takes work", "[left-out]")
 {
-    CHECK(finds(promise::leaving_takes_no_work, takes_work_while_leaving()));
+    CHECK(finds_violation(invariant::leaving_takes_no_work,
+                          takes_work_while_leaving()));
 }
 
 TEST_CASE("without its check a shutdown interrupts requests", "[left-out]")
 {
-    CHECK(finds(promise::shutdown_interrupts_nothing, stops_at_once()));
+    CHECK(finds_violation(invariant::shutdown_interrupts_nothing,
+                          stops_with_open_requests()));
 }
 
 TEST_CASE("without its checks an old configuration is in force", "[left-out]")
 {
     // Operators confirm often, and on a slow network what was read for one
     // version arrives after the next is in force.
-    std::vector<core_step> besides{{core_fault::slow_network, 0, 0, 2400}};
+    std::vector<core_step> additional_steps{
+        {core_fault::slow_network, 0, 0, 2400}};
     for (int each = 0; each < 8; ++each)
-        besides.push_back({core_fault::confirm, 300 * each,
-                           static_cast<std::size_t>(each), 0});
-    CHECK(finds(promise::configuration_holds, replaces_with_any(), besides));
-    CHECK(finds(promise::configuration_holds, takes_work_unknowing()));
+        additional_steps.push_back({core_fault::confirm, 300 * each,
+                                    static_cast<std::size_t>(each), 0});
+    CHECK(finds_violation(invariant::configuration_holds,
+                          accepts_older_versions(), additional_steps));
+    CHECK(finds_violation(invariant::configuration_holds,
+                          takes_work_without_configuration()));
 }
 
 // The table is down for seven lease lengths while all VMs live and reach one
@@ -243,19 +253,19 @@
     world.warm_up();
     world.check_service();
     // Loaded where it is asked for, with other work going on elsewhere.
-    request_id const loads = world.ask(0, 2);
+    request_id const loads = world.submit_model_request(0, 2);
     world.run_for(500ms);
     REQUIRE(world.outcome(loads) == "whole");
-    world.begin({core_fault::table_down, 0, 0, 4200});
+    world.inject({core_fault::table_down, 0, 0, 4200});
     for (std::size_t other = 3; other < 8; ++other)
-        world.ask(other, other);
+        world.submit_model_request(other, other);
     world.run_for(1500ms);
     std::vector<request_id> asked;
     for (std::size_t round = 0; round < 10; ++round)
     {
         for (std::size_t vm = 0; vm < vm_count; ++vm)
-            asked.push_back(world.ask(vm, 2));
-        world.ask(round, 3 + round % 5);
+            asked.push_back(world.submit_model_request(vm, 2));
+        world.submit_model_request(round, 3 + round % 5);
         world.run_for(150ms);
     }
     world.run_for(1000ms);
@@ -264,7 +274,7 @@
         CHECK(world.outcome(each) == "whole");
     world.run_for(2000ms);
     world.check_service();
-    CHECK(to_string(world.check()) == nothing_broken);
+    CHECK(to_string(world.check()) == no_violations);
 }
 
 // Two VMs of three lose the table for several leases; the third keeps it, sees
@@ -278,18 +288,18 @@
     world.warm_up();
     // The promises of the warm-up's confirm run out.
     world.run_for(1000ms);
-    world.begin({core_fault::table_cut, 0, 1, 5000});
-    world.begin({core_fault::table_cut, 0, 2, 5000});
+    world.inject({core_fault::table_cut, 0, 1, 5000});
+    world.inject({core_fault::table_cut, 0, 2, 5000});
     world.run_for(2000ms);
     CHECK(world.status(1).going_on_without_table);
     CHECK(world.status(2).going_on_without_table);
     std::size_t const before = world.counts().confirms;
-    world.begin({core_fault::confirm, 0, 0, 0});
+    world.inject({core_fault::confirm, 0, 0, 0});
     world.run_for(2500ms);
     CHECK(world.counts().confirms == before);
     CHECK(world.status(1).takes_new_work);
     CHECK(world.status(2).takes_new_work);
-    CHECK(to_string(world.check()) == nothing_broken);
+    CHECK(to_string(world.check()) == no_violations);
 }
 
 // One VM alone cannot reach the table. It gets no promises, so that it cannot
@@ -301,18 +311,18 @@
     safeguards const checks;
     core_simulation world(vm_count, 3, checks);
     world.warm_up();
-    world.begin({core_fault::table_cut, 0, 0, 4000});
+    world.inject({core_fault::table_cut, 0, 0, 4000});
     world.run_for(2500ms);
-    request_id const refused = world.ask(0, 2);
-    request_id const first = world.ask(1, 2);
-    request_id const second = world.ask(2, 2);
+    request_id const refused = world.submit_model_request(0, 2);
+    request_id const first = world.submit_model_request(1, 2);
+    request_id const second = world.submit_model_request(2, 2);
     world.run_for(1000ms);
     CHECK(world.outcome(refused).starts_with("configuration_stale"));
     CHECK(world.outcome(first) == "whole");
     CHECK(world.outcome(second) == "whole");
     world.run_for(2000ms);
     world.check_service();
-    CHECK(to_string(world.check()) == nothing_broken);
+    CHECK(to_string(world.check()) == no_violations);
 }
 
 // A VM is drained in the middle of traffic and nothing else goes wrong. Every
@@ -328,16 +338,16 @@
         for (int round = 0; round < 10; ++round)
         {
             for (std::size_t vm = 0; vm < vm_count; ++vm)
-                asked.push_back(world.ask(vm, vm));
+                asked.push_back(world.submit_model_request(vm, vm));
             world.run_for(60ms);
             if (round == 6)
-                world.begin({core_fault::drain, 0, seed % vm_count, 0});
+                world.inject({core_fault::drain, 0, seed % vm_count, 0});
         }
         world.run_for(3000ms);
         for (request_id const& each : asked)
             CHECK(world.outcome(each) == "whole");
         CHECK(world.counts().ended == 1);
-        CHECK(to_string(world.check()) == nothing_broken);
+        CHECK(to_string(world.check()) == no_violations);
     }
 }
 
@@ -355,8 +365,8 @@
     core_schedule const no_time{249311,
                                 {{core_fault::lost_orders, 1072, 1, 290},
                                  {core_fault::cut_links, 1226, 1, 1628}}};
-    CHECK(to_string(run_one(no_owner, checks)) == nothing_broken);
-    CHECK(to_string(run_one(no_time, checks)) == nothing_broken);
+    CHECK(to_string(violations_of(no_owner, checks)) == no_violations);
+    CHECK(to_string(violations_of(no_time, checks)) == no_violations);
 }
 
 // An owner is killed while the table is slow, just before the write of an
@@ -368,5 +378,5 @@
     core_schedule const killed{637783,
                                {{core_fault::table_slow, 433, 0, 115},
                                 {core_fault::kill, 537, 2, 20}}};
-    CHECK(to_string(run_one(killed, checks)) == nothing_broken);
+    CHECK(to_string(violations_of(killed, checks)) == no_violations);
 }
--- a/tests/core_simulation.cpp
+++ b/tests/core_simulation.cpp
@@ -22,7 +22,7 @@
 constexpr duration leave_bound = 1000ms;
 /// How long after a confirm an older version may be in force.
 constexpr duration configuration_bound = 800ms;
-constexpr duration newcomer_after = 300ms;
+constexpr duration replacement_delay = 300ms;
 
 declaration first_declaration()
 {
@@ -64,7 +64,7 @@
 
 // The product's settings at a fifth of their length, so that a schedule of
 // several lease lengths is short.
-core_settings core_simulation::settings_of(std::size_t vm)
+core_settings core_simulation::make_settings(std::size_t vm)
 {
     core_settings made;
     vm_id const id("vm" + std::to_string(vm));
@@ -115,18 +115,18 @@
 core_simulation::core_simulation(std::size_t vms, std::uint64_t seed,
                                  safeguards const& checks)
     : seed_(seed), random_(seed),
-      checks_(checks), around_{time_, random_, promises_.seen,
-                               [this](core_link_ptr const& link,
-                                      core_event event)
-                               { send(link, std::move(event)); }},
+      checks_(checks), context_{time_, random_, invariants_.seen,
+                                [this](core_link_ptr const& link,
+                                       core_event event)
+                                { send(link, std::move(event)); }},
       table_(time_, seed), declared_(first_declaration())
 {
     for (auto const& [id, worker] : declared_.workers)
-        engines_.emplace(id, core_engine(around_, worker));
+        engines_.emplace(id, core_engine(context_, worker));
     for (std::size_t vm = 0; vm < vms; ++vm)
     {
         vms_.push_back(nullptr);
-        list(vm, true, false);
+        set_listed(vm, true, false);
         start(vm);
     }
 }
@@ -136,7 +136,7 @@
     auto const process = std::make_shared<core_process>();
     process->vm = vm;
     process->id = vm_id("vm" + std::to_string(vm));
-    process->core = std::make_unique<vm_core>(settings_of(vm), checks_);
+    process->core = std::make_unique<vm_core>(make_settings(vm), checks_);
     process->woken_at = time_.now();
     vms_[vm] = process;
     action_list actions;
@@ -151,7 +151,7 @@
               for (worker_id const& worker : process->core->watched_workers())
                   if (!engines_.at(worker).faults.unreachable)
                       time_.after(
-                          around_.between(1, 60),
+                          context_.between(1, 60),
                           [this, process, shown = engines_.at(worker).report()]
                           { feed(process, shown); });
           });
@@ -184,7 +184,7 @@
 void core_simulation::handle(core_process_ptr const& process,
                              core_event const& event)
 {
-    note_arrival(process, event);
+    record_late_arrival(process, event);
     action_list actions;
     process->core->handle(event, time_.now(), actions);
     for (action& each : actions)
@@ -193,13 +193,13 @@
         if (auto const* version = std::get_if<config_version>(&each.result))
         {
             ++counts_.confirms;
-            promises_.confirmed(*version, time_.now());
+            invariants_.confirmed(*version, time_.now());
         }
     if (process->flush_due || process->outbox.empty())
         return;
     // Between a decision and its deed a process may be paused or killed.
     process->flush_due = true;
-    time_.after(around_.between(0, 1),
+    time_.after(context_.between(0, 1),
                 [this, process]
                 {
                     if (process->running && !process->paused)
@@ -207,8 +207,8 @@
                 });
 }
 
-void core_simulation::note_arrival(core_process_ptr const& process,
-                                   core_event const& event)
+void core_simulation::record_late_arrival(core_process_ptr const& process,
+                                          core_event const& event)
 {
     time_point const now = time_.now();
     bool noticed = std::holds_alternative<leave_requested>(event);
@@ -220,12 +220,12 @@
     if (!process->left_at || now <= *process->left_at + leave_bound)
         return;
     if (auto const* model = std::get_if<model_request_arrived>(&event))
-        process->late_work.insert(model->request.id.str());
+        process->late_requests.insert(model->request.id.str());
     else if (auto const* call = std::get_if<service_request_arrived>(&event))
-        process->late_work.insert(call->request.id.str());
+        process->late_requests.insert(call->request.id.str());
     else if (auto const* forwarded =
                  std::get_if<forwarded_request_arrived>(&event))
-        process->late_work.insert(forwarded->request.id.str());
+        process->late_requests.insert(forwarded->request.id.str());
 }
 
 void core_simulation::flush(core_process_ptr const& process)
@@ -242,15 +242,15 @@
 void core_simulation::tick(core_process_ptr const& process)
 {
     handle(process, clock_ticked{});
-    judge(process);
+    check_admission(process);
     if (process->core->can_exit(time_.now()))
         end_gracefully(process);
 }
 
-void core_simulation::judge(core_process_ptr const& process)
+void core_simulation::check_admission(core_process_ptr const& process)
 {
     if (process->core->takes_new_work(time_.now()) && process->core->declared())
-        promises_.would_take_work(
+        invariants_.check_admitted_version(
             process->id, process->core->status(time_.now()).configuration,
             time_.now(), configuration_bound);
 }
@@ -286,7 +286,7 @@
     process->core.reset();
     for (request_id const& each : process->unanswered)
     {
-        promises_.seen.withdrawn(each);
+        invariants_.seen.withdrawn(each);
         outcomes_[each] = "killed";
     }
     close_connections(process);
@@ -295,7 +295,7 @@
 void core_simulation::close_connections(core_process_ptr const& process)
 {
     for (auto const& [attempt, link] : std::exchange(process->open, {}))
-        hang_up(link);
+        close_link(link);
     for (auto const& [request, link] : std::exchange(process->writers, {}))
         break_link(link);
 }
@@ -304,15 +304,15 @@
 {
     flush(process);
     ++counts_.ended;
-    promises_.ended(process->id,
-                    process->unanswered.size() + process->writers.size());
+    invariants_.ended(process->id,
+                      process->unanswered.size() + process->writers.size());
     kill(process->vm);
-    list(process->vm, false, false);
-    time_.after(newcomer_after,
+    set_listed(process->vm, false, false);
+    time_.after(replacement_delay,
                 [this]
                 {
                     vms_.push_back(nullptr);
-                    list(vms_.size() - 1, true, false);
+                    set_listed(vms_.size() - 1, true, false);
                     start(vms_.size() - 1);
                 });
 }
@@ -333,7 +333,7 @@
                            digest_of(text), text});
 }
 
-void core_simulation::list(std::size_t vm, bool present, bool leaving)
+void core_simulation::set_listed(std::size_t vm, bool present, bool leaving)
 {
     vm_id const id("vm" + std::to_string(vm));
     std::erase_if(listed_,
@@ -360,8 +360,8 @@
     {
         auto const row = parse_worker_row(each.value);
         for (engine_name const& name : row->intents)
-            promises_.not_in_service(each.key + " keeps the intent to unload " +
-                                     name.str());
+            invariants_.report_service_failure(
+                each.key + " keeps the intent to unload " + name.str());
     }
 }
 
@@ -377,18 +377,19 @@
     run_for(700ms);
 }
 
-std::vector<broken_promise> core_simulation::run(core_schedule const& what)
+std::vector<invariant_violation> core_simulation::run(core_schedule const& what)
 {
     warm_up();
     time_point const begun = time_.now();
-    time_point over = begun;
+    time_point faults_end = begun;
     for (core_step const& step : what.steps)
     {
         time_point const at = begun + std::chrono::milliseconds(step.at_ms);
-        time_.at(at, [this, step] { begin(step); });
-        over = std::max(over, at + std::chrono::milliseconds(step.span_ms));
+        time_.at(at, [this, step] { inject(step); });
+        faults_end =
+            std::max(faults_end, at + std::chrono::milliseconds(step.span_ms));
     }
-    traffic_until(over + 500ms);
+    traffic_until(faults_end + 500ms);
     // Longer than a lease, the list's lag, a request's deadline.
     run_for(3500ms);
     check_service();
--- a/tests/core_simulation.hpp
+++ b/tests/core_simulation.hpp
@@ -36,20 +36,23 @@
 
     /// The whole of a proof: warm-up, the schedule under traffic, the end of
     /// the faults, and then a check that service has come back.
-    std::vector<broken_promise> run(core_schedule const& what);
+    std::vector<invariant_violation> run(core_schedule const& what);
 
     // By hand, for tests of one story.
     void warm_up();
-    void begin(core_step const& step);
+    void inject(core_step const& step);
     void traffic_until(time_point end);
     void run_for(duration span) { time_.run_until(time_.now() + span); }
-    request_id ask(std::size_t vm, std::size_t adapter);
-    request_id call_once(std::size_t vm, std::string const& key);
+    request_id submit_model_request(std::size_t vm, std::size_t adapter);
+    request_id submit_service_call(std::size_t vm, std::string const& key);
     /// The final answer as text: `whole`, an error kind, or empty.
     std::string outcome(request_id const& request) const;
     /// Asks through every VM that stays, and waits for the answers.
     void check_service();
-    std::vector<broken_promise> check() const { return promises_.check(); }
+    std::vector<invariant_violation> check() const
+    {
+        return invariants_.check();
+    }
     world_counts const& counts() const { return counts_; }
     time_point now() const { return time_.now(); }
     bool running(std::size_t vm) const { return vms_[vm]->running; }
@@ -64,22 +67,23 @@
     };
 
     // Processes (core_simulation.cpp).
-    core_settings settings_of(std::size_t vm);
+    core_settings make_settings(std::size_t vm);
     void start(std::size_t vm);
     void every(core_process_ptr const& process, duration wait,
                std::function<void()> what);
     void feed(core_process_ptr const& process, core_event event);
     void handle(core_process_ptr const& process, core_event const& event);
-    void note_arrival(core_process_ptr const& process, core_event const& event);
+    void record_late_arrival(core_process_ptr const& process,
+                             core_event const& event);
     void flush(core_process_ptr const& process);
     void tick(core_process_ptr const& process);
-    void judge(core_process_ptr const& process);
+    void check_admission(core_process_ptr const& process);
     void pause(std::size_t vm, duration span);
     void kill(std::size_t vm);
     void close_connections(core_process_ptr const& process);
     void end_gracefully(core_process_ptr const& process);
     void confirm(std::size_t vm);
-    void list(std::size_t vm, bool present, bool leaving);
+    void set_listed(std::size_t vm, bool present, bool leaving);
     void read_list(core_process_ptr const& process);
     void check_intents();
 
@@ -101,27 +105,27 @@
     void on(core_process_ptr const& process, call_service const& what);
     template <class Other>
     void on(core_process_ptr const& process, Other const& what);
-    void note_new_work(core_process_ptr const& process,
-                       request_id const& request);
+    void record_late_send(core_process_ptr const& process,
+                          request_id const& request);
     core_link_ptr connect(core_process_ptr const& client, attempt_id attempt,
                           request_id const& request);
     void send(core_link_ptr const& link, core_event event);
     void break_link(core_link_ptr const& link);
-    void hang_up(core_link_ptr const& link);
-    void arrive_forwarded(core_link_ptr const& link, std::size_t vm,
-                          worker_id const& worker,
-                          model_request const& request);
-    void watch(core_link_ptr const& link);
+    void close_link(core_link_ptr const& link);
+    void on_forwarded_arrival(core_link_ptr const& link, std::size_t vm,
+                              worker_id const& worker,
+                              model_request const& request);
+    void watch_link(core_link_ptr const& link);
     void run_service(core_link_ptr const& link, service_request const& request);
     void answer_object(core_process_ptr const& process, object_reply reply,
                        time_point deadline);
-    core_link_ptr take_writer(core_process_ptr const& process,
-                              request_id const& request);
+    core_link_ptr remove_writer(core_process_ptr const& process,
+                                request_id const& request);
     std::size_t vm_of(vm_id const& vm) const;
 
     // Callers (core_traffic.cpp).
     core_process_ptr process_for(std::size_t vm) const;
-    void traffic();
+    void generate_traffic();
     void withdraw(request_id const& request);
     void finish(core_process_ptr const& process, request_id const& request,
                 std::string outcome);
@@ -130,8 +134,8 @@
     std::uint64_t seed_;
     std::mt19937_64 random_;
     safeguards const& checks_;
-    core_invariants promises_;
-    core_surroundings around_;
+    core_invariants invariants_;
+    core_context context_;
     fake_table table_;
     std::vector<core_process_ptr> vms_;
     std::map<worker_id, core_engine> engines_;
--- a/tests/core_traffic.cpp
+++ b/tests/core_traffic.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr duration caller_patience = 2000ms;
+constexpr duration caller_timeout = 2000ms;
 /// A request is answered by its deadline, or by a process that slept through
 /// it soon after it wakes.
 constexpr duration answer_slack = 150ms;
@@ -42,7 +42,8 @@
     return nullptr;
 }
 
-request_id core_simulation::ask(std::size_t vm, std::size_t adapter)
+request_id core_simulation::submit_model_request(std::size_t vm,
+                                                 std::size_t adapter)
 {
     request_id const id("c" + std::to_string(++asked_));
     core_process_ptr const process = process_for(vm);
@@ -53,18 +54,19 @@
     request.adapter = {adapter_id("a" + std::to_string(adapter % adapters)),
                        adapter_version(1 + adapter / adapters % 2)};
     request.arrived = time_.now();
-    request.deadline = time_.now() + caller_patience;
+    request.deadline = time_.now() + caller_timeout;
     request.body = std::make_shared<std::string const>("{}");
     ++counts_.asked;
-    promises_.seen.invoked(id, request.adapter);
-    process->taken.insert(id);
+    invariants_.seen.invoked(id, request.adapter);
+    process->caller_requests.insert(id);
     process->unanswered.insert(id);
     callers_[id] = {process, request.deadline};
     feed(process, model_request_arrived{std::move(request)});
     return id;
 }
 
-request_id core_simulation::call_once(std::size_t vm, std::string const& key)
+request_id core_simulation::submit_service_call(std::size_t vm,
+                                                std::string const& key)
 {
     request_id const id("c" + std::to_string(++asked_));
     core_process_ptr const process = process_for(vm);
@@ -78,9 +80,9 @@
     request.body = std::make_shared<std::string const>("slip");
     request.key = idempotency_key(key);
     request.arrived = time_.now();
-    request.deadline = time_.now() + caller_patience;
-    promises_.seen.service_invoked(id, true);
-    process->taken.insert(id);
+    request.deadline = time_.now() + caller_timeout;
+    invariants_.seen.service_invoked(id, true);
+    process->caller_requests.insert(id);
     process->unanswered.insert(id);
     callers_[id] = {process, request.deadline};
     feed(process, service_request_arrived{std::move(request)});
@@ -94,9 +96,9 @@
         return;
     core_process_ptr const process = found->second.first;
     callers_.erase(found);
-    process->taken.erase(request);
+    process->caller_requests.erase(request);
     process->unanswered.erase(request);
-    promises_.seen.withdrawn(request);
+    invariants_.seen.withdrawn(request);
     feed(process, client_disconnected{request});
 }
 
@@ -111,7 +113,8 @@
     time_point const due = std::max(found->second.second, process->woken_at);
     callers_.erase(found);
     if (time_.now() > due + answer_slack)
-        promises_.not_in_service(request.str() + " was answered late");
+        invariants_.report_service_failure(request.str() +
+                                           " was answered late");
 }
 
 std::string core_simulation::outcome(request_id const& request) const
@@ -120,35 +123,36 @@
     return found == outcomes_.end() ? std::string() : found->second;
 }
 
-void core_simulation::traffic()
+void core_simulation::generate_traffic()
 {
     if (!traffic_on_)
         return;
-    std::size_t const vm = around_.below(vms_.size());
+    std::size_t const vm = context_.below(vms_.size());
     // Skewed: half of the requests name two of the adapters.
     std::size_t const adapter =
-        around_.percent(50) ? around_.below(2) : around_.below(2 * adapters);
-    request_id const request = ask(vm, adapter);
-    if (around_.percent(8))
-        time_.after(around_.between(1, 200),
+        context_.percent(50) ? context_.below(2) : context_.below(2 * adapters);
+    request_id const request = submit_model_request(vm, adapter);
+    if (context_.percent(8))
+        time_.after(context_.between(1, 200),
                     [this, request] { withdraw(request); });
-    if (around_.percent(20))
+    if (context_.percent(20))
     {
         auto const round = time_.now().time_since_epoch() / 400ms;
         std::string const key = "k" + std::to_string(round) + "-" +
-                                std::to_string(around_.below(keys_at_once));
-        request_id const call = call_once(around_.below(vms_.size()), key);
-        if (around_.percent(8))
-            time_.after(around_.between(1, 200),
+                                std::to_string(context_.below(keys_at_once));
+        request_id const call =
+            submit_service_call(context_.below(vms_.size()), key);
+        if (context_.percent(8))
+            time_.after(context_.between(1, 200),
                         [this, call] { withdraw(call); });
     }
-    time_.after(around_.between(5, 40), [this] { traffic(); });
+    time_.after(context_.between(5, 40), [this] { generate_traffic(); });
 }
 
 void core_simulation::traffic_until(time_point end)
 {
     traffic_on_ = true;
-    traffic();
+    generate_traffic();
     time_.run_until(end);
     traffic_on_ = false;
 }
@@ -162,22 +166,22 @@
             continue;
         if (vms_[vm]->left_at)
         {
-            promises_.not_in_service("vm" + std::to_string(vm) +
-                                     " has not ended since it left");
+            invariants_.report_service_failure("vm" + std::to_string(vm) +
+                                               " has not ended since it left");
             continue;
         }
         for (std::size_t adapter = 0; adapter < 3; ++adapter)
-            asked.push_back(ask(vm, vm + adapter));
-        asked.push_back(call_once(vm, "last-" + std::to_string(vm)));
+            asked.push_back(submit_model_request(vm, vm + adapter));
+        asked.push_back(submit_service_call(vm, "last-" + std::to_string(vm)));
     }
-    run_for(caller_patience + answer_slack);
+    run_for(caller_timeout + answer_slack);
     for (request_id const& each : asked)
         if (outcome(each) != "whole")
-            promises_.not_in_service(each.str() +
-                                     " after the faults: " + outcome(each));
+            invariants_.report_service_failure(
+                each.str() + " after the faults: " + outcome(each));
 }
 
-void core_simulation::begin(core_step const& step)
+void core_simulation::inject(core_step const& step)
 {
     duration const span = std::chrono::milliseconds(step.span_ms);
     std::size_t const vm = step.which % vms_.size();
@@ -222,7 +226,7 @@
         return feed(vms_[vm], leave_requested{"an operator asked for it"});
     case core_fault::delist:
         if (vms_[vm]->running)
-            list(vm, true, true);
+            set_listed(vm, true, true);
         return;
     case core_fault::table_down:
         return table_while([&] { table_.set_down(true); },
@@ -265,7 +269,7 @@
     case core_fault::skipped_events:
         return for_a_while(engine.faults.skipped_events);
     case core_fault::slow_network:
-        return for_a_while(around_.slow_network);
+        return for_a_while(context_.slow_network);
     case core_fault::lose_messages:
         return for_a_while(lose_messages_);
     case core_fault::silent_links:
--- a/tests/fake_table.cpp
+++ b/tests/fake_table.cpp
@@ -19,7 +19,7 @@
         cut_off_.insert(from);
 }
 
-bool fake_table::reaches(vm_id const& from) const
+bool fake_table::can_reach(vm_id const& from) const
 {
     return !down_ && cut_off_.count(from) == 0;
 }
@@ -27,54 +27,54 @@
 bool fake_table::submit(vm_id const& from, action const& what, answer to)
 {
     if (auto const* const call = std::get_if<transact>(&what))
-        time_.after(latency_,
-                    [this, from, call = *call, to] { arrive(from, call, to); });
+        time_.after(latency_, [this, from, call = *call, to]
+                    { on_transaction(from, call, to); });
     else if (auto const* const scan = std::get_if<scan_rows>(&what))
         time_.after(latency_,
                     [this, from, scan = *scan, to] {
-                        arrive_read(from, scan.operation, scan.prefix, false,
-                                    scan.deadline, to);
+                        on_read(from, scan.operation, scan.prefix, false,
+                                scan.deadline, to);
                     });
     else if (auto const* const read = std::get_if<read_row>(&what))
         time_.after(latency_,
                     [this, from, read = *read, to] {
-                        arrive_read(from, read.operation, read.key, true,
-                                    read.deadline, to);
+                        on_read(from, read.operation, read.key, true,
+                                read.deadline, to);
                     });
     else
         return false;
     return true;
 }
 
-void fake_table::arrive(vm_id const& from, transact const& what,
-                        answer const& to)
+void fake_table::on_transaction(vm_id const& from, transact const& what,
+                                answer const& to)
 {
-    if (!reaches(from))
+    if (!can_reach(from))
         return fail(what.operation, what.deadline, to);
     if (refuse_)
         return respond(from, {what.operation, table_outcome::refused, {}},
                        what.deadline, false, to);
     bool const lost = lose_answers_;
-    auto const land = [this, from, what, lost, to]
+    auto const apply_and_respond = [this, from, what, lost, to]
     { respond(from, apply(what), what.deadline, lost, to); };
     if (write_delay_ == duration{})
-        return land();
-    time_.after(write_delay_, land);
+        return apply_and_respond();
+    time_.after(write_delay_, apply_and_respond);
 }
 
 table_reply fake_table::apply(transact const& what)
 {
     ++transactions_;
     table_reply reply{what.operation, table_outcome::done, {}};
-    bool holds = true;
+    bool conditions_hold = true;
     for (table_condition const& each : what.transaction.conditions)
     {
         table_row const* const known = row(each.key);
         row_version const version = known ? known->version : row_version();
-        holds = holds && version == each.version;
+        conditions_hold = conditions_hold && version == each.version;
         reply.rows.push_back(known ? *known : table_row{each.key, {}, {}});
     }
-    if (!holds)
+    if (!conditions_hold)
     {
         ++conflicts_;
         reply.outcome = table_outcome::conflict;
@@ -103,11 +103,11 @@
         observer_(before, written);
 }
 
-void fake_table::arrive_read(vm_id const& from, operation_id operation,
-                             std::string const& prefix, bool whole_key,
-                             time_point deadline, answer const& to)
+void fake_table::on_read(vm_id const& from, operation_id operation,
+                         std::string const& prefix, bool exact_key,
+                         time_point deadline, answer const& to)
 {
-    if (!reaches(from))
+    if (!can_reach(from))
         return fail(operation, deadline, to);
     ++reads_;
     if (refuse_)
@@ -125,7 +125,7 @@
         auto const seen = std::find_if(
             states.rbegin(), states.rend(),
             [&](state const& s) { return s.since <= time_.now() - lag; });
-        bool const wanted = !whole_key || each->first == prefix;
+        bool const wanted = !exact_key || each->first == prefix;
         if (wanted && seen != states.rend() && seen->row)
             reply.rows.push_back(*seen->row);
     }
@@ -140,7 +140,7 @@
     time_.after(latency_,
                 [this, from, reply, deadline, to]
                 {
-                    if (reaches(from))
+                    if (can_reach(from))
                         return to(reply);
                     fail(reply.operation, deadline, to);
                 });
--- a/tests/fake_table.hpp
+++ b/tests/fake_table.hpp
@@ -39,7 +39,7 @@
     /// Transactions take effect only that long after they arrived.
     void delay_writes(duration wait) { write_delay_ = wait; }
     /// Reads answer from up to that long ago.
-    void lag_reads(duration most) { read_lag_ = most; }
+    void lag_reads(duration max_lag) { read_lag_ = max_lag; }
     /// Transactions take effect, but their answers are lost.
     void lose_answers(bool lose) { lose_answers_ = lose; }
     /// Everything is refused for rate.
@@ -59,13 +59,14 @@
         std::optional<table_row> row;
     };
 
-    bool reaches(vm_id const& from) const;
-    void arrive(vm_id const& from, transact const& what, answer const& to);
+    bool can_reach(vm_id const& from) const;
+    void on_transaction(vm_id const& from, transact const& what,
+                        answer const& to);
     table_reply apply(transact const& what);
     void write(table_write const& what, table_reply& reply);
-    void arrive_read(vm_id const& from, operation_id operation,
-                     std::string const& prefix, bool whole_key,
-                     time_point deadline, answer const& to);
+    void on_read(vm_id const& from, operation_id operation,
+                 std::string const& prefix, bool exact_key, time_point deadline,
+                 answer const& to);
     void respond(vm_id const& from, table_reply const& reply,
                  time_point deadline, bool lost, answer const& to);
     void fail(operation_id operation, time_point deadline, answer const& to);
--- a/tests/model_entry_test.cpp
+++ b/tests/model_entry_test.cpp
@@ -66,9 +66,9 @@
 }
 
 /// The entry of vm0; vm1 owns w1, which is full of b, and w2, which has a.
-struct entry_bench
+struct entry_fixture
 {
-    entry_bench() : entry(settings_of_vm0(), policy, view, owner, checks, ids)
+    entry_fixture() : entry(settings_of_vm0(), policy, view, owner, checks, ids)
     {
         put("w1", "b", true);
         put("w2", "a", true);
@@ -96,7 +96,7 @@
         entry.submit(request, now, actions);
     }
     template <class Action>
-    std::vector<Action> asked() const
+    std::vector<Action> actions_of() const
     {
         std::vector<Action> found;
         for (action const& each : actions)
@@ -127,32 +127,34 @@
 // not. The caller gets the rest from the engine, or is told that it broke off.
 TEST_CASE("a forwarded answer without its last event is not whole", "[entry]")
 {
-    entry_bench it;
-    it.submit();
-    REQUIRE(it.asked<forward_request>().size() == 1);
-    attempt_id const forwarded = it.asked<forward_request>()[0].attempt;
-    it.chunk(forwarded, 0, false);
-    it.entry.on_end({forwarded}, it.now, it.actions);
-    CHECK(it.asked<deliver_end>().empty());
-    REQUIRE(it.asked<start_attempt>().size() == 1);
-    start_attempt const resumed = it.asked<start_attempt>()[0];
+    entry_fixture fixture;
+    fixture.submit();
+    REQUIRE(fixture.actions_of<forward_request>().size() == 1);
+    attempt_id const forwarded =
+        fixture.actions_of<forward_request>()[0].attempt;
+    fixture.chunk(forwarded, 0, false);
+    fixture.entry.on_end({forwarded}, fixture.now, fixture.actions);
+    CHECK(fixture.actions_of<deliver_end>().empty());
+    REQUIRE(fixture.actions_of<start_attempt>().size() == 1);
+    start_attempt const resumed = fixture.actions_of<start_attempt>()[0];
     CHECK(resumed.resume);
     CHECK(resumed.offset == 1);
     bool const had = GENERATE(true, false);
     if (had)
     {
-        it.chunk(resumed.attempt, 1, true);
-        it.entry.on_end({resumed.attempt}, it.now, it.actions);
-        CHECK(it.asked<deliver_event>().size() == 2);
-        CHECK(it.asked<deliver_end>().size() == 1);
+        fixture.chunk(resumed.attempt, 1, true);
+        fixture.entry.on_end({resumed.attempt}, fixture.now, fixture.actions);
+        CHECK(fixture.actions_of<deliver_event>().size() == 2);
+        CHECK(fixture.actions_of<deliver_end>().size() == 1);
         return;
     }
-    it.entry.on_failure(
-        {resumed.attempt, failure_stage::refused, 404, "", "", {}}, it.now,
-        it.actions);
-    CHECK(it.asked<deliver_end>().empty());
-    REQUIRE(it.asked<deliver_error>().size() == 1);
-    CHECK(it.asked<deliver_error>()[0].what.kind() == error_kind::answer_cut);
+    fixture.entry.on_failure(
+        {resumed.attempt, failure_stage::refused, 404, "", "", {}}, fixture.now,
+        fixture.actions);
+    CHECK(fixture.actions_of<deliver_end>().empty());
+    REQUIRE(fixture.actions_of<deliver_error>().size() == 1);
+    CHECK(fixture.actions_of<deliver_error>()[0].what.kind() ==
+          error_kind::answer_cut);
 }
 
 // The table is out of reach, so that a full worker lets no adapter go. Whatever
@@ -160,20 +162,21 @@
 // the owner that the policy chose says that it cannot load.
 TEST_CASE("a worker that can load nothing is passed over", "[entry]")
 {
-    entry_bench it;
+    entry_fixture fixture;
     char const* expected = "w1";
     SECTION("it can evict") {}
     SECTION("it cannot")
     {
-        it.put("w1", "b", false);
+        fixture.put("w1", "b", false);
         expected = "w2";
     }
     SECTION("it cannot, and the adapter is nowhere")
     {
-        it.put("w1", "b", false);
-        it.put("w2", "c", false);
+        fixture.put("w1", "b", false);
+        fixture.put("w2", "c", false);
     }
-    it.submit();
-    REQUIRE(it.asked<forward_request>().size() == 1);
-    CHECK(it.asked<forward_request>()[0].worker == worker_id(expected));
+    fixture.submit();
+    REQUIRE(fixture.actions_of<forward_request>().size() == 1);
+    CHECK(fixture.actions_of<forward_request>()[0].worker ==
+          worker_id(expected));
 }
--- a/tests/simulation_context.hpp
+++ b/tests/simulation_context.hpp
@@ -33,16 +33,16 @@
 
     time_point now() const { return now_; }
     std::size_t below(std::size_t bound) { return random_() % bound; }
-    duration between(duration least, duration most)
+    duration between(duration min, duration max)
     {
-        auto const span = static_cast<std::size_t>((most - least).count());
-        return least + duration(below(span + 1));
+        auto const span = static_cast<std::size_t>((max - min).count());
+        return min + duration(below(span + 1));
     }
     /// Whether a fault strikes here.
     bool fault_occurs(fault which)
     {
-        bool const hit = below(100) < fault_percent;
-        return hit && (options_.faults & which) != 0 &&
+        bool const occurs = below(100) < fault_percent;
+        return occurs && (options_.faults & which) != 0 &&
                now_ < time_point(fault_time);
     }
     bool enabled(fault which) const { return (options_.faults & which) != 0; }
--- a/tests/virtual_engine.hpp
+++ b/tests/virtual_engine.hpp
@@ -129,12 +129,12 @@
         ++loading_;
         bool const unknown = world_->fault_occurs(unknown_load);
         bool const fails = world_->fault_occurs(failed_load);
-        duration const takes = unknown ? world_->between(100ms, 600ms)
-                                       : world_->between(10ms, 100ms);
+        duration const load_time = unknown ? world_->between(100ms, 600ms)
+                                           : world_->between(10ms, 100ms);
         if (unknown)
             world_->after(test_limits().order_timeout,
                           [=] { answer(outcome::unknown, 0, ""); });
-        world_->after(takes,
+        world_->after(load_time,
                       [=, this, boot = boot_]
                       {
                           if (boot != boot_)
@@ -165,11 +165,12 @@
                 world_->after(
                     world_->between(0ms,
                                     timeout + test_limits().settle_time - 50ms),
-                    [=, this] { take_out(name); });
+                    [=, this] { remove_adapter(name); });
             return;
         }
-        bool const there = take_out(name);
-        answer(there ? outcome::done : outcome::refused, there ? 200 : 404, "");
+        bool const was_loaded = remove_adapter(name);
+        answer(was_loaded ? outcome::done : outcome::refused,
+               was_loaded ? 200 : 404, "");
     }
 
     void restart()
@@ -178,7 +179,7 @@
         loading_ = 0;
         loaded_.clear();
         for (run_ptr const& each : std::exchange(active_, {}))
-            lose(each);
+            fail_stream(each);
         runs_.clear();
     }
 
@@ -289,7 +290,7 @@
         if (world_->fault_occurs(wrong_adapter_echo))
             piece.name = engine_name("other@1#1");
         if (world_->fault_occurs(crossed_event) && !active_.empty())
-            cross(item, offset);
+            emit_crossed_event(item, offset);
         to->begun = true;
         send(to, [to, piece] { to->event(piece); });
         if (world_->fault_occurs(repeated_event))
@@ -297,7 +298,7 @@
     }
 
     /// An event of another request arrives on the connection.
-    void cross(run const& item, std::uint64_t offset)
+    void emit_crossed_event(run const& item, std::uint64_t offset)
     {
         run const& other = *active_[world_->below(active_.size())];
         if (other.request == item.request)
@@ -319,7 +320,7 @@
         start_waiting();
     }
 
-    void lose(run_ptr const& item)
+    void fail_stream(run_ptr const& item)
     {
         item->stopped = true;
         fail(item->to,
@@ -327,19 +328,19 @@
              0);
     }
 
-    bool take_out(engine_name const& name)
+    bool remove_adapter(engine_name const& name)
     {
         if (loaded_.erase(name) == 0)
             return false;
-        std::vector<run_ptr> under;
+        std::vector<run_ptr> affected;
         for (run_ptr const& each : active_)
             if (each->name == name)
-                under.push_back(each);
-        history_->unloaded(name, under.size());
-        for (run_ptr const& each : under)
+                affected.push_back(each);
+        history_->unloaded(name, affected.size());
+        for (run_ptr const& each : affected)
         {
             stop(each);
-            lose(each);
+            fail_stream(each);
         }
         return true;
     }
