--- a/tests/core_engine.cpp
+++ b/tests/core_engine.cpp
@@ -14,7 +14,7 @@
 constexpr int status_not_found = 404;
 constexpr int status_old_fence = 412;
 constexpr int status_unavailable = 503;
-/// Of a hundred events or orders, those that an enabled fault strikes.
+/// Probability in percent that an enabled fault affects an event or order.
 constexpr std::size_t fault_percent = 25;
 
 order_result refused(order_id order, int status)
--- a/tests/core_engine.hpp
+++ b/tests/core_engine.hpp
@@ -1,4 +1,4 @@
-/// A model engine in virtual time, with its faults.
+/// A simulated model engine in virtual time, with injected faults.
 #ifndef MULBERRY_TESTS_CORE_ENGINE_HPP
 #define MULBERRY_TESTS_CORE_ENGINE_HPP
 
@@ -12,6 +12,7 @@
 namespace mulberry::tests
 {
 
+/// The faults that are enabled. Value.
 struct engine_faults
 {
     bool unreachable = false;
@@ -35,14 +36,15 @@
     {
     }
 
-    /// Takes a request, or the wish to resume its stream, after the network.
+    /// Receives a request, or a request to resume its stream. The caller has
+    /// already added the network latency.
     void start(start_attempt const& what, core_link_ptr const& link);
     void cancel(request_id const& request);
-    /// One answer follows, by the order's deadline.
+    /// `answer` is called once, by the order's deadline.
     void load(load_adapter const& what, order_answer const& answer);
     void unload(unload_adapter const& what, order_answer const& answer);
     engine_report report() const;
-    /// Cold: a new boot id, no adapters, its streams cut.
+    /// Restarts the engine: new boot id, no adapters loaded, streams cut.
     void restart();
 
     engine_faults faults;
--- a/tests/core_invariants.cpp
+++ b/tests/core_invariants.cpp
@@ -88,8 +88,9 @@
 {
     std::string text;
     for (invariant_violation const& each : all)
-        text += "line " + std::to_string(static_cast<int>(each.which) + 1) +
-                ": " + each.text + "\n";
+        text += "invariant " +
+                std::to_string(static_cast<int>(each.which) + 1) + ": " +
+                each.text + "\n";
     return text;
 }
 
--- a/tests/core_invariants.hpp
+++ b/tests/core_invariants.hpp
@@ -1,4 +1,5 @@
-/// The eight lines of "What must always hold", checked over a run's history.
+/// Checks the eight invariants of "What must always hold" on the history of a
+/// run.
 #ifndef MULBERRY_TESTS_CORE_PROMISES_HPP
 #define MULBERRY_TESTS_CORE_PROMISES_HPP
 
@@ -13,8 +14,9 @@
 namespace mulberry::tests
 {
 
-/// In the brief's order; `service` is that requests are answered again and
-/// that leaving VMs end, which the eight lines rest on.
+/// In the order of "What must always hold". `service` is added: requests are
+/// answered again after the faults and leaving VMs exit, which the eight
+/// invariants presuppose.
 enum class invariant
 {
     exact_adapter,
@@ -34,22 +36,25 @@
     std::string text;
 };
 
-/// What callers, back ends and VMs saw, with a check for each line.
+/// Records what callers, backends and VMs observe and checks every invariant.
 class core_invariants
 {
 public:
     mulberry_test::history seen;
 
-    /// A VM ended by itself, having left, with that many requests open.
+    /// Records that a VM left and exited by itself with this many open
+    /// requests.
     void ended(vm_id const& vm, std::size_t open_requests);
-    /// An operator was told that the version is confirmed.
+    /// Records that an operator received the confirmation of a version.
     void confirmed(config_version version, time_point now);
-    /// A VM would take new work under that version. `bound`: how long after
-    /// the operator was told an older one may be in force.
+    /// Records that a VM accepts new work under the version `in_force`. `bound`
+    /// is how long after a confirmation an older version may stay in force.
     void check_admitted_version(vm_id const& vm, config_version in_force,
                                 time_point now, duration bound);
+    /// Records a violation of invariant::service.
     void report_service_failure(std::string text);
 
+    /// All violations so far.
     std::vector<invariant_violation> check() const;
 
 private:
--- a/tests/core_link.hpp
+++ b/tests/core_link.hpp
@@ -1,4 +1,4 @@
-/// A connection in virtual time, and a VM's process at its ends.
+/// Simulated VM processes and the connections between them, in virtual time.
 #ifndef MULBERRY_TESTS_CORE_LINK_HPP
 #define MULBERRY_TESTS_CORE_LINK_HPP
 
@@ -24,7 +24,7 @@
 struct core_link;
 using core_link_ptr = std::shared_ptr<core_link>;
 
-/// One life of a VM's process.
+/// One incarnation of a VM: a process from its start to its end.
 struct core_process
 {
     std::size_t vm = 0;
@@ -32,21 +32,24 @@
     std::unique_ptr<vm_core> core;
     bool running = true;
     bool paused = false;
-    /// Events that wait for a paused process.
+    /// Events that arrived while the process was paused.
     std::deque<core_event> inbox;
-    /// Decided and not yet performed; a pause holds them back.
+    /// Actions that are decided but not yet performed.
     std::deque<action> outbox;
     bool flush_due = false;
-    /// Attempts that this process has open, as the client.
+    /// Open connections in which this process is the client.
     std::map<attempt_id, core_link_ptr> open;
-    /// Forwarded requests that it is to answer.
+    /// Connections of forwarded requests that this process must answer.
     std::map<request_id, core_link_ptr> writers;
-    /// Callers' requests, and those without a final answer.
+    /// Requests that callers sent to this process.
     std::set<request_id> caller_requests;
+    /// Those of caller_requests that have no final answer yet.
     std::set<request_id> unanswered;
+    /// When the process learned that it must leave.
     std::optional<time_point> left_at;
-    /// Requests that came in when no more should have.
+    /// Requests that arrived after the process should have stopped accepting.
     std::set<std::string> late_requests;
+    /// When the process started or was last resumed after a pause.
     time_point woken_at{};
 };
 using core_process_ptr = std::shared_ptr<core_process>;
@@ -56,29 +59,33 @@
 {
     core_process_ptr client;
     attempt_id attempt;
-    /// The peer at the other end, if it is one.
+    /// The peer at the other end; null for an engine or a service.
     core_process_ptr server;
     request_id request;
     bool open = true;
-    /// Lost by something in between: nothing arrives any more at either end.
+    /// The network drops everything: nothing arrives at either end.
     bool silent = false;
+    /// Whether an event of the answer was sent.
     bool begun = false;
     time_point last_arrival{};
     time_point last_byte{};
 };
 
-/// What the fakes share.
+/// State that the fakes share.
 struct core_context
 {
     virtual_time& time;
     std::mt19937_64& random;
     history& seen;
-    /// Hands an event to the client of a link, in order, unless it is closed.
+    /// Delivers an event to the client of a link, in order, unless the link is
+    /// closed or silent.
     std::function<void(core_link_ptr const&, core_event)> send;
+    /// Number of requests that engines accepted.
     std::uint64_t runs = 0;
     bool slow_network = false;
 
     std::size_t below(std::size_t bound) { return random() % bound; }
+    /// True with a probability of `share` percent.
     bool percent(std::size_t share) { return below(100) < share; }
     duration between(int min_ms, int max_ms)
     {
@@ -92,7 +99,8 @@
     }
 };
 
-/// Requests are named C12 by callers and C12.1, C12.2 by an entry VM's tries.
+/// The id of the caller's request, such as c12, for the id of an entry VM's
+/// try, such as c12.2.
 inline request_id root_of(request_id const& id)
 {
     return request_id(id.str().substr(0, id.str().find('.')));
--- a/tests/core_network.cpp
+++ b/tests/core_network.cpp
@@ -1,4 +1,4 @@
-// What the cores ask for, carried out by the fakes.
+// Performs the cores' actions with the fakes.
 #include "core_simulation.hpp"
 
 #include <utility>
@@ -12,6 +12,7 @@
 
 constexpr duration peer_silence_timeout = 400ms;
 constexpr duration keep_alive_interval = 100ms;
+/// Probability in percent that an enabled fault affects a service call.
 constexpr std::size_t fault_percent = 40;
 
 attempt_failure failure_of(core_link_ptr const& link, failure_stage stage)
@@ -70,7 +71,8 @@
     send(link, failure_of(link, failure_stage_of(link)));
 }
 
-/// The client closes its end; a peer that answers is told.
+/// Closes the link at the client's end. A peer that answers the request gets
+/// client_disconnected.
 void core_simulation::close_link(core_link_ptr const& link)
 {
     link->open = false;
@@ -92,7 +94,7 @@
 void core_simulation::record_late_send(core_process_ptr const& process,
                                        request_id const& request)
 {
-    // At the VM a request came in under its own name or as an entry's try.
+    // The request arrived at this VM under its own id or under that of a try.
     if (!process->late_requests.contains(request.str()) &&
         !process->late_requests.contains(root_of(request).str()))
         return;
@@ -147,7 +149,8 @@
         close_link(link);
 }
 
-/// The shell's watch on a peer: its keep-alive comments, and their absence.
+/// Imitates the shell's check of a peer's keep-alive comments: reports a
+/// failure when none arrives for peer_silence_timeout.
 void core_simulation::watch_link(core_link_ptr const& link)
 {
     time_.after(
@@ -339,11 +342,12 @@
 template <class Other>
 void core_simulation::on(core_process_ptr const& process, Other const& what)
 {
-    // The table's; notes and what the core keeps inside need nothing done.
+    // Actions of the table. The fake table ignores all others: published events
+    // need nothing done here.
     table_.submit(process->id, action(what),
                   [this, process](table_reply const& reply)
                   {
-                      // Answers overtake one another on a slow network.
+                      // On a slow network answers may arrive out of order.
                       time_.after(context_.latency(), [this, process, reply]
                                   { feed(process, reply); });
                   });
--- a/tests/core_proof_test.cpp
+++ b/tests/core_proof_test.cpp
@@ -1,7 +1,7 @@
-// The eight lines of "What must always hold" on whole decision cores: three
-// VMs under traffic, with generated schedules of faults that come alone,
-// together or twice. Each line is first seen to fail with its safeguard left
-// out, under schedules of the same generator.
+// Checks the eight invariants of "What must always hold" on complete decision
+// cores: three VMs under traffic, with generated schedules of single, combined
+// and repeated faults. For each invariant, a test also checks that schedules of
+// the same generator violate it when its safeguard is disabled.
 #include "core_simulation.hpp"
 
 #include <catch2/catch.hpp>
@@ -67,7 +67,8 @@
     return world.run(what);
 }
 
-/// Whether the schedules, in a fixed order, show that promise broken.
+/// Whether one of the first max_schedules schedules of a fixed seed violates
+/// the invariant.
 bool finds_violation(invariant wanted, safeguards const& checks,
                      std::vector<core_step> const& additional_steps = {})
 {
@@ -161,11 +162,11 @@
 
 } // namespace
 
-TEST_CASE("whole cores keep the eight lines under generated schedules",
+TEST_CASE("complete cores keep the eight invariants under generated schedules",
           "[proof]")
 {
     safeguards const checks;
-    CHECK(rc::check("no line is broken",
+    CHECK(rc::check("no invariant is violated",
                     [&](core_schedule const& what)
                     {
                         auto const found = violations_of(what, checks);
@@ -174,26 +175,28 @@
                     }));
 }
 
-TEST_CASE("without the check of the echo another adapter answers", "[left-out]")
+TEST_CASE("without the check of the echoed names another adapter answers",
+          "[left-out]")
 {
     CHECK(finds_violation(invariant::exact_adapter, accepts_any_echo()));
     CHECK(finds_violation(invariant::complete_own_answer, accepts_any_echo()));
 }
 
-TEST_CASE("without the count of requests an adapter is evicted in flight",
+TEST_CASE("without the count of sent requests an adapter in use is evicted",
           "[left-out]")
 {
     CHECK(finds_violation(invariant::not_evicted_in_flight,
                           overlooks_sent_requests()));
 }
 
-TEST_CASE("without the pins an adapter is evicted in flight", "[left-out]")
+TEST_CASE("without the pins of earlier owners an adapter in use is evicted",
+          "[left-out]")
 {
     CHECK(
         finds_violation(invariant::not_evicted_in_flight, ignores_suspects()));
 }
 
-TEST_CASE("without the check of places and ends an answer is not whole",
+TEST_CASE("without the checks of offsets and ends an answer is incomplete",
           "[left-out]")
 {
     CHECK(
@@ -201,34 +204,37 @@
     CHECK(finds_violation(invariant::complete_own_answer, treats_cut_as_end()));
 }
 
-TEST_CASE("without certainty a request that ran is told as not run",
+TEST_CASE("without the check of the failure stage a request that ran is "
+          "reported as not run",
           "[left-out]")
 {
     CHECK(finds_violation(invariant::not_run_is_true,
                           treats_failures_as_not_run()));
 }
 
-TEST_CASE("without a claim a call runs twice", "[left-out]")
+TEST_CASE("without a claim a service call runs twice", "[left-out]")
 {
     CHECK(finds_violation(invariant::at_most_once, calls_without_claim()));
 }
 
-TEST_CASE("without its check a leaving VM takes work", "[left-out]")
+TEST_CASE("without the admission check a leaving VM accepts work", "[left-out]")
 {
     CHECK(finds_violation(invariant::leaving_takes_no_work,
                           takes_work_while_leaving()));
 }
 
-TEST_CASE("without its check a shutdown interrupts requests", "[left-out]")
+TEST_CASE("without the check of open requests a shutdown interrupts them",
+          "[left-out]")
 {
     CHECK(finds_violation(invariant::shutdown_interrupts_nothing,
                           stops_with_open_requests()));
 }
 
-TEST_CASE("without its checks an old configuration is in force", "[left-out]")
+TEST_CASE("without the version checks an old configuration stays in force",
+          "[left-out]")
 {
-    // Operators confirm often, and on a slow network what was read for one
-    // version arrives after the next is in force.
+    // With frequent confirms on a slow network, reads for one version arrive
+    // after the next version is in force.
     std::vector<core_step> additional_steps{
         {core_fault::slow_network, 0, 0, 2400}};
     for (int each = 0; each < 8; ++each)
@@ -240,19 +246,20 @@
                           takes_work_without_configuration()));
 }
 
-// The table is down for seven lease lengths while all VMs live and reach one
-// another: callers of loaded adapters go on being answered through every VM,
-// since the VMs promise each other to confirm nothing meanwhile.
+// The table is down for seven lease lengths while all VMs run and reach each
+// other. The VMs promise each other to confirm nothing meanwhile, so requests
+// for loaded adapters must be answered through every VM.
 TEST_CASE("loaded adapters are served through a long outage of the table",
           "[story]")
 {
     safeguards const checks;
-    // Each policy in turn: none of them may lead to where nothing can load.
+    // The seeds cover all policies: none may route requests to a worker that
+    // cannot load the adapter.
     std::uint64_t const seed = GENERATE(range(1, 25));
     core_simulation world(vm_count, seed, checks);
     world.warm_up();
     world.check_service();
-    // Loaded where it is asked for, with other work going on elsewhere.
+    // Load the adapter before the outage.
     request_id const loads = world.submit_model_request(0, 2);
     world.run_for(500ms);
     REQUIRE(world.outcome(loads) == "whole");
@@ -277,16 +284,17 @@
     CHECK(to_string(world.check()) == no_violations);
 }
 
-// Two VMs of three lose the table for several leases; the third keeps it, sees
-// the others' leases lapse and is asked to confirm. The two rightly go on,
-// since they are a majority; were lapsed VMs no voters, the third would tell
-// the operator "done" while callers are still served by the version before.
-TEST_CASE("a VM that alone has the table confirms nothing", "[story]")
+// Two of three VMs cannot reach the table for several lease lengths and
+// continue to serve, since they are a majority. The third VM reaches the table,
+// sees their leases lapse and is asked to confirm a new version. Guards against
+// a confirm without the votes of the lapsed VMs, which still serve the previous
+// version.
+TEST_CASE("a VM that alone reaches the table confirms nothing", "[story]")
 {
     safeguards const checks;
     core_simulation world(vm_count, 3, checks);
     world.warm_up();
-    // The promises of the warm-up's confirm run out.
+    // Let the promises of the warm-up's confirm expire.
     world.run_for(1000ms);
     world.inject({core_fault::table_cut, 0, 1, 5000});
     world.inject({core_fault::table_cut, 0, 2, 5000});
@@ -302,10 +310,10 @@
     CHECK(to_string(world.check()) == no_violations);
 }
 
-// One VM alone cannot reach the table. It gets no promises, so that it cannot
-// know whether its configuration still holds, and refuses its callers after
-// the bound; the others take over its workers and serve theirs.
-TEST_CASE("a VM alone without the table stops taking work, others go on",
+// A single VM cannot reach the table. Without promises of the others it cannot
+// know whether its configuration is still in force, so it must refuse requests
+// after the bound. The others take over its workers and continue to serve.
+TEST_CASE("a VM that alone lacks the table refuses work and the others serve",
           "[story]")
 {
     safeguards const checks;
@@ -325,9 +333,9 @@
     CHECK(to_string(world.check()) == no_violations);
 }
 
-// A VM is drained in the middle of traffic and nothing else goes wrong. Every
-// request that it took before is answered whole; then it ends by itself.
-TEST_CASE("a drain alone interrupts nothing", "[story]")
+// A VM is drained under traffic without other faults. Every request must get
+// its complete answer, and the VM must then exit by itself.
+TEST_CASE("a drain without other faults interrupts no request", "[story]")
 {
     safeguards const checks;
     for (std::uint64_t seed = 1; seed <= 12; ++seed)
@@ -351,10 +359,10 @@
     }
 }
 
-// A request's first try is lost after it was sent, and the worker that it is
-// tried at next has no owner, or no time is left. It may have run: the caller
-// must not be told that it did not.
-TEST_CASE("a lost try is remembered when a later one does not run", "[story]")
+// The first try of a request is lost after it was sent, and the next try does
+// not run because the worker has no owner or no time is left. The first try may
+// have run, so the error must not say that the request did not run.
+TEST_CASE("an error after a lost try does not say that nothing ran", "[story]")
 {
     safeguards const checks;
     core_schedule const no_owner{113094,
@@ -369,9 +377,10 @@
     CHECK(to_string(violations_of(no_time, checks)) == no_violations);
 }
 
-// An owner is killed while the table is slow, just before the write of an
-// intent lands. Its next life takes the worker and knows at once that the first
-// has ended. The adapter is used again and the intent leaves the row.
+// An owner is killed while the table is slow, just before its write of an
+// intent takes effect. The VM's next incarnation acquires the worker and knows
+// at once that the previous one has ended. The adapter must become usable again
+// and the intent must be removed from the row.
 TEST_CASE("an intent of a killed owner leaves the row", "[story]")
 {
     safeguards const checks;
--- a/tests/core_schedule.hpp
+++ b/tests/core_schedule.hpp
@@ -1,4 +1,4 @@
-/// What befalls a few VMs in virtual time: a schedule that prints readably.
+/// Schedules of faults for the simulation of the core, with readable output.
 #ifndef MULBERRY_TESTS_CORE_SCHEDULE_HPP
 #define MULBERRY_TESTS_CORE_SCHEDULE_HPP
 
@@ -78,18 +78,20 @@
     "confirm",
     "racing-confirms"};
 
+/// One fault. Times count from the end of the warm-up.
 struct core_step
 {
     core_fault kind = core_fault::kill;
     int at_ms = 0;
-    /// The VM, worker or operator concerned, modulo their number.
+    /// Index of the VM or worker that the fault affects, modulo their number.
     std::size_t which = 0;
+    /// How long the fault lasts.
     int span_ms = 0;
 };
 
 struct core_schedule
 {
-    /// For the traffic and for what the fakes draw by lot.
+    /// Seed of the traffic and of the random choices of the fakes.
     std::uint64_t seed = 1;
     std::vector<core_step> steps;
 };
--- a/tests/core_simulation.cpp
+++ b/tests/core_simulation.cpp
@@ -18,9 +18,10 @@
 constexpr duration list_lag = 200ms;
 constexpr std::size_t workers = 3;
 constexpr std::size_t adapters = 8;
-/// A leaving VM's grace, and the few seconds at this scale.
+/// How long after a VM starts to leave it may still accept work: its drain
+/// grace and a few seconds more, at the simulation's time scale.
 constexpr duration leave_bound = 1000ms;
-/// How long after a confirm an older version may be in force.
+/// How long after a confirm an older version may stay in force.
 constexpr duration configuration_bound = 800ms;
 constexpr duration replacement_delay = 300ms;
 
@@ -62,7 +63,7 @@
 
 } // namespace
 
-// The product's settings at a fifth of their length, so that a schedule of
+// Durations are a fifth of the product's settings, so that a schedule of
 // several lease lengths is short.
 core_settings core_simulation::make_settings(std::size_t vm)
 {
@@ -106,7 +107,7 @@
     made.dispatch.fair_wait = 400ms;
     made.hint_interval = 40ms;
     made.drain_grace = 400ms;
-    // What must hold rests on no policy.
+    // The invariants must hold under every policy.
     made.policy = policy_names()[seed_ % policy_names().size()];
     made.seed = random_();
     return made;
@@ -197,7 +198,8 @@
         }
     if (process->flush_due || process->outbox.empty())
         return;
-    // Between a decision and its deed a process may be paused or killed.
+    // Actions are performed later, so that a process can be paused or killed
+    // between a decision and its action.
     process->flush_due = true;
     time_.after(context_.between(0, 1),
                 [this, process]
@@ -352,8 +354,8 @@
     feed(process, vm_list_received{shown});
 }
 
-/// With no order under way, an intent left in a row would keep its adapter's
-/// name from use for ever.
+/// Checks that no intent is left in a row while no order is in progress: the
+/// adapter's name could never be used again.
 void core_simulation::check_intents()
 {
     for (table_row const& each : table_.rows(worker_prefix))
@@ -390,7 +392,7 @@
             std::max(faults_end, at + std::chrono::milliseconds(step.span_ms));
     }
     traffic_until(faults_end + 500ms);
-    // Longer than a lease, the list's lag, a request's deadline.
+    // Longer than a lease, the lag of the VM list and a request's deadline.
     run_for(3500ms);
     check_service();
     run_for(2500ms);
--- a/tests/core_simulation.hpp
+++ b/tests/core_simulation.hpp
@@ -1,5 +1,5 @@
-/// Several whole decision cores in one process in virtual time, with small
-/// fakes at their interfaces, under a schedule of faults.
+/// Simulation of several decision cores in one process in virtual time, with
+/// fakes at their interfaces and a schedule of faults.
 #ifndef MULBERRY_TESTS_CORE_WORLD_HPP
 #define MULBERRY_TESTS_CORE_WORLD_HPP
 
@@ -17,7 +17,7 @@
 namespace mulberry::tests
 {
 
-/// What a run counted, so that a test sees that the schedules did something.
+/// Counts of a run, so that a test can check that the schedule had an effect.
 struct world_counts
 {
     std::size_t asked = 0;
@@ -34,20 +34,28 @@
     core_simulation(std::size_t vms, std::uint64_t seed,
                     safeguards const& checks);
 
-    /// The whole of a proof: warm-up, the schedule under traffic, the end of
-    /// the faults, and then a check that service has come back.
+    /// Runs one schedule: warm-up, the faults under traffic, the end of the
+    /// faults, and a check that requests are served again. Returns all
+    /// violated invariants.
     std::vector<invariant_violation> run(core_schedule const& what);
 
-    // By hand, for tests of one story.
+    // Single steps, for tests of one scenario.
+    /// Lets the VMs start and confirms a configuration.
     void warm_up();
+    /// Starts the fault of a step now; the fault ends after its span.
     void inject(core_step const& step);
+    /// Generates random calls until `end`.
     void traffic_until(time_point end);
     void run_for(duration span) { time_.run_until(time_.now() + span); }
+    /// Sends a request through the VM, or through the next one that runs.
     request_id submit_model_request(std::size_t vm, std::size_t adapter);
+    /// Sends a service call with an Idempotency-Key, likewise.
     request_id submit_service_call(std::size_t vm, std::string const& key);
-    /// The final answer as text: `whole`, an error kind, or empty.
+    /// The final answer as text: `whole`, `killed`, an error's kind and text,
+    /// or empty if there is none yet.
     std::string outcome(request_id const& request) const;
-    /// Asks through every VM that stays, and waits for the answers.
+    /// Sends requests through every running VM, waits, and records a violation
+    /// for each that is not answered and for each leaving VM that still runs.
     void check_service();
     std::vector<invariant_violation> check() const
     {
@@ -87,7 +95,7 @@
     void read_list(core_process_ptr const& process);
     void check_intents();
 
-    // What a core asks for (core_network.cpp).
+    // Performing the actions of the cores (core_network.cpp).
     void perform(core_process_ptr const& process, action const& what);
     void on(core_process_ptr const& process, start_attempt const& what);
     void on(core_process_ptr const& process, cancel_attempt const& what);
@@ -123,7 +131,7 @@
                                 request_id const& request);
     std::size_t vm_of(vm_id const& vm) const;
 
-    // Callers (core_traffic.cpp).
+    // Callers and faults (core_traffic.cpp).
     core_process_ptr process_for(std::size_t vm) const;
     void generate_traffic();
     void withdraw(request_id const& request);
--- a/tests/core_traffic.cpp
+++ b/tests/core_traffic.cpp
@@ -1,4 +1,4 @@
-// The callers, and the faults of a schedule.
+// Callers and the faults of a schedule.
 #include "core_simulation.hpp"
 
 #include <ostream>
@@ -12,8 +12,8 @@
 using namespace std::chrono_literals;
 
 constexpr duration caller_timeout = 2000ms;
-/// A request is answered by its deadline, or by a process that slept through
-/// it soon after it wakes.
+/// How late an answer may be: after the request's deadline or, if the process
+/// was paused then, after the process resumed.
 constexpr duration answer_slack = 150ms;
 constexpr std::size_t adapters = 8;
 constexpr std::size_t keys_at_once = 3;
@@ -30,7 +30,7 @@
     return out;
 }
 
-/// The VM, or the next that runs; null if none does.
+/// The VM's process, or that of the next VM that runs; null if none runs.
 core_process_ptr core_simulation::process_for(std::size_t vm) const
 {
     for (std::size_t each = 0; each < vms_.size(); ++each)
@@ -128,7 +128,7 @@
     if (!traffic_on_)
         return;
     std::size_t const vm = context_.below(vms_.size());
-    // Skewed: half of the requests name two of the adapters.
+    // Hot keys: at least half of the requests go to two of the adapters.
     std::size_t const adapter =
         context_.percent(50) ? context_.below(2) : context_.below(2 * adapters);
     request_id const request = submit_model_request(vm, adapter);
--- a/tests/fake_table.hpp
+++ b/tests/fake_table.hpp
@@ -1,4 +1,4 @@
-/// A table service in virtual time, with its faults.
+/// A fake table service in virtual time, with injected faults.
 #ifndef MULBERRY_TESTS_FAKE_TABLE_HPP
 #define MULBERRY_TESTS_FAKE_TABLE_HPP
 
@@ -27,25 +27,27 @@
 
     fake_table(virtual_time& time, std::uint64_t seed);
 
-    /// Takes transact, read_row and scan_rows; false for any other action.
-    /// Exactly one answer follows, by the action's deadline.
+    /// Handles transact, read_row and scan_rows; returns false for any other
+    /// action. `to` is called exactly once, at the latest at the action's
+    /// deadline.
     bool submit(vm_id const& from, action const& what, answer to);
-    /// Called at each row that is written.
+    /// Sets a function that is called for each row that is written.
     void observe(observer each) { observer_ = std::move(each); }
 
     void set_down(bool down) { down_ = down; }
     void set_reachable(vm_id const& from, bool reachable);
     void set_latency(duration one_way) { latency_ = one_way; }
-    /// Transactions take effect only that long after they arrived.
+    /// Transactions take effect only this long after their arrival.
     void delay_writes(duration wait) { write_delay_ = wait; }
-    /// Reads answer from up to that long ago.
+    /// Stale reads: each read returns the state of a random moment up to this
+    /// long ago.
     void lag_reads(duration max_lag) { read_lag_ = max_lag; }
     /// Transactions take effect, but their answers are lost.
     void lose_answers(bool lose) { lose_answers_ = lose; }
-    /// Everything is refused for rate.
+    /// All operations are refused as by a rate limit.
     void refuse(bool refuse) { refuse_ = refuse; }
 
-    /// The newest state; null when absent.
+    /// The newest state of a row; null if the row does not exist.
     table_row const* row(std::string const& key) const;
     std::vector<table_row> rows(std::string const& prefix) const;
     std::uint64_t transactions() const { return transactions_; }
--- a/tests/fault_check.hpp
+++ b/tests/fault_check.hpp
@@ -1,4 +1,4 @@
-/// Finding faults in what the readers of files answer.
+/// Helper for tests of file parsers.
 #ifndef MULBERRY_FAULT_CHECK_HPP
 #define MULBERRY_FAULT_CHECK_HPP
 
@@ -11,7 +11,7 @@
 namespace mulberry
 {
 
-/// The faults as lines of text; empty when the file was sound.
+/// The parser's faults as lines of text; empty if the file was valid.
 template <class Value>
 std::vector<std::string>
 fault_lines(std::variant<Value, std::vector<text_fault>> const& parsed)
--- a/tests/model_entry_test.cpp
+++ b/tests/model_entry_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Takes the first worker that is not excluded, whatever it holds.
+/// Chooses the first worker that is not excluded, whatever its residents.
 class first_worker_policy : public routing_policy
 {
 public:
@@ -65,7 +65,8 @@
     return made;
 }
 
-/// The entry of vm0; vm1 owns w1, which is full of b, and w2, which has a.
+/// The entry of vm0. vm1 owns both workers, which have one adapter slot each:
+/// adapter b is resident at w1, adapter a at w2.
 struct entry_fixture
 {
     entry_fixture() : entry(settings_of_vm0(), policy, view, owner, checks, ids)
@@ -123,9 +124,10 @@
 
 } // namespace
 
-// The last event is lost on the way from the owner and the mark of the end is
-// not. The caller gets the rest from the engine, or is told that it broke off.
-TEST_CASE("a forwarded answer without its last event is not whole", "[entry]")
+// The last event of a forwarded answer is lost but its end marker arrives. The
+// caller must get the rest from the engine or an error, not a truncated answer.
+TEST_CASE("a forwarded answer without its last event is resumed or fails",
+          "[entry]")
 {
     entry_fixture fixture;
     fixture.submit();
@@ -157,20 +159,21 @@
           error_kind::answer_cut);
 }
 
-// The table is out of reach, so that a full worker lets no adapter go. Whatever
-// a policy prefers, the request goes where its adapter is; if it is nowhere,
-// the owner that the policy chose says that it cannot load.
-TEST_CASE("a worker that can load nothing is passed over", "[entry]")
+// While the table is unreachable, a full worker cannot evict. Guards against
+// sending a request to such a worker, where it would wait in vain, although its
+// adapter is resident elsewhere. If it is resident nowhere, the request goes to
+// the policy's first choice, whose owner reports that it cannot load.
+TEST_CASE("a worker that cannot load the adapter is skipped", "[entry]")
 {
     entry_fixture fixture;
     char const* expected = "w1";
-    SECTION("it can evict") {}
-    SECTION("it cannot")
+    SECTION("the first choice can evict") {}
+    SECTION("the first choice cannot evict")
     {
         fixture.put("w1", "b", false);
         expected = "w2";
     }
-    SECTION("it cannot, and the adapter is nowhere")
+    SECTION("no worker can evict and the adapter is resident nowhere")
     {
         fixture.put("w1", "b", false);
         fixture.put("w2", "c", false);
--- a/tests/simulation_context.hpp
+++ b/tests/simulation_context.hpp
@@ -1,4 +1,4 @@
-/// Virtual time and chance, shared by the fakes of a schedule.
+/// Virtual time and random choices, shared by the fakes of a schedule.
 #ifndef MULBERRY_SIMULATION_CONTEXT_HPP
 #define MULBERRY_SIMULATION_CONTEXT_HPP
 
@@ -17,12 +17,12 @@
 using namespace mulberry;
 using namespace std::chrono_literals;
 
-/// Of a hundred chances of a fault that is enabled, those at which it strikes.
+/// Probability in percent that an enabled fault occurs at each opportunity.
 inline constexpr int fault_percent = 6;
-/// No fault strikes after this time.
+/// No fault occurs after this time.
 inline constexpr duration fault_time = 4s;
 
-/// Virtual time, the order of events, and all that is drawn by lot.
+/// Virtual clock, event queue and random source of one simulated schedule.
 class simulation_context
 {
 public:
@@ -38,7 +38,7 @@
         auto const span = static_cast<std::size_t>((max - min).count());
         return min + duration(below(span + 1));
     }
-    /// Whether a fault strikes here.
+    /// Decides at random whether an enabled fault occurs now.
     bool fault_occurs(fault which)
     {
         bool const occurs = below(100) < fault_percent;
@@ -52,7 +52,7 @@
         events_.emplace(std::make_pair(now_ + delay, ++last_),
                         std::move(event));
     }
-    /// Does the next event; false when `until` comes first.
+    /// Runs the next event; returns false if none is due by `until`.
     bool step(time_point until)
     {
         if (events_.empty() || events_.begin()->first.first > until)
--- a/tests/virtual_engine.hpp
+++ b/tests/virtual_engine.hpp
@@ -1,5 +1,5 @@
-/// A model engine in virtual time, with what goes wrong at engines and on the
-/// way to them.
+/// A fake model engine in virtual time, with injected faults of the engine and
+/// of the connections to it.
 #ifndef MULBERRY_VIRTUAL_ENGINE_HPP
 #define MULBERRY_VIRTUAL_ENGINE_HPP
 
@@ -50,16 +50,17 @@
     return {adapter_id("a" + std::to_string(number)), adapter_version(1)};
 }
 
-/// The end of a connection at an owner: false once that owner dropped it.
+/// The owner's end of a connection to the engine.
 struct connection
 {
     std::function<void(answer_piece const&)> event;
     std::function<void()> end;
     std::function<void(failure_stage, int)> failure;
+    /// False once the owner has closed the connection.
     bool open = true;
     bool silent = false;
     bool begun = false;
-    /// Bytes of one connection arrive in order.
+    /// Keeps the bytes of one connection in order.
     time_point last_arrival{};
 };
 using connection_ptr = std::shared_ptr<connection>;
@@ -297,7 +298,7 @@
             send(to, [to, piece] { to->event(piece); });
     }
 
-    /// An event of another request arrives on the connection.
+    /// Sends an event of another request on this request's connection.
     void emit_crossed_event(run const& item, std::uint64_t offset)
     {
         run const& other = *active_[world_->below(active_.size())];
@@ -354,7 +355,7 @@
     std::uint64_t last_run_ = 0;
     std::set<engine_name> loaded_;
     std::vector<run_ptr> active_;
-    /// The newest run of each request, also when it is over.
+    /// The latest run of each request, including ended ones.
     std::map<request_id, run_ptr> runs_;
 };
 
--- a/tests/virtual_time.hpp
+++ b/tests/virtual_time.hpp
@@ -1,4 +1,4 @@
-/// A clock that stands still until told, and what is to happen when.
+/// A manual clock with scheduled tasks.
 #ifndef MULBERRY_TESTS_VIRTUAL_TIME_HPP
 #define MULBERRY_TESTS_VIRTUAL_TIME_HPP
 
@@ -19,7 +19,8 @@
 
     time_point now() const { return now_; }
 
-    /// Tasks of the same moment run in the order in which they were given.
+    /// Schedules a task; a time in the past means now. Tasks for the same time
+    /// run in the order in which they were scheduled.
     void at(time_point when, task what)
     {
         tasks_.emplace(std::pair(std::max(when, now_), ++last_),
@@ -28,6 +29,7 @@
 
     void after(duration wait, task what) { at(now_ + wait, std::move(what)); }
 
+    /// Advances the clock to `end` and runs all tasks due until then.
     void run_until(time_point end)
     {
         while (!tasks_.empty() && tasks_.begin()->first.first <= end)
