--- a/src/claim_row.cpp
+++ b/src/claim_row.cpp
@@ -17,8 +17,8 @@
                                                       "not_run", "unknown"};
 constexpr std::string_view hex_digits = "0123456789abcdef";
 
-/// The SHA-256 of the parts, each preceded by its length, so that bytes cannot
-/// move from one part to its neighbour without changing the digest.
+/// Returns the SHA-256 of the parts, each preceded by its length, so that
+/// moving bytes from one part to the next changes the digest.
 std::string digest(std::initializer_list<std::string_view> parts)
 {
     std::string joined;
@@ -103,7 +103,8 @@
     }
     catch (Json::Exception const&)
     {
-        // Nested deeper than jsoncpp goes: no claim of ours.
+        // The text is nested deeper than jsoncpp allows, so it is not a claim
+        // row.
         return std::nullopt;
     }
     return json;
--- a/src/claim_row.hpp
+++ b/src/claim_row.hpp
@@ -1,4 +1,4 @@
-/// The table row that stands for one call that may not be repeated.
+/// The table row of one call that must not be repeated.
 #ifndef MULBERRY_CLAIM_ROW_HPP
 #define MULBERRY_CLAIM_ROW_HPP
 
@@ -14,24 +14,26 @@
 
 enum class claim_stage
 {
-    /// Somebody may be about to call, or is calling.
+    /// The VM that holds the claim may be about to make the call or may be
+    /// making it.
     claimed,
-    /// The call ran and its answer is kept.
+    /// The call ran, and the row holds its answer.
     answered,
     /// No call was made under this claim and none will be.
     not_run,
-    /// Whether the call ran cannot be told.
+    /// Whether the call ran cannot be determined.
     unknown
 };
 
-/// A service's answer as the row keeps it. Immutable value.
+/// A service's answer as it is stored in the row. Immutable value.
 struct stored_answer
 {
     int status = 0;
     std::string content_type;
     /// Empty when `object` is set.
     std::string body;
-    /// The object that holds the body, when it is too large for the row.
+    /// Key of the object that holds the body when the body is too large for
+    /// the row; empty otherwise.
     std::string object;
     friend bool operator==(stored_answer const&,
                            stored_answer const&) = default;
@@ -40,7 +42,7 @@
 /// Immutable value.
 struct claim_row
 {
-    /// Unique to one request of one life of one VM.
+    /// Unique to one request of one incarnation of one VM.
     std::string token;
     vm_id vm;
     incarnation vm_incarnation;
@@ -51,23 +53,26 @@
     friend bool operator==(claim_row const&, claim_row const&) = default;
 };
 
-// Thread safety of all below: stateless; any thread.
+// Thread safety: the functions below are stateless and may be called from any
+// thread.
 
-/// The row's text. Bodies are kept in base64, since JSON cannot hold bytes
-/// that are not UTF-8 and a replayed answer is to equal the first one.
+/// Returns the row as JSON text. Bodies are stored in base64, because JSON
+/// cannot hold bytes that are not UTF-8 and a replayed answer must equal the
+/// first one.
 std::string encode(claim_row const& row);
 
-/// Nothing when the text is no claim.
+/// Returns nothing when the text is not a valid claim row.
 std::optional<claim_row> decode_claim_row(std::string const& text);
 
-/// The row under which all VMs meet for one Idempotency-Key of one service.
+/// Returns the key of the row that all VMs use for one Idempotency-Key of one
+/// service.
 std::string claim_key(service_id const& service, idempotency_key const& key);
 
-/// A digest of the method, target and body: requests with equal fingerprints
-/// are tries of one call.
+/// Returns a digest of the method, target and body. Requests with equal
+/// fingerprints are tries of the same call.
 std::string call_fingerprint(service_request const& request);
 
-/// The object that holds a body, named by its digest.
+/// Returns the key of the object that holds a body: the digest of the body.
 std::string answer_object_key(std::string_view body);
 
 } // namespace mulberry
--- a/src/claim_store.cpp
+++ b/src/claim_store.cpp
@@ -8,12 +8,14 @@
 namespace
 {
 
-/// Claims that got no answer this often are given up before their deadline.
+/// A claim is given up before its deadline after this many tries without an
+/// answer.
 constexpr int max_unanswered_tries = 8;
 constexpr duration retry_base = std::chrono::milliseconds(50);
 constexpr duration claim_retry_cap = std::chrono::seconds(1);
 constexpr duration outcome_retry_cap = std::chrono::seconds(5);
-/// The shell reports its own timeout first; this is for a lost report.
+/// The I/O layer reports its own timeout first; this delay covers a lost
+/// report.
 constexpr duration reply_grace = std::chrono::milliseconds(100);
 
 table_row const* find_row(table_reply const& reply, std::string const& key)
@@ -24,7 +26,7 @@
     return found == reply.rows.end() ? nullptr : &*found;
 }
 
-/// Whether an end may still replace what the row says of our own claim.
+/// Returns whether an outcome may replace this stage of a claim of this VM.
 bool accepts_outcome(claim_stage stage)
 {
     return stage == claim_stage::claimed || stage == claim_stage::unknown;
@@ -79,11 +81,12 @@
     }
     own.retry_due = never;
     schedule(*found);
-    // One operation of a claim at a time: what it finds decides what the end
-    // is conditional on.
+    // Only one operation of a claim is in flight at a time, since its reply
+    // decides the version on which the outcome is conditional.
     if (own.in_flight != operation_kind::idle)
         return;
-    // All copies of the claim were refused for rate: none can land.
+    // All copies of the claim were refused because of the rate limit, so none
+    // can take effect.
     if (stage == claim_stage::not_run && !own.may_take_effect)
         mark_recorded(*found);
     else
@@ -187,8 +190,8 @@
                             now, actions);
         if (own.outcome && !pacer_.try_take(now))
         {
-            // Spread over the time that the backlog takes, so that a tick looks
-            // at few of them.
+            // Spread over the time that the backlog takes, so that each tick
+            // handles few claims.
             duration const backlog =
                 std::min(pacer_.min_interval() *
                              static_cast<duration::rep>(unwritten_outcomes_),
@@ -228,9 +231,10 @@
                  due});
 }
 
-// For a claim that was never certain the end `not_run` is written under the
-// same condition as the claim itself: whichever lands first makes the other
-// conflict, so that after it no copy of the claim can land any more.
+// If it is not known whether the claim is recorded, the outcome `not_run` is
+// written under the same condition as the claim. Whichever takes effect first
+// makes the other one conflict, so that afterwards no copy of the claim can
+// take effect.
 void claim_store::send_outcome(claim_map::value_type& entry, time_point now,
                                action_list& actions)
 {
@@ -323,7 +327,8 @@
     if (reply.outcome == table_outcome::conflict && row != nullptr)
         return on_claim_conflict(entry, reply, now, actions);
     schedule_retry(entry, now);
-    // Refused for rate: it cannot land, and is repeated until the deadline.
+    // Refused because of the rate limit: this try cannot take effect, and is
+    // repeated until the deadline.
     if (reply.outcome == table_outcome::refused)
         return result;
     own.may_take_effect = true;
@@ -344,13 +349,13 @@
                         std::nullopt, row.version};
     if (row.version.none())
     {
-        // Deleted since, by a sweep of old rows.
+        // The row was deleted in the meantime by a sweep of old rows.
         own.condition = row.version;
         schedule_retry(entry, now);
         return std::nullopt;
     }
-    // No copy of a claim sent so far can land while the row stands at another
-    // version, since versions are never used twice.
+    // No copy of a claim sent so far can take effect while the row has another
+    // version, since versions are never reused.
     own.may_take_effect = false;
     result.row = decode_claim_row(row.value);
     if (!result.row)
@@ -442,7 +447,8 @@
     bool const is_own_row = found && found->token == own.row.token;
     if (!absent && !is_own_row)
     {
-        // Another request's row: our claim is not there and cannot land.
+        // The row belongs to another request: the claim of this VM is not
+        // recorded and cannot take effect.
         mark_recorded(entry);
         return;
     }
--- a/src/claim_store.hpp
+++ b/src/claim_store.hpp
@@ -1,5 +1,5 @@
-/// The table work of this VM's claims: one row a call that may not be
-/// repeated, from the claim before the call to its end.
+/// Reads and writes the claims of this VM in the table: one row per call that
+/// must not be repeated, from the claim before the call to its outcome.
 #ifndef MULBERRY_CLAIM_STORE_HPP
 #define MULBERRY_CLAIM_STORE_HPP
 
@@ -21,23 +21,25 @@
 namespace mulberry
 {
 
-/// What a reply of the table says of a claim.
+/// What a reply of the table says about a claim.
 struct claim_result
 {
     enum class status_code
     {
-        /// Our claim is recorded.
+        /// The claim of this VM is recorded.
         acquired,
         /// The row belongs to another request: see `row`.
         held_by_other,
-        /// The table did not answer; the same transaction is sent again.
+        /// The table did not answer or refused the write; the same transaction
+        /// is sent again.
         uncertain,
-        /// The bound of tries is over, and nothing is certain.
+        /// The limit of unanswered tries is reached, and whether the claim is
+        /// recorded is not known.
         retries_exhausted,
-        /// Our claim was recorded and another VM closed it, taking this
-        /// process for dead.
+        /// The claim of this VM was recorded, and another VM then closed it
+        /// because it considered this process dead.
         closed_by_other,
-        /// The row holds no text of ours.
+        /// The value of the row is not a valid claim.
         unreadable
     };
     request_id request;
@@ -46,12 +48,14 @@
     row_version version;
 };
 
-/// Claims are never deleted here: a key is protected for as long as its row
-/// stands, and a sweep that deletes old rows decides how long that is.
+/// Makes claims and writes their outcomes. Claims are never deleted here: a
+/// key is protected for as long as its row exists, which a separate sweep of
+/// old rows decides.
+///
+/// A transaction whose answer was lost is sent again unchanged. This is safe
+/// because each transaction is conditional on the previous version of the row:
+/// at most one of the copies takes effect, however late a copy arrives.
 ///
-/// Transactions that lost their answer are sent again as they were. That is
-/// safe since each is conditional on the version that the row had before: at
-/// most one of the copies takes effect, however late one lands.
 /// Thread safety: none; owned by service_caller.
 class claim_store
 {
@@ -59,34 +63,44 @@
     claim_store(id_source& ids, duration table_timeout,
                 std::size_t inline_answer_bytes, std::uint64_t seed);
 
-    /// Starts claiming `key` with `row` (stage claimed), until `deadline`.
-    /// Precondition: no claim of that request is open.
+    /// Starts claiming `key` with `row` (stage `claimed`) and tries until
+    /// `deadline`.
+    ///
+    /// Precondition: there is no claim of that request.
     void start_claim(request_id const& request, std::string key, claim_row row,
                      time_point deadline, time_point now, action_list& actions);
-    /// Writes the end of the claim until that is certain. A later end replaces
-    /// an earlier one. For `not_run`: no call was made and none will be.
+    /// Writes the outcome of the claim and repeats the write until the table
+    /// is known to hold it. A later outcome replaces an earlier one. `not_run`
+    /// means that no call was made and none will be made. Does nothing if
+    /// there is no claim of that request.
     void record_outcome(request_id const& request, claim_stage stage,
                         std::optional<service_answer> answer, time_point now,
                         action_list& actions);
-    /// Forgets a claim that is known not to be recorded, or whose end is.
+    /// Removes a claim that is known not to be recorded or whose outcome is
+    /// recorded.
     void forget(request_id const& request);
 
     bool has_claim(request_id const& request) const;
-    /// Whether an end was given and the table is known to hold it.
+    /// Returns whether an outcome was given and the table is known to hold it,
+    /// or is known not to hold the claim.
     bool outcome_recorded(request_id const& request) const;
     std::size_t unwritten_outcomes() const { return unwritten_outcomes_; }
     std::size_t size() const { return claims_.size(); }
 
+    /// Returns whether a reply to this operation is expected here.
     bool knows(operation_id operation) const;
-    /// A verdict when the claim is still being made; the request's name alone
-    /// matters when its end is being written.
+    /// Handles a reply of the table and returns its result, if the caller
+    /// needs to act on it. If an outcome is set, only `request` of the result
+    /// is meaningful.
     std::optional<claim_result> on_table(table_reply const& reply,
                                          time_point now, action_list& actions);
-    /// The request whose body was stored, if any.
+    /// Handles a reply of the object store. Returns the request whose answer
+    /// body was being stored, if any.
     std::optional<request_id> on_object(object_reply const& reply,
                                         time_point now, action_list& actions);
-    /// Sends what is due. Returns when an operation that never got a reply was
-    /// counted as unreachable; to be called until it returns nothing.
+    /// Sends the operations that are due. Returns a result when an operation
+    /// whose reply is overdue was handled as unreachable; must be called until
+    /// it returns nothing.
     std::optional<claim_result> tick(time_point now, action_list& actions);
 
 private:
@@ -101,14 +115,15 @@
     {
         claim_stage stage = claim_stage::not_run;
         std::optional<stored_answer> answer;
-        /// The body on its way to the object store.
+        /// The body while it has to be stored in the object store; otherwise
+        /// null.
         std::shared_ptr<std::string const> body;
     };
     struct claim
     {
         std::string key;
         claim_row row;
-        /// What the next write is conditional on.
+        /// The row version on which the next write is conditional.
         row_version condition;
         time_point deadline;
         operation_kind in_flight = operation_kind::idle;
@@ -117,11 +132,11 @@
         time_point retry_due = never;
         int tries = 0;
         int unanswered_tries = 0;
-        /// A claim that is not certain to have failed may stand in the table,
-        /// or may land there later.
+        /// Whether the claim may be recorded in the table or may still take
+        /// effect there.
         bool may_take_effect = false;
         std::optional<claim_outcome> outcome;
-        /// The end that the write under way carries.
+        /// The stage carried by the outcome write in flight.
         claim_stage stage_in_flight = claim_stage::claimed;
         bool outcome_recorded = false;
     };
@@ -165,7 +180,8 @@
     id_source& ids_;
     duration table_timeout_;
     std::size_t inline_answer_bytes_;
-    /// For its jitter only: tries are bounded by count and deadline here.
+    /// Used only for its backoff with jitter; tries are limited by count and
+    /// deadline.
     retry_budget jitter_;
     write_pacer pacer_;
     claim_map claims_;
--- a/tests/claim_row_test.cpp
+++ b/tests/claim_row_test.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("a claim row keeps every byte of an answer")
+TEST_CASE("a claim row preserves every byte of an answer")
 {
     CHECK(decode_claim_row(encode(sample_row({}))) == sample_row({}));
     CHECK(rc::check(
@@ -46,7 +46,7 @@
     CHECK(decode_claim_row(encode(large)) == large);
 }
 
-TEST_CASE("a text that is no claim is told apart")
+TEST_CASE("a text that is not a claim row is rejected")
 {
     std::string const whole =
         encode(sample_row(stored_answer{200, "a", "b", ""}));
