--- a/src/retry_budget.cpp
+++ b/src/retry_budget.cpp
@@ -28,7 +28,7 @@
 duration retry_budget::backoff(int retry, duration base, duration cap)
 {
     duration max_delay = std::min(base, cap);
-    // Doubling stops at the cap, so that no count of retries overflows.
+    // Doubling stops at the cap so that a large `retry` does not overflow.
     for (int doubled = 1; doubled < retry && max_delay < cap; ++doubled)
         max_delay = max_delay > cap / 2 ? cap : max_delay * 2;
     std::uniform_int_distribution<duration::rep> delays(0, max_delay.count());
--- a/src/service_picker.cpp
+++ b/src/service_picker.cpp
@@ -47,7 +47,8 @@
             is_avoided(state, now), tried_workers.count(worker.id),
             failed_domains.count(worker.domain), state.outstanding);
     };
-    // Starting anywhere spreads the first calls of many VMs over equals.
+    // A random start spreads the first calls of many VMs over equally ranked
+    // workers.
     std::size_t const count = service.workers.size();
     std::size_t const start = random_() % count;
     service_worker_declaration const* best = &service.workers[start];
--- a/src/service_picker.hpp
+++ b/src/service_picker.hpp
@@ -1,4 +1,4 @@
-/// Which worker of a plain service a call goes to.
+/// Chooses the worker of a plain service to which a call is sent.
 #ifndef MULBERRY_SERVICE_PICKER_HPP
 #define MULBERRY_SERVICE_PICKER_HPP
 
@@ -15,18 +15,21 @@
 namespace mulberry
 {
 
-/// Least outstanding calls of this VM first; on a retry rather in a failure
-/// domain that has not failed yet; workers that fail are avoided for a time
-/// that doubles with each failure in a row, then tried with one call at a
-/// time until one succeeds. Without that a worker that fails at once would
-/// have the fewest outstanding calls and draw them all. Thread safety: none.
+/// Prefers the worker with the fewest outstanding calls of this VM and, on a
+/// retry, a worker in a failure domain in which no try has failed. A failing
+/// worker is avoided for a time that doubles with each consecutive failure and
+/// then gets one call at a time until a call succeeds. Without this a worker
+/// that fails immediately would have the fewest outstanding calls and attract
+/// all calls.
+///
+/// Thread safety: none.
 class service_picker
 {
 public:
     explicit service_picker(std::uint64_t seed) : random_(seed) {}
 
-    /// Nothing only when the service has no workers. Workers already tried, or
-    /// to be avoided, are chosen when there is no other.
+    /// Returns nothing only when the service has no workers. Workers in
+    /// `tried_workers` and avoided workers are chosen when there is no other.
     std::optional<service_worker_id>
     pick(service_declaration const& service,
          std::set<service_worker_id> const& tried_workers, time_point now);
@@ -35,9 +38,9 @@
     void succeeded(service_id const& service, service_worker_id const& worker);
     void failed(service_id const& service, service_worker_id const& worker,
                 time_point now);
-    /// The call was dropped by this VM: says nothing of the worker.
+    /// This VM canceled the call, which says nothing about the worker.
     void canceled(service_id const& service, service_worker_id const& worker);
-    /// Forgets workers that the configuration no longer has.
+    /// Removes the state of workers that are not in the configuration.
     void configure(declaration const& configuration);
 
 private:
--- a/src/write_pacer.hpp
+++ b/src/write_pacer.hpp
@@ -1,4 +1,4 @@
-/// Spaces the repeated writes of one VM so that they cannot flood the table.
+/// Limits the rate at which one VM repeats table writes.
 #ifndef MULBERRY_WRITE_PACER_HPP
 #define MULBERRY_WRITE_PACER_HPP
 
@@ -7,18 +7,22 @@
 namespace mulberry
 {
 
-/// After an outage every VM holds thousands of ends that the table missed.
-/// Sent at once they would use up its rate, and leases and new claims would be
-/// refused with them. So repeats go at a rate that grows with each success and
-/// halves with each failure, as a congestion window does. Thread safety: none.
+/// After an outage of the table each VM may hold thousands of call outcomes
+/// that are not written. Sent at once they would use up the rate of the table,
+/// and lease renewals and new claims would be refused. Repeated writes
+/// therefore go at a rate that grows by a constant with each success and is
+/// halved by each failure, as a congestion window does (AIMD).
+///
+/// Thread safety: none.
 class write_pacer
 {
 public:
-    /// Whether a repeat may go now; then the next is spaced from it.
+    /// Returns whether a repeated write may be sent now. If so, the time of
+    /// the next one is set one interval later.
     bool try_take(time_point now);
-    /// When the next repeat may go.
+    /// Returns the time from which the next repeated write may be sent.
     time_point next_write_at() const { return next_write_at_; }
-    /// The time between two repeats.
+    /// Returns the time between two repeated writes at the current rate.
     duration min_interval() const;
     void succeeded();
     void failed();
--- a/tests/retry_budget_test.cpp
+++ b/tests/retry_budget_test.cpp
@@ -6,7 +6,7 @@
 using namespace mulberry;
 using namespace mulberry::test;
 
-TEST_CASE("retries are a share of first tries")
+TEST_CASE("retries are limited to a share of first tries")
 {
     retry_budget budget(0.25, 2, 1);
     CHECK(budget.try_take());
@@ -22,7 +22,7 @@
     CHECK(budget.available() == 2);
 }
 
-TEST_CASE("backoff is random up to a doubling span")
+TEST_CASE("backoff is random up to a limit that doubles")
 {
     retry_budget budget(1, 1, 7);
     duration max_delay{};
@@ -38,10 +38,11 @@
           retry_budget(1, 1, 7).backoff(2, 10 * ms, 1000 * ms));
 }
 
-// Every call fails at once, for good. Callers see an error, and the service
-// gets little more than one try a request: with three tries for each, an
-// overload would feed itself.
-TEST_CASE("total failure adds no more tries than the budget has")
+// Guards against retry amplification: every call fails immediately and
+// permanently, and three tries for each request would turn a fault into an
+// overload. Callers get an error, and the service gets little more than one
+// try per request.
+TEST_CASE("total failure adds no more tries than the budget allows")
 {
     safeguards const checks;
     service_simulation simulation(checks);
@@ -58,6 +59,6 @@
     simulation.run_until(time_point{} + 10000 * ms);
     CHECK(simulation.history().final_answers.size() == requests);
     CHECK(simulation.calls_made() >= requests);
-    // 0.2 a first try and 20 saved up.
+    // 0.2 retries per first try, and 20 saved up.
     CHECK(simulation.calls_made() <= requests + requests / 5 + 20);
 }
--- a/tests/service_picker_test.cpp
+++ b/tests/service_picker_test.cpp
@@ -49,8 +49,8 @@
     CHECK(picker.pick(service, {a1, b1}, start) == a2);
 }
 
-// A worker refuses every connection at once, so it has the fewest calls
-// outstanding; it must not draw all calls for that.
+// Guards against a worker that refuses every connection immediately and,
+// having the fewest outstanding calls, attracts all calls.
 TEST_CASE("a worker that fails is avoided, then tried with one call")
 {
     service_declaration const service = two_domains();
@@ -70,7 +70,8 @@
     picker.started(service.id, a1);
     picker.succeeded(service.id, a1);
     CHECK(picker.pick(service, {}, later) == a1);
-    // With nobody else a call is tried rather than refused.
+    // An avoided worker is chosen rather than refusing the call when there is
+    // no other.
     service_declaration alone = service;
     alone.workers = {service.workers.front()};
     picker.failed(service.id, a1, later);
