--- a/tests/service_history.cpp
+++ b/tests/service_history.cpp
@@ -29,11 +29,11 @@
         for (service_run const& run : history.runs)
             if (final.what && final.what->request_ran() == ran::no &&
                 run.request == final.request)
-                return "told not run but ran: " + run.request.str();
+                return "reported not run but ran: " + run.request.str();
     return std::nullopt;
 }
 
-/// The run that gave this answer.
+/// Returns the run that produced this answer.
 service_run const* find_run(call_history const& history,
                             service_answer const& answer)
 {
@@ -83,8 +83,8 @@
     return std::nullopt;
 }
 
-/// A claim that its living holder left open bars the key for good, and one
-/// that is closed as not run though it ran lets it run again.
+/// A claim that its live holder left open blocks the key permanently; a claim
+/// closed as not run although the call ran lets the call run again.
 violation claims_are_closed(call_history const& history)
 {
     for (claim_row const& claim : history.claims)
@@ -134,7 +134,7 @@
 violation no_work_is_left(call_history const& history)
 {
     if (history.left_in_progress != 0)
-        return "work left over";
+        return "work left in progress";
     return std::nullopt;
 }
 
--- a/tests/service_history_test.cpp
+++ b/tests/service_history_test.cpp
@@ -1,6 +1,7 @@
-// Generated schedules against the history checker: callers try the same few
-// keys through three VMs, also at once, while the table loses answers or takes
-// writes late, the service goes silent, and VMs are paused or killed.
+// Generated schedules checked by the history checker: callers retry a few keys
+// through three VMs, also concurrently, while the table loses answers or
+// applies writes late, the service does not respond, and VMs are paused or
+// killed.
 #include "service_simulation.hpp"
 
 #include <catch2/catch.hpp>
@@ -12,11 +13,12 @@
 namespace rc
 {
 
-/// Over the whole range at every size: a fault does not wait for long lists.
+/// Generates values over the whole range at every size, so that faults do not
+/// appear only in long lists.
 template <class Number>
-Gen<Number> uniform_range(Number least, Number end)
+Gen<Number> uniform_range(Number min, Number end)
 {
-    return gen::resize(kNominalSize, gen::inRange<Number>(least, end));
+    return gen::resize(kNominalSize, gen::inRange<Number>(min, end));
 }
 
 template <>
@@ -89,7 +91,7 @@
     return violations(simulation.run(what));
 }
 
-/// Whether a violation that starts with `wanted` turns up.
+/// Returns whether a violation that starts with `wanted` is found.
 bool finds(std::string const& wanted, safeguards const& checks,
            broken_platform broken = {})
 {
@@ -133,7 +135,7 @@
 
 } // namespace
 
-TEST_CASE("service calls keep their promises under generated schedules")
+TEST_CASE("service calls keep their guarantees under generated schedules")
 {
     safeguards const checks;
     CHECK(rc::check("no violation",
@@ -145,22 +147,22 @@
                     }));
 }
 
-TEST_CASE("without the claim check a call is seen to run twice")
+TEST_CASE("the checker finds calls that run twice without the claim check")
 {
     CHECK(finds("ran twice", calls_without_claim()));
     CHECK(finds("ran twice", calls_when_held()));
     CHECK(finds("ran twice", calls_when_claim_is_unknown()));
 }
 
-TEST_CASE("taking a lost connection for not run is seen")
+TEST_CASE("the checker finds a lost connection treated as not run")
 {
     treats_failures_as_not_run const checks;
     CHECK(finds("ran twice", checks));
-    CHECK(finds("told not run", checks));
+    CHECK(finds("reported not run", checks));
     CHECK(finds("recorded not run", checks));
 }
 
-TEST_CASE("a table that ignores conditions is seen")
+TEST_CASE("the checker finds a table that ignores conditions")
 {
     safeguards const checks;
     broken_platform broken;
@@ -169,7 +171,7 @@
     CHECK(finds("claim left open", checks, broken));
 }
 
-TEST_CASE("a key that is used for two bodies unnoticed is seen")
+TEST_CASE("the checker finds a key used for two bodies")
 {
     safeguards const checks;
     broken_platform broken;
@@ -177,16 +179,16 @@
     CHECK(finds("answer to another body", checks, broken));
 }
 
-TEST_CASE("altered, crossed and swallowed answers are seen")
+TEST_CASE("the checker finds altered, swapped and dropped answers")
 {
     safeguards const checks;
     broken_platform altered;
     altered.alters_answers = true;
     CHECK(finds("answer of no run", checks, altered));
-    broken_platform crossed;
-    crossed.swaps_answers = true;
-    CHECK(finds("another request's answer", checks, crossed));
-    broken_platform swallowed;
-    swallowed.drops_answers = true;
-    CHECK(finds("not answered", checks, swallowed));
+    broken_platform swapped;
+    swapped.swaps_answers = true;
+    CHECK(finds("another request's answer", checks, swapped));
+    broken_platform dropped;
+    dropped.drops_answers = true;
+    CHECK(finds("not answered", checks, dropped));
 }
--- a/tests/service_simulation.cpp
+++ b/tests/service_simulation.cpp
@@ -9,10 +9,11 @@
 namespace
 {
 
-/// Every request is answered before this; what is left is ends to write.
+/// Every request is answered before the end of this period; afterwards only
+/// outcomes remain to be written.
 constexpr duration busy_period = 16000 * ms;
 constexpr duration idle_tick_interval = 200 * ms;
-/// Long enough for all faults of a schedule to hit repeated writes.
+/// Long enough for all faults of a schedule to affect repeated writes.
 constexpr duration horizon = 120000 * ms;
 constexpr duration lease_duration = 400 * ms;
 
@@ -68,7 +69,7 @@
     service_settings settings;
     settings.table_timeout = 300 * ms;
     settings.inline_answer_bytes = 40;
-    settings.silence = 500 * ms;
+    settings.hedge_delay = 500 * ms;
     settings.late_answer_wait = 4000 * ms;
     return settings;
 }
@@ -106,8 +107,8 @@
     state.kill_before_call = false;
 }
 
-// A paused VM is taken for dead too, as when its lease lapses: that calls run
-// at most once must not rest on that judgement.
+// A VM that stays paused for longer than its lease counts as dead too: that
+// calls run at most once must not depend on this judgement.
 bool service_simulation::incarnation_ended(vm_id const& vm,
                                            incarnation vm_incarnation) const
 {
@@ -188,10 +189,10 @@
     request.key = idempotency_key("k" + std::to_string(key));
     request.arrived = now_;
     request.deadline = now_ + request_timeout;
-    time_point const awake = std::max(now_, vms_[vm].paused_until);
+    time_point const resumes_at = std::max(now_, vms_[vm].paused_until);
     history_.submitted.push_back(
         {request, vm, repeatable, true,
-         std::max(request.deadline, awake) + tick_interval});
+         std::max(request.deadline, resumes_at) + tick_interval});
     post_event(vm, vms_[vm].vm_incarnation, now_,
                [this, request](service_caller& caller, action_list& actions)
                { caller.submit(request, now_, actions); });
@@ -436,9 +437,9 @@
                                        transact const& what) const
 {
     auto claim = decode_claim_row(row.value);
-    auto const asked = decode_claim_row(*what.transaction.writes[0].value);
+    auto const requested = decode_claim_row(*what.transaction.writes[0].value);
     if (claim && broken_.equal_fingerprints)
-        claim->fingerprint = asked->fingerprint;
+        claim->fingerprint = requested->fingerprint;
     if (claim && claim->answer && broken_.alters_answers)
         claim->answer = stored_answer{200, "text/plain", "altered", ""};
     if (claim)
--- a/tests/service_simulation.hpp
+++ b/tests/service_simulation.hpp
@@ -1,7 +1,7 @@
-/// A table, an object store and a plain service in virtual time, shared by a
-/// few service_callers that stand for VMs, and the history of what happened.
-#ifndef MULBERRY_TESTS_SERVICE_WORLD_HPP
-#define MULBERRY_TESTS_SERVICE_WORLD_HPP
+/// Simulation in virtual time of a table, an object store and a plain service
+/// shared by a few VMs, each a service_caller, with a history of the calls.
+#ifndef MULBERRY_TESTS_SERVICE_SIMULATION_HPP
+#define MULBERRY_TESTS_SERVICE_SIMULATION_HPP
 
 #include "claim_row.hpp"
 #include "service_caller.hpp"
@@ -23,7 +23,7 @@
 inline constexpr duration request_timeout = 2000 * ms;
 inline constexpr duration tick_interval = 20 * ms;
 
-/// Something done to the world at a time.
+/// An event of a schedule.
 struct simulation_step
 {
     enum class step_kind : std::uint8_t
@@ -32,11 +32,12 @@
         submit_repeatable,
         withdraw,
         pause,
-        /// The VM stops between deciding to call and sending.
+        /// The VM is paused after it decides to make a call and before it
+        /// sends the call.
         pause_before_call,
         kill,
         kill_before_call,
-        /// The table and the object store answer nobody.
+        /// The table and the object store answer no VM.
         outage
     };
     step_kind kind = step_kind::submit;
@@ -55,7 +56,7 @@
     lost,
     applied_late,
     refused,
-    /// Lost, and the shell does not report it either.
+    /// Lost, and the I/O layer does not report the loss.
     unreported
 };
 
@@ -74,8 +75,8 @@
     refused_after_run
 };
 
-/// What happens, and which fault the next table, object or service calls have;
-/// none when the list is over.
+/// The events, and the faults of successive table and object operations and of
+/// successive service calls; operations after the end of a list have no fault.
 struct schedule
 {
     std::vector<simulation_step> steps;
@@ -89,7 +90,8 @@
     service_request request;
     std::size_t vm = 0;
     bool repeatable = false;
-    /// A VM that was killed or withdrawn from owes no answer.
+    /// Whether an answer is required. False if the VM was killed or the
+    /// request was withdrawn.
     bool answer_expected = true;
     time_point answer_due{};
 };
@@ -117,17 +119,18 @@
     std::vector<submitted_request> submitted;
     std::vector<service_run> runs;
     std::vector<final_answer> final_answers;
-    /// Of the VMs that live at the end.
+    /// Work in progress at the VMs that are alive at the end.
     std::size_t left_in_progress = 0;
-    /// The claims as the table holds them at the end.
+    /// The claims in the table at the end.
     std::vector<claim_row> claims;
     std::map<vm_id, incarnation> vm_incarnations;
 };
 
-/// Names what was violated, one of each sort at most.
+/// Returns the violations found, at most one of each kind.
 std::vector<std::string> violations(call_history const& history);
 
-/// What a platform that breaks its word does; for seeing the checker fail.
+/// Faults of a platform that breaks its guarantees, with which tests check
+/// that violations are detected.
 struct broken_platform
 {
     bool ignores_conditions = false;
@@ -148,7 +151,7 @@
     static service_settings test_settings();
     call_history const& run(schedule const& what);
 
-    // By hand, for tests of one story.
+    // Individual steps, for tests of one scenario.
     void at(time_point when, std::function<void()> what);
     void run_until(time_point end);
     request_id submit(std::size_t vm, int key, int body, bool repeatable);
@@ -161,10 +164,10 @@
     void call_faults(std::vector<call_fault> faults);
     time_point now() const { return now_; }
     service_caller& vm(std::size_t index) { return *vms_[index].caller; }
-    /// The claim under a key, if its row is there.
+    /// Returns the claim under a key, if its row exists.
     std::optional<claim_row> claim(int key) const;
     call_history const& history() const { return history_; }
-    /// The final answer, if it was given.
+    /// Returns the final answer, or null if none was delivered.
     final_answer const* answer_to(request_id const& request) const;
     std::size_t calls_made() const { return calls_made_; }
 
