--- a/src/lapsed_members.cpp
+++ b/src/lapsed_members.cpp
@@ -16,7 +16,7 @@
                                ownership_random& random, id_source& ids)
     : settings_(settings), rules_(rules), members_(members),
       registration_(registration), random_(random), ids_(ids),
-      watch_(settings.lease), silence_(settings.lease)
+      expiry_watch_(settings.lease), unconditional_watch_(settings.lease)
 {
 }
 
@@ -26,51 +26,52 @@
 void lapsed_members::on_scan(time_point now)
 {
     if (registration_.lease_holds(now) && !registration_.stands_by())
-        watch_.on_scan(members_.member_versions(), now);
-    silence_.on_scan(members_.member_versions(), now);
+        expiry_watch_.on_scan(members_.member_versions(), now);
+    unconditional_watch_.on_scan(members_.member_versions(), now);
 }
 
-bool lapsed_members::silent(vm_id const& vm, time_point now) const
+bool lapsed_members::appears_lapsed(vm_id const& vm, time_point now) const
 {
-    auto const lapses_at = silence_.lapses_at(vm, members_.version_of(vm));
+    auto const lapses_at =
+        unconditional_watch_.lapses_at(vm, members_.version_of(vm));
     return lapses_at && now >= *lapses_at;
 }
 
 void lapsed_members::tick(time_point now, action_list& actions)
 {
     if (!registration_.lease_holds(now) || registration_.stands_by() ||
-        !watch_.current(now) || registration_.busy())
+        !expiry_watch_.is_current(now) || registration_.busy())
         return;
     std::vector<vm_id> to_expire;
     for (auto const& [vm, view] : members_.members())
-        if (due(vm, now))
+        if (should_expire(vm, now))
             to_expire.push_back(vm);
     for (vm_id const& vm : to_expire)
         expire(vm, now, actions);
 }
 
-bool lapsed_members::due(vm_id const& vm, time_point now) const
+bool lapsed_members::should_expire(vm_id const& vm, time_point now) const
 {
-    auto const next_try = next_try_.find(vm);
-    if (next_try != next_try_.end() && now < next_try->second)
+    auto const next_attempt = next_attempt_at_.find(vm);
+    if (next_attempt != next_attempt_at_.end() && now < next_attempt->second)
         return false;
-    return vm != settings_.vm && lapsed(vm, now) && !under_way(vm) &&
-           lapsed(vm, now - turn(vm, now));
+    return vm != settings_.vm && lapsed(vm, now) && !expiry_pending(vm) &&
+           lapsed(vm, now - expiry_delay(vm, now));
 }
 
 bool lapsed_members::lapsed(vm_id const& vm, time_point now) const
 {
-    auto const lapses_at = watch_.lapses_at(vm, members_.version_of(vm));
+    auto const lapses_at = expiry_watch_.lapses_at(vm, members_.version_of(vm));
     member_view const* const member = members_.member(vm);
     if (!lapses_at || member == nullptr)
         return false;
-    int const more_leases = member->stands_by ? standby_lease_factor - 1 : 0;
-    return rules_.lapsed(*lapses_at + settings_.lease * more_leases, now);
+    int const extra_leases = member->stands_by ? standby_lease_factor - 1 : 0;
+    return rules_.lapsed(*lapses_at + settings_.lease * extra_leases, now);
 }
 
-bool lapsed_members::under_way(vm_id const& vm) const
+bool lapsed_members::expiry_pending(vm_id const& vm) const
 {
-    return std::any_of(expiring_.begin(), expiring_.end(),
+    return std::any_of(pending_expiries_.begin(), pending_expiries_.end(),
                        [&vm](auto const& each)
                        { return each.second.vm == vm; });
 }
@@ -79,7 +80,7 @@
 // conflicting writes in one moment, refused for rate with the heartbeats among
 // them. They take turns by rank, a heartbeat apart; one that lapsed itself has
 // no turn, nor has one that stands by.
-duration lapsed_members::turn(vm_id const& vm, time_point now) const
+duration lapsed_members::expiry_delay(vm_id const& vm, time_point now) const
 {
     auto const score = [&vm](vm_id const& by)
     { return stable_hash(vm.str() + "/" + by.str()); };
@@ -114,21 +115,22 @@
     actions.push_back(transact{operation, std::move(transaction),
                                now + settings_.table_timeout});
     actions.push_back(note_event{"ownership", "lease-lapsed", vm.str()});
-    expiring_.emplace(operation, expiring{vm, row});
-    std::erase_if(next_try_,
+    pending_expiries_.emplace(operation, pending_expiry{vm, row});
+    std::erase_if(next_attempt_at_,
                   [now](auto const& each) { return each.second <= now; });
-    next_try_[vm] = now + settings_.heartbeat;
+    next_attempt_at_[vm] = now + settings_.heartbeat;
 }
 
 bool lapsed_members::knows(operation_id operation) const
 {
-    return expiring_.count(operation) > 0;
+    return pending_expiries_.count(operation) > 0;
 }
 
 // Without an outcome nothing need be done: the next scan tells.
 void lapsed_members::on_table(table_reply const& reply)
 {
-    expiring const done = expiring_.extract(reply.operation).mapped();
+    pending_expiry const done =
+        pending_expiries_.extract(reply.operation).mapped();
     for (table_row const& row : reply.rows)
     {
         if (reply.outcome == table_outcome::conflict && !row.version.none())
--- a/src/lapsed_members.hpp
+++ b/src/lapsed_members.hpp
@@ -33,20 +33,20 @@
     /// Whether the VM's row has stood still for a lease, as far as reads tell.
     /// Unlike the judgement that its lease lapsed it does not rest on this VM's
     /// own lease: enough to take a place beside it, not to take what it has.
-    bool silent(vm_id const& vm, time_point now) const;
+    bool appears_lapsed(vm_id const& vm, time_point now) const;
 
 private:
-    struct expiring
+    struct pending_expiry
     {
         vm_id vm;
         vm_row written;
     };
 
     bool lapsed(vm_id const& vm, time_point now) const;
-    bool due(vm_id const& vm, time_point now) const;
+    bool should_expire(vm_id const& vm, time_point now) const;
     /// How long this VM waits for those that come before it.
-    duration turn(vm_id const& vm, time_point now) const;
-    bool under_way(vm_id const& vm) const;
+    duration expiry_delay(vm_id const& vm, time_point now) const;
+    bool expiry_pending(vm_id const& vm) const;
     void expire(vm_id const& vm, time_point now, action_list& actions);
 
     ownership_settings const& settings_;
@@ -55,11 +55,11 @@
     vm_registration const& registration_;
     ownership_random& random_;
     id_source& ids_;
-    lease_watch watch_;
-    lease_watch silence_;
-    std::map<operation_id, expiring> expiring_;
+    lease_watch expiry_watch_;
+    lease_watch unconditional_watch_;
+    std::map<operation_id, pending_expiry> pending_expiries_;
     /// When a VM's end may be written again that could not be.
-    std::map<vm_id, time_point> next_try_;
+    std::map<vm_id, time_point> next_attempt_at_;
 };
 
 } // namespace mulberry
--- a/src/lease_watch.cpp
+++ b/src/lease_watch.cpp
@@ -12,7 +12,7 @@
 void lease_watch::on_scan(std::map<vm_id, row_version> const& members,
                           time_point now)
 {
-    if (!current(now))
+    if (!is_current(now))
         observations_.clear();
     outdated_at_ = now + lease_ / 2;
     std::map<vm_id, observation> seen;
@@ -40,7 +40,7 @@
     return known->second.lapses_at;
 }
 
-bool lease_watch::current(time_point now) const
+bool lease_watch::is_current(time_point now) const
 {
     return now < outdated_at_;
 }
--- a/src/lease_watch.hpp
+++ b/src/lease_watch.hpp
@@ -24,7 +24,7 @@
     std::optional<time_point> lapses_at(vm_id const& vm,
                                         row_version version) const;
     /// Whether scans have been succeeding up to now.
-    bool current(time_point now) const;
+    bool is_current(time_point now) const;
 
 private:
     struct observation
--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -5,15 +5,15 @@
 namespace mulberry
 {
 
-membership::membership(duration gone_after, ownership_rules const& rules)
-    : gone_after_(gone_after), rules_(rules)
+membership::membership(duration delisted_after, ownership_rules const& rules)
+    : delisted_after_(delisted_after), rules_(rules)
 {
 }
 
 bool membership::store(table_row const& row)
 {
     vm_id const vm = vm_of_key(row.key);
-    if (!rules_.replaces(version_of(vm), row.version))
+    if (!rules_.is_newer(version_of(vm), row.version))
         return true;
     auto parsed = parse_vm_row(row.value);
     bool const readable = parsed.has_value();
@@ -23,7 +23,7 @@
 
 void membership::store(vm_id const& vm, row_version version, vm_row const& row)
 {
-    if (rules_.replaces(version_of(vm), version))
+    if (rules_.is_newer(version_of(vm), version))
         adopt(vm, version, row);
 }
 
@@ -48,8 +48,9 @@
         generation_ += erased;
         return;
     }
-    member_view view{vm,         row->life,      row->domain,    row->address,
-                     row->state, row->stands_by, row->millicores};
+    member_view view{
+        vm,         row->incarnation_number, row->domain,    row->address,
+        row->state, row->stands_by,          row->millicores};
     if (known != members_.end() && known->second == view)
         return;
     members_[vm] = std::move(view);
@@ -57,7 +58,8 @@
     ++generation_;
 }
 
-void membership::on_list(std::vector<listed_vm> const& vms, time_point now)
+void membership::on_platform_list(std::vector<listed_vm> const& vms,
+                                  time_point now)
 {
     // A list without any VM tells that the list is broken, not that all VMs
     // went: it would prove the end of processes that still run.
@@ -76,22 +78,23 @@
     listed_leaving_ = std::move(leaving);
     ever_listed_.insert(listed_.begin(), listed_.end());
     for (auto const& [vm, known] : rows_)
-        watch_missing(vm, now);
+        update_delisted(vm, now);
     for (vm_id const& vm : ever_listed_)
-        watch_missing(vm, now);
+        update_delisted(vm, now);
 }
 
-void membership::watch_missing(vm_id const& vm, time_point now)
+void membership::update_delisted(vm_id const& vm, time_point now)
 {
     if (listed(vm))
     {
-        gone_at_.erase(vm);
-        gone_.erase(vm);
+        delisted_at_.erase(vm);
+        delisted_.erase(vm);
         return;
     }
-    auto const gone_at = gone_at_.emplace(vm, now + gone_after_).first->second;
-    if (now >= gone_at)
-        gone_.insert(vm);
+    auto const delisted_at =
+        delisted_at_.emplace(vm, now + delisted_after_).first->second;
+    if (now >= delisted_at)
+        delisted_.insert(vm);
 }
 
 bool membership::take_changed()
@@ -140,59 +143,62 @@
     return result;
 }
 
-std::vector<vm_life> membership::not_over() const
+std::vector<vm_incarnation> membership::possibly_running() const
 {
-    std::vector<vm_life> result;
+    std::vector<vm_incarnation> result;
     for (auto const& [vm, known] : rows_)
-        if (known.row && !is_over({vm, known.row->life}))
-            result.push_back({vm, known.row->life});
+        if (known.row && !has_stopped({vm, known.row->incarnation_number}))
+            result.push_back({vm, known.row->incarnation_number});
     return result;
 }
 
-bool membership::lives(vm_life const& who) const
+bool membership::is_current_member(vm_incarnation const& who) const
 {
     member_view const* const view = member(who.vm);
-    return view != nullptr && view->life == who.life;
+    return view != nullptr &&
+           view->incarnation_number == who.incarnation_number;
 }
 
-bool membership::ended(vm_life const& who) const
+bool membership::is_former_member(vm_incarnation const& who) const
 {
     auto const known = rows_.find(who.vm);
     if (known == rows_.end())
         return false;
     // A VM whose row became unreadable cannot renew it: it registers anew.
     auto const& row = known->second.row;
-    if (!row || row->life > who.life)
+    if (!row || row->incarnation_number > who.incarnation_number)
         return true;
-    return row->life == who.life && !is_member(row->state);
+    return row->incarnation_number == who.incarnation_number &&
+           !is_member(row->state);
 }
 
-bool membership::closed_itself(vm_life const& who) const
+bool membership::closed_cleanly(vm_incarnation const& who) const
 {
     return evidence_on(who).closed;
 }
 
-bool membership::is_over(vm_life const& who) const
+bool membership::has_stopped(vm_incarnation const& who) const
 {
-    return rules_.sends_no_more(evidence_on(who));
+    return rules_.has_stopped_sending(evidence_on(who));
 }
 
-life_evidence membership::evidence_on(vm_life const& who) const
+process_evidence membership::evidence_on(vm_incarnation const& who) const
 {
-    life_evidence evidence;
+    process_evidence evidence;
     vm_row const* const row = row_of(who.vm);
     // Rows are never deleted: without one of that life or a later one, only
     // too little has been read.
-    if (row == nullptr || row->life < who.life)
+    if (row == nullptr || row->incarnation_number < who.incarnation_number)
         return evidence;
     bool const known_listed = ever_listed_.count(who.vm) > 0 || row->listed;
-    evidence.gone = known_listed && gone_.count(who.vm) > 0;
+    evidence.delisted = known_listed && delisted_.count(who.vm) > 0;
     evidence.expired = !is_member(row->state);
     // The row speaks for its own process only; an earlier process of the same
     // VM is covered by what the later one proved when it registered.
-    bool const same_process = who.life >= row->process_life;
+    bool const same_process =
+        who.incarnation_number >= row->process_first_incarnation;
     evidence.closed = same_process && row->state == member_state::closed;
-    evidence.followed = who.life < row->ended_below;
+    evidence.address_reused = who.incarnation_number < row->ended_below;
     return evidence;
 }
 
--- a/src/membership.hpp
+++ b/src/membership.hpp
@@ -22,13 +22,13 @@
 class membership
 {
 public:
-    membership(duration gone_after, ownership_rules const& rules);
+    membership(duration delisted_after, ownership_rules const& rules);
 
     /// Takes a row that was read or written. False when it is no VM's row,
     /// which is then as good as unwritten.
     bool store(table_row const& row);
     void store(vm_id const& vm, row_version version, vm_row const& row);
-    void on_list(std::vector<listed_vm> const& vms, time_point now);
+    void on_platform_list(std::vector<listed_vm> const& vms, time_point now);
     /// Whether members changed since the last call.
     bool take_changed();
     /// Rises whenever what assignable() or members() return changes.
@@ -42,20 +42,21 @@
     std::map<vm_id, member_view> const& members() const { return members_; }
     std::map<vm_id, row_version> member_versions() const;
     /// Every VM whose process may still act, members or not.
-    std::vector<vm_life> not_over() const;
+    std::vector<vm_incarnation> possibly_running() const;
     /// Members that may be given workers, in the order of their names; those
     /// that stand by are not among them.
     std::vector<vm_id> assignable() const;
     bool listed(vm_id const& vm) const { return listed_.count(vm) > 0; }
 
     /// Whether that life is a member's.
-    bool lives(vm_life const& who) const;
+    bool is_current_member(vm_incarnation const& who) const;
     /// Whether that life was and is no member any more. Neither this nor
-    /// lives() holds while the VM's row is older than what is asked about.
-    bool ended(vm_life const& who) const;
+    /// is_current_member() holds while the VM's row is older than what is asked
+    /// about.
+    bool is_former_member(vm_incarnation const& who) const;
     /// Whether its process can certainly send no more.
-    bool is_over(vm_life const& who) const;
-    bool closed_itself(vm_life const& who) const;
+    bool has_stopped(vm_incarnation const& who) const;
+    bool closed_cleanly(vm_incarnation const& who) const;
 
 private:
     struct known_vm
@@ -66,18 +67,18 @@
 
     void adopt(vm_id const& vm, row_version version, std::optional<vm_row> row);
     void refresh_member(vm_id const& vm);
-    life_evidence evidence_on(vm_life const& who) const;
-    void watch_missing(vm_id const& vm, time_point now);
+    process_evidence evidence_on(vm_incarnation const& who) const;
+    void update_delisted(vm_id const& vm, time_point now);
 
-    duration gone_after_;
+    duration delisted_after_;
     ownership_rules const& rules_;
     std::map<vm_id, known_vm> rows_;
     std::map<vm_id, member_view> members_;
     std::set<vm_id> listed_;
     std::set<vm_id> listed_leaving_;
     std::set<vm_id> ever_listed_;
-    std::map<vm_id, time_point> gone_at_;
-    std::set<vm_id> gone_;
+    std::map<vm_id, time_point> delisted_at_;
+    std::set<vm_id> delisted_;
     bool changed_ = false;
     std::uint64_t generation_ = 1;
 };
--- a/src/owner_choice.cpp
+++ b/src/owner_choice.cpp
@@ -5,12 +5,14 @@
 namespace mulberry
 {
 
-std::size_t owners_wanted(owner_limits const& limits, std::size_t workers)
+std::size_t required_owners(owner_limits const& limits, std::size_t workers)
 {
-    if (limits.least_owners == 0)
+    if (limits.min_owners == 0)
         return 0;
-    std::size_t const each = std::max<std::size_t>(limits.workers_per_owner, 1);
-    return std::max(limits.least_owners, (workers + each - 1) / each);
+    std::size_t const workers_per_owner =
+        std::max<std::size_t>(limits.workers_per_owner, 1);
+    return std::max(limits.min_owners,
+                    (workers + workers_per_owner - 1) / workers_per_owner);
 }
 
 bool standby_decision::decide(bool stands_by, owner_situation const& situation,
@@ -19,7 +21,7 @@
     if (!stands_by)
     {
         missing_since_ = never;
-        return situation.settled && situation.surplus;
+        return situation.settled && situation.is_surplus;
     }
     if (situation.missing_owners == 0)
     {
@@ -28,11 +30,12 @@
     }
     missing_since_ = std::min(missing_since_, now);
     // As many as are missing come at once; the others wait for their turn.
-    std::size_t const turns =
+    std::size_t const ranks_to_wait =
         situation.rank < situation.missing_owners
             ? 0
             : situation.rank + 1 - situation.missing_owners;
-    return now < missing_since_ + turn_ * static_cast<duration::rep>(turns);
+    return now < missing_since_ + delay_per_rank_ *
+                                      static_cast<duration::rep>(ranks_to_wait);
 }
 
 } // namespace mulberry
--- a/src/owner_choice.hpp
+++ b/src/owner_choice.hpp
@@ -13,7 +13,7 @@
 {
     /// The least number of VMs that own workers in a failure domain; 0: every
     /// VM does.
-    std::size_t least_owners = 0;
+    std::size_t min_owners = 0;
     /// Where that would be more workers than this for each, there are more
     /// owners.
     std::size_t workers_per_owner = 8;
@@ -22,7 +22,7 @@
 
 /// How many VMs own the workers of a failure domain that has so many; 0: all
 /// that are there. Pure; any thread.
-std::size_t owners_wanted(owner_limits const& limits, std::size_t workers);
+std::size_t required_owners(owner_limits const& limits, std::size_t workers);
 
 /// What a VM knows of its failure domain. Value.
 struct owner_situation
@@ -31,7 +31,7 @@
     /// registered.
     bool settled = false;
     /// This VM is not among the owners, and no worker is its own.
-    bool surplus = false;
+    bool is_surplus = false;
     /// So many owners fewer than wanted.
     std::size_t missing_owners = 0;
     /// How many of those that stand by come before this VM.
@@ -51,14 +51,17 @@
 {
 public:
     /// `turn`: how long the VMs wait for each that comes before them.
-    explicit standby_decision(duration turn) : turn_(turn) {}
+    explicit standby_decision(duration delay_per_rank)
+        : delay_per_rank_(delay_per_rank)
+    {
+    }
 
     /// Whether this VM is to stand by from now on.
     bool decide(bool stands_by, owner_situation const& situation,
                 time_point now);
 
 private:
-    duration turn_;
+    duration delay_per_rank_;
     time_point missing_since_ = never;
 };
 
--- a/src/ownership_keeper.cpp
+++ b/src/ownership_keeper.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-bool answered(table_outcome outcome)
+bool table_answered(table_outcome outcome)
 {
     return outcome == table_outcome::done || outcome == table_outcome::conflict;
 }
@@ -28,7 +28,7 @@
                    id_source& ids, ownership_rules const& rules)
         : settings_(std::move(settings)), ids_(ids),
           random_(settings_.vm.str(), settings_.seed),
-          members_(settings_.gone_after, rules),
+          members_(settings_.delisted_after, rules),
           registration_(settings_, rules, members_, random_, ids),
           lapsed_(settings_, rules, members_, registration_, random_, ids),
           workers_({settings_, rules, members_, registration_, random_, ids,
@@ -38,10 +38,11 @@
     {
     }
 
-    void learn(std::vector<table_row> const& rows, action_list& actions)
+    void set_initial_rows(std::vector<table_row> const& rows,
+                          action_list& actions)
     {
         store_rows(rows, actions);
-        learnt_ = true;
+        has_initial_rows_ = true;
     }
 
     bool assigned() const
@@ -51,8 +52,8 @@
 
     void start(time_point now, action_list& actions)
     {
-        next_scan_at_ = learnt_ ? now + settings_.heartbeat : now;
-        registration_.start(learnt_, now, actions);
+        next_scan_at_ = has_initial_rows_ ? now + settings_.heartbeat : now;
+        registration_.start(has_initial_rows_, now, actions);
         started_ = true;
     }
 
@@ -80,9 +81,9 @@
 
     vm_registration const& registration() const { return registration_; }
     membership const& members() const { return members_; }
-    time_point table_heard_at() const { return table_heard_at_; }
+    time_point last_table_contact() const { return table_heard_at_; }
     vm_id owner_of(worker_id const& worker) const;
-    vm_id named_owner_of(worker_id const& worker) const;
+    vm_id recorded_owner_of(worker_id const& worker) const;
     fencing_number fence_of(worker_id const& worker) const;
     row_version version_of(worker_id const& worker) const
     {
@@ -97,7 +98,7 @@
         std::string prefix;
         operation_id operation;
         time_point asked_at{};
-        bool under_way = false;
+        bool in_progress = false;
         /// When the question was asked that was last answered.
         time_point read_at = time_point::min();
     };
@@ -108,11 +109,11 @@
     void on_scan(scan& which, table_reply const& reply, time_point now,
                  action_list& actions);
     void store_rows(std::vector<table_row> const& rows, action_list& actions);
-    void note_bad_row(table_row const& row, action_list& actions);
+    void report_unreadable_row(table_row const& row, action_list& actions);
     void on_registration(table_reply const& reply, time_point now,
                          action_list& actions);
-    void review(time_point now, action_list& actions);
-    void review_standby(time_point now, action_list& actions);
+    void reconcile(time_point now, action_list& actions);
+    void update_standby(time_point now, action_list& actions);
 
     ownership_settings const settings_;
     id_source& ids_;
@@ -126,12 +127,12 @@
 
     bool started_ = false;
     /// The rows were read a moment before the start.
-    bool learnt_ = false;
+    bool has_initial_rows_ = false;
     time_point table_heard_at_ = time_point::min();
     time_point next_scan_at_ = never;
     scan vm_scan_{vm_prefix, {}, {}};
     scan worker_scan_{worker_prefix, {}, {}};
-    std::map<std::string, row_version> bad_rows_;
+    std::map<std::string, row_version> unreadable_rows_;
 };
 
 void ownership_keeper::implementation::set_workers(
@@ -139,13 +140,13 @@
 {
     workers_.set_workers(std::move(workers));
     registration_.set_ready(now);
-    review(now, actions);
+    reconcile(now, actions);
 }
 
 bool ownership_keeper::implementation::is_scan(scan const& which,
                                                operation_id operation) const
 {
-    return which.under_way && which.operation == operation;
+    return which.in_progress && which.operation == operation;
 }
 
 bool ownership_keeper::implementation::knows(operation_id operation) const
@@ -170,7 +171,7 @@
         lapsed_.on_table(reply);
     else
         workers_.on_table(reply, now, actions);
-    review(now, actions);
+    reconcile(now, actions);
 }
 
 void ownership_keeper::implementation::on_registration(table_reply const& reply,
@@ -184,7 +185,7 @@
     // a heartbeat later, for which its workers would have no owner.
     if (registration_.registered() && !was_registered)
         next_scan_at_ = now;
-    if (answered(reply.outcome))
+    if (table_answered(reply.outcome))
         table_heard_at_ = std::max(table_heard_at_, asked_at);
 }
 
@@ -193,7 +194,7 @@
 {
     if (!started_ || registration_.closed() || now < next_scan_at_)
         return;
-    if (vm_scan_.under_way || worker_scan_.under_way)
+    if (vm_scan_.in_progress || worker_scan_.in_progress)
         return;
     next_scan_at_ = now + settings_.heartbeat;
     start_scan(vm_scan_, now, actions);
@@ -205,7 +206,7 @@
 {
     which.operation = ids_.next_operation();
     which.asked_at = now;
-    which.under_way = true;
+    which.in_progress = true;
     actions.push_back(scan_rows{which.operation, which.prefix,
                                 now + settings_.table_timeout});
 }
@@ -215,17 +216,19 @@
                                                time_point now,
                                                action_list& actions)
 {
-    which.under_way = false;
+    which.in_progress = false;
     if (reply.outcome != table_outcome::done)
     {
         // Failure: VMs start while the table is away. Their workers have no
         // owner until rows were read in this life, and a scan that fails at the
         // table's return would leave them so for another heartbeat.
-        bool const hurries = settings_.first_retry > duration(0) &&
-                             (!registration_.registered() ||
-                              which.read_at < registration_.registered_at());
-        next_scan_at_ = now + random_.around(hurries ? settings_.first_retry
-                                                     : settings_.heartbeat);
+        bool const use_first_retry =
+            settings_.first_retry > duration(0) &&
+            (!registration_.registered() ||
+             which.read_at < registration_.registered_at());
+        next_scan_at_ =
+            now + random_.jittered(use_first_retry ? settings_.first_retry
+                                                   : settings_.heartbeat);
         return;
     }
     which.read_at = std::min(which.asked_at, reply.as_of);
@@ -247,28 +250,28 @@
                                   ? members_.store(row)
                                   : workers_.store(row);
         if (!readable)
-            note_bad_row(row, actions);
+            report_unreadable_row(row, actions);
     }
 }
 
-void ownership_keeper::implementation::note_bad_row(table_row const& row,
-                                                    action_list& actions)
+void ownership_keeper::implementation::report_unreadable_row(
+    table_row const& row, action_list& actions)
 {
-    if (std::exchange(bad_rows_[row.key], row.version) != row.version)
+    if (std::exchange(unreadable_rows_[row.key], row.version) != row.version)
         actions.push_back(note_event{"ownership", "bad-row", row.key});
 }
 
 void ownership_keeper::implementation::on_vm_list(
     std::vector<listed_vm> const& vms, time_point now, action_list& actions)
 {
-    members_.on_list(vms, now);
-    review(now, actions);
+    members_.on_platform_list(vms, now);
+    reconcile(now, actions);
 }
 
 void ownership_keeper::implementation::request_intent(
     record_intent const& intent, time_point now, action_list& actions)
 {
-    worker_ownership& worker = workers_.of(intent.worker);
+    worker_ownership& worker = workers_.find_or_add(intent.worker);
     worker.request_intent(intent.order, intent.name, actions);
     worker.tick(now, actions);
 }
@@ -276,7 +279,7 @@
 void ownership_keeper::implementation::forget_intent(
     mulberry::forget_intent const& intent, time_point now, action_list& actions)
 {
-    worker_ownership& worker = workers_.of(intent.worker);
+    worker_ownership& worker = workers_.find_or_add(intent.worker);
     worker.forget_intent(intent.name, now);
     worker.tick(now, actions);
 }
@@ -285,8 +288,8 @@
                                                 time_point now,
                                                 action_list& actions)
 {
-    worker_ownership& lost = workers_.of(worker);
-    lost.sign_off();
+    worker_ownership& lost = workers_.find_or_add(worker);
+    lost.remove_self_from_suspects();
     lost.tick(now, actions);
 }
 
@@ -298,44 +301,45 @@
     actions.push_back(
         note_event{"ownership", "vm-leaving", settings_.vm.str()});
     registration_.leave(now);
-    review(now, actions);
+    reconcile(now, actions);
 }
 
 void ownership_keeper::implementation::close(time_point now,
                                              action_list& actions)
 {
     registration_.close(now);
-    review(now, actions);
+    reconcile(now, actions);
 }
 
 void ownership_keeper::implementation::tick(time_point now,
                                             action_list& actions)
 {
-    review(now, actions);
+    reconcile(now, actions);
     start_scans(now, actions);
 }
 
 // Everything that follows from what is known now, in one place, so that it
 // does not matter which answer came first.
-void ownership_keeper::implementation::review(time_point now,
-                                              action_list& actions)
+void ownership_keeper::implementation::reconcile(time_point now,
+                                                 action_list& actions)
 {
     if (!started_)
         return;
-    registration_.examine_row(now, actions);
-    review_standby(now, actions);
+    registration_.check_own_row(now, actions);
+    update_standby(now, actions);
     registration_.tick(now, actions);
-    workers_.review(now, actions);
+    workers_.reconcile(now, actions);
     lapsed_.tick(now, actions);
 }
 
-void ownership_keeper::implementation::review_standby(time_point now,
+void ownership_keeper::implementation::update_standby(time_point now,
                                                       action_list& actions)
 {
     if (!registration_.registered())
         return;
-    bool const stands_by = standby_.decide(
-        registration_.stands_by(), workers_.situation(lapsed_, now), now);
+    bool const stands_by =
+        standby_.decide(registration_.stands_by(),
+                        workers_.standby_situation(lapsed_, now), now);
     if (stands_by == registration_.stands_by())
         return;
     actions.push_back(note_event{"ownership",
@@ -353,7 +357,7 @@
     return std::exchange(events_, {});
 }
 
-vm_id ownership_keeper::implementation::named_owner_of(
+vm_id ownership_keeper::implementation::recorded_owner_of(
     worker_id const& worker) const
 {
     worker_ownership const* const known = workers_.find(worker);
@@ -365,7 +369,7 @@
 {
     worker_ownership const* const known = workers_.find(worker);
     if (known == nullptr || known->row() == nullptr ||
-        !members_.lives(known->row()->owner))
+        !members_.is_current_member(known->row()->owner))
         return {};
     return known->row()->owner.vm;
 }
@@ -389,10 +393,10 @@
 
 ownership_keeper::~ownership_keeper() = default;
 
-void ownership_keeper::learn(std::vector<table_row> const& rows,
-                             action_list& actions)
+void ownership_keeper::set_initial_rows(std::vector<table_row> const& rows,
+                                        action_list& actions)
 {
-    implementation_->learn(rows, actions);
+    implementation_->set_initial_rows(rows, actions);
 }
 
 void ownership_keeper::start(time_point now, action_list& actions)
@@ -471,9 +475,9 @@
     return implementation_->take_events();
 }
 
-incarnation ownership_keeper::life() const
+incarnation ownership_keeper::incarnation_number() const
 {
-    return implementation_->registration().life();
+    return implementation_->registration().incarnation_number();
 }
 
 bool ownership_keeper::registered() const
@@ -501,9 +505,9 @@
     return implementation_->registration().lease_holds(now);
 }
 
-time_point ownership_keeper::table_heard_at() const
+time_point ownership_keeper::last_table_contact() const
 {
-    return implementation_->table_heard_at();
+    return implementation_->last_table_contact();
 }
 
 std::vector<member_view> ownership_keeper::members() const
@@ -519,9 +523,9 @@
     return implementation_->members().member(vm);
 }
 
-vm_id ownership_keeper::named_owner_of(worker_id const& worker) const
+vm_id ownership_keeper::recorded_owner_of(worker_id const& worker) const
 {
-    return implementation_->named_owner_of(worker);
+    return implementation_->recorded_owner_of(worker);
 }
 
 row_version ownership_keeper::version_of(worker_id const& worker) const
@@ -531,7 +535,7 @@
 
 row_version ownership_keeper::settled_version(time_point now) const
 {
-    return implementation_->registration().settled(now);
+    return implementation_->registration().settled_version(now);
 }
 
 vm_id ownership_keeper::owner_of(worker_id const& worker) const
@@ -554,14 +558,16 @@
 ownership_keeper::possibly_alive() const
 {
     std::vector<std::pair<vm_id, incarnation>> result;
-    for (vm_life const& one : implementation_->members().not_over())
-        result.emplace_back(one.vm, one.life);
+    for (vm_incarnation const& one :
+         implementation_->members().possibly_running())
+        result.emplace_back(one.vm, one.incarnation_number);
     return result;
 }
 
-bool ownership_keeper::life_is_over(vm_id const& vm, incarnation life) const
+bool ownership_keeper::has_stopped(vm_id const& vm,
+                                   incarnation incarnation_number) const
 {
-    return implementation_->members().is_over({vm, life});
+    return implementation_->members().has_stopped({vm, incarnation_number});
 }
 
 } // namespace mulberry
--- a/src/ownership_keeper.hpp
+++ b/src/ownership_keeper.hpp
@@ -1,7 +1,8 @@
 /// Membership and ownership: which VMs live, and which worker is whose.
 ///
 /// Rows of the table (JSON texts, each with the writer's own token):
-///   vm/ID      {"token", "life", "process_life", "ended_below", "address",
+///   vm/ID      {"token", "life", "process_first_incarnation", "ended_below",
+///   "address",
 ///               "domain", "state", "ready", "listed", "beat", "settled",
 ///               "stands_by", "millicores"}
 ///              state: live, leaving, closed, expired; see vm_row.hpp
@@ -43,7 +44,7 @@
 struct member_view
 {
     vm_id vm;
-    incarnation life;
+    incarnation incarnation_number;
     domain_id domain;
     /// IP:PORT of its peers' listener.
     std::string address;
@@ -113,7 +114,7 @@
     duration lease_margin = std::chrono::milliseconds(500);
     /// How long a VM must be missing from the platform's list, having been in
     /// it, before it is known to be gone.
-    duration gone_after = std::chrono::seconds(5);
+    duration delisted_after = std::chrono::seconds(5);
     /// Time between two voluntary handovers, so that a newcomer's share moves
     /// without a stall.
     duration handover_interval = std::chrono::milliseconds(500);
@@ -148,7 +149,8 @@
 
     /// Takes all rows there are, read a moment before start(), so that it need
     /// not ask for its own.
-    void learn(std::vector<table_row> const& rows, action_list& actions);
+    void set_initial_rows(std::vector<table_row> const& rows,
+                          action_list& actions);
     /// Registers this life of the VM (a life higher than any before it).
     /// Precondition: this process listens on settings.address, so that an
     /// earlier one that did has ended.
@@ -189,7 +191,7 @@
     /// What happened since the last call, in order.
     std::vector<ownership_event> take_events();
 
-    incarnation life() const;
+    incarnation incarnation_number() const;
     bool registered() const;
     bool leaving() const;
     /// Owns no workers and is to own none for now.
@@ -200,7 +202,7 @@
     bool lease_holds(time_point now) const;
     /// The last moment at which the table is known to have answered; the
     /// moment its question was asked.
-    time_point table_heard_at() const;
+    time_point last_table_contact() const;
     /// Members that are live or leaving, this VM among them.
     std::vector<member_view> members() const;
     member_view const* member(vm_id const& vm) const;
@@ -221,10 +223,10 @@
     row_version settled_version(time_point now) const;
     /// The VM that a worker's row names, whether or not that life goes on;
     /// empty for nobody, or where the row is not known.
-    vm_id named_owner_of(worker_id const& worker) const;
+    vm_id recorded_owner_of(worker_id const& worker) const;
     /// Whether a VM's life is over for certain: closed, expired with its VM
     /// gone from the list, or followed by a later life at the same address.
-    bool life_is_over(vm_id const& vm, incarnation life) const;
+    bool has_stopped(vm_id const& vm, incarnation incarnation_number) const;
 
 private:
     class implementation;
--- a/src/ownership_random.hpp
+++ b/src/ownership_random.hpp
@@ -28,7 +28,7 @@
     }
 
     /// Between half of the time given and one and a half times it.
-    duration around(duration middle)
+    duration jittered(duration middle)
     {
         auto const range =
             static_cast<std::uint64_t>(middle.count()) + std::uint64_t{1};
--- a/src/ownership_rules.cpp
+++ b/src/ownership_rules.cpp
@@ -6,7 +6,7 @@
 // Failure: a lagging read answers from the past, so a VM that handed a worker
 // over reads that it still owns it. Symptom: two VMs give orders. Versions rise
 // over the whole table, so the highest one seen is the newest state known.
-bool ownership_rules::replaces(row_version known, row_version read) const
+bool ownership_rules::is_newer(row_version known, row_version read) const
 {
     return read > known;
 }
@@ -32,9 +32,10 @@
 // its successor both load and unload. The holder counts from the moment it
 // asked, observers from the later moment they saw the answer, and the holder
 // stops a margin earlier; so it stops first on clocks that run alike.
-bool ownership_rules::holds(time_point holds_until, time_point now) const
+bool ownership_rules::own_lease_valid(time_point own_lease_until,
+                                      time_point now) const
 {
-    return now < holds_until;
+    return now < own_lease_until;
 }
 
 // Failure: an expired VM was only paused, between its check of the lease and
@@ -43,10 +44,11 @@
 // it. Each of these does: it wrote `closed` itself with nothing in progress;
 // another process listens on its IP and port, which it would still hold; or
 // the platform, which had listed its VM, lists it no more.
-bool ownership_rules::sends_no_more(life_evidence const& evidence) const
+bool ownership_rules::has_stopped_sending(
+    process_evidence const& evidence) const
 {
-    return evidence.closed || evidence.followed ||
-           (evidence.expired && evidence.gone);
+    return evidence.closed || evidence.address_reused ||
+           (evidence.expired && evidence.delisted);
 }
 
 // Failure: a late order of an earlier owner reaches the engine. Symptom: it is
--- a/src/ownership_rules.hpp
+++ b/src/ownership_rules.hpp
@@ -13,16 +13,16 @@
 {
 
 /// What is known of the process behind one life of a VM.
-struct life_evidence
+struct process_evidence
 {
     /// Its row says closed: nothing of it was in progress any more.
     bool closed = false;
     /// A later process has listened on its IP and port.
-    bool followed = false;
+    bool address_reused = false;
     /// Its row says that it is no member any more.
     bool expired = false;
     /// Its VM, once in the platform's list, has been missing from it for long.
-    bool gone = false;
+    bool delisted = false;
 };
 
 /// Thread safety: stateless; const calls from any thread.
@@ -32,15 +32,16 @@
     virtual ~ownership_rules() = default;
 
     /// Whether a row that was read replaces the one known.
-    virtual bool replaces(row_version known, row_version read) const;
+    virtual bool is_newer(row_version known, row_version read) const;
     /// Whether writes depend on the versions of the rows they rest on.
     virtual bool writes_conditionally() const;
     /// Whether another VM's lease has lapsed, having been seen unchanged.
     virtual bool lapsed(time_point lapses_at, time_point now) const;
     /// Whether a holder may count on its own lease.
-    virtual bool holds(time_point holds_until, time_point now) const;
+    virtual bool own_lease_valid(time_point own_lease_until,
+                                 time_point now) const;
     /// Whether the process behind a life can certainly send no more.
-    virtual bool sends_no_more(life_evidence const& evidence) const;
+    virtual bool has_stopped_sending(process_evidence const& evidence) const;
     virtual fencing_number next_fence(fencing_number fence) const;
     /// The open intents that a new owner takes over with the row.
     virtual std::vector<engine_name>
--- a/src/ownership_runner.cpp
+++ b/src/ownership_runner.cpp
@@ -72,7 +72,7 @@
             if (row.key.starts_with(vm_prefix) ||
                 row.key.starts_with(worker_prefix))
                 known.push_back(to_table_row(row));
-        keeper_.learn(known, actions);
+        keeper_.set_initial_rows(known, actions);
     }
     keeper_.start(now, actions);
     after_change(actions);
@@ -145,7 +145,7 @@
         fencing_number const fence = keeper_.fence_of(worker);
         if (!fence.none())
             seen_owners_[worker].try_emplace(
-                fence, seen_owner{keeper_.named_owner_of(worker),
+                fence, seen_owner{keeper_.recorded_owner_of(worker),
                                   keeper_.version_of(worker)});
     }
     std::erase_if(seen_owners_, [this](auto const& each)
--- a/src/relay_peers.cpp
+++ b/src/relay_peers.cpp
@@ -68,7 +68,7 @@
         bool const self = member.vm == options_.vm;
         shared.joined |= self;
         shared.first_life |=
-            self && registered && member.life == incarnation(1);
+            self && registered && member.incarnation_number == incarnation(1);
         if (member.state == member_state::live)
             shared.candidates.push_back({member.vm, member.millicores});
     }
--- a/src/vm_core.cpp
+++ b/src/vm_core.cpp
@@ -40,10 +40,10 @@
       configuration_(settings_.configuration, checks, ids_),
       services_(settings_.services, checks, ids_,
                 [this](vm_id const& vm, incarnation life)
-                { return ownership_.life_is_over(vm, life); }),
+                { return ownership_.has_stopped(vm, life); }),
       quarter_(with_vm(settings_.quarter, settings_.ownership.vm), ids_,
                [this](vm_id const& vm, incarnation life)
-               { return ownership_.life_is_over(vm, life); }),
+               { return ownership_.has_stopped(vm, life); }),
       entry_(settings_.entry, *policy_, view_, *this, checks, ids_)
 {
     entry_.set_counter(this);
@@ -363,7 +363,7 @@
 void vm_core::on(clock_ticked const&, time_point now, action_list& actions)
 {
     ownership_.tick(now, actions);
-    configuration_.table_heard(ownership_.table_heard_at());
+    configuration_.table_heard(ownership_.last_table_contact());
     refresh_voters(now);
     configuration_.tick(now, actions);
     std::size_t loads_wanted = 0;
@@ -518,8 +518,8 @@
         services_.on_table(event, now, actions);
     else if (quarter_.knows(event.operation))
         quarter_.on_table(event, now, actions);
-    services_.set_life(ownership_.life());
-    quarter_.set_life(ownership_.life());
+    services_.set_life(ownership_.incarnation_number());
+    quarter_.set_life(ownership_.incarnation_number());
 }
 
 void vm_core::on(object_reply const& event, time_point now,
--- a/src/vm_core_cluster.cpp
+++ b/src/vm_core_cluster.cpp
@@ -53,7 +53,7 @@
     auto voters = ownership_.possibly_alive();
     if (voters == voters_)
         return;
-    configuration_.set_members(voters, ownership_.life(), now);
+    configuration_.set_members(voters, ownership_.incarnation_number(), now);
     voters_ = std::move(voters);
 }
 
@@ -108,7 +108,7 @@
         return;
     next_hint_ = now + settings_.hint_interval;
     ownership_hint hint;
-    hint.life = ownership_.life();
+    hint.life = ownership_.incarnation_number();
     hint.configuration = configuration_.version();
     hint.takes_work = !leaving_since_ && takes_new_work(now);
     hint.loads = budget_->counts();
--- a/src/vm_core_counts.cpp
+++ b/src/vm_core_counts.cpp
@@ -69,7 +69,7 @@
 {
     core_status result;
     result.vm = settings_.ownership.vm;
-    result.life = ownership_.life();
+    result.life = ownership_.incarnation_number();
     result.registered = ownership_.registered();
     result.leaving = leaving_since_.has_value();
     result.takes_new_work = takes_new_work(now);
--- a/src/vm_registration.cpp
+++ b/src/vm_registration.cpp
@@ -10,9 +10,9 @@
 /// VMs that stood by register within so many heartbeats of their start, spread
 /// over that time: with a heartbeat of two seconds twenty of two hundred each
 /// second.
-constexpr int standby_spread = 5;
+constexpr int standby_start_heartbeats = 5;
 constexpr duration::rep spread_steps = 1000;
-void note(action_list& actions, std::string kind, std::string text)
+void log_event(action_list& actions, std::string kind, std::string text)
 {
     actions.push_back(
         note_event{"ownership", std::move(kind), std::move(text)});
@@ -23,9 +23,9 @@
     return row.stands_by ? standby_lease_factor : 1;
 }
 
-std::string life_text(incarnation life)
+std::string incarnation_text(incarnation incarnation_number)
 {
-    return "life " + std::to_string(life.value());
+    return "life " + std::to_string(incarnation_number.value());
 }
 
 } // namespace
@@ -44,16 +44,17 @@
 /// that own nothing, are refused, and wait again; nobody loads an adapter
 /// meanwhile. So a VM that stood by registers a while later, each at its own
 /// time.
-void vm_registration::start(bool informed, time_point now, action_list& actions)
+void vm_registration::start(bool rows_known, time_point now,
+                            action_list& actions)
 {
-    phase_ = informed ? phase::registering : phase::reading;
+    phase_ = rows_known ? phase::registering : phase::reading;
     vm_row const* const old = members_.row_of(settings_.vm);
-    if (!informed)
+    if (!rows_known)
         return send(call_kind::read, now, actions);
     if (old == nullptr || !old->stands_by)
-        return send(call_kind::enrol, now, actions);
+        return send(call_kind::register_vm, now, actions);
     auto const share = stable_hash(settings_.vm.str()) % spread_steps + 1;
-    next_call_at_ = now + settings_.heartbeat * standby_spread *
+    next_call_at_ = now + settings_.heartbeat * standby_start_heartbeats *
                               static_cast<duration::rep>(share) / spread_steps;
 }
 
@@ -76,7 +77,7 @@
     // of a VM that stands by, and gives orders beside the VM that took over.
     // So it counts on none before the answer.
     if (!stands_by_)
-        holds_until_ = time_point::min();
+        lease_until_ = time_point::min();
 }
 
 void vm_registration::leave(time_point now)
@@ -90,7 +91,8 @@
     leaving_ = true;
     if (closed() || phase_ == phase::closing)
         return;
-    bool const has_row = !life_.none() && phase_ != phase::superseded;
+    bool const has_row =
+        !incarnation_number_.none() && phase_ != phase::superseded;
     phase_ = has_row ? phase::closing : phase::closed;
     next_call_at_ = now;
 }
@@ -99,7 +101,7 @@
 {
     if (busy() || now < next_call_at_)
         return;
-    yield_to_others(actions);
+    stop_if_superseded(actions);
     if (phase_ == phase::closing && members_.row_of(settings_.vm) == nullptr)
         phase_ = phase::closed;
     switch (phase_)
@@ -107,7 +109,7 @@
     case phase::reading:
         return send(call_kind::read, now, actions);
     case phase::registering:
-        return send(call_kind::enrol, now, actions);
+        return send(call_kind::register_vm, now, actions);
     case phase::registered:
         return send(call_kind::renew, now, actions);
     case phase::closing:
@@ -119,11 +121,13 @@
 
 // Another process runs under this VM's name. It is the later one, so this one
 // gives up: two that both came back would expire each other for ever.
-void vm_registration::yield_to_others(action_list& actions)
+void vm_registration::stop_if_superseded(action_list& actions)
 {
     vm_row const* const row = members_.row_of(settings_.vm);
-    bool const others = row != nullptr && !process_life_.none() &&
-                        row->life > life_ && row->process_life != process_life_;
+    bool const others =
+        row != nullptr && !process_first_incarnation_.none() &&
+        row->incarnation_number > incarnation_number_ &&
+        row->process_first_incarnation != process_first_incarnation_;
     bool const writes = phase_ == phase::registered ||
                         phase_ == phase::registering ||
                         phase_ == phase::closing;
@@ -131,29 +135,29 @@
         return;
     bool const closing = phase_ == phase::closing;
     phase_ = closing ? phase::closed : phase::superseded;
-    note(actions, "vm-superseded", life_text(life_));
+    log_event(actions, "vm-superseded", incarnation_text(incarnation_number_));
 }
 
 bool vm_registration::knows(operation_id operation) const
 {
-    return call_ && call_->operation == operation;
+    return pending_call_ && pending_call_->operation == operation;
 }
 
 void vm_registration::send(call_kind kind, time_point now, action_list& actions)
 {
-    call made{ids_.next_operation(), kind, now, {}};
+    pending_call made{ids_.next_operation(), kind, now, {}};
     std::string const key = vm_key(settings_.vm);
     table_transaction transaction;
     row_version base = members_.version_of(settings_.vm);
-    if (kind == call_kind::enrol && enrol_token_.empty())
-        enrol_asked_at_ = now;
+    if (kind == call_kind::register_vm && registration_token_.empty())
+        registration_asked_at_ = now;
     if (kind != call_kind::read)
     {
         made.written = row_to_write(kind, now);
         transaction.writes.push_back({key, to_text(made.written)});
     }
-    if (kind == call_kind::enrol)
-        base = enrol_base_;
+    if (kind == call_kind::register_vm)
+        base = registration_base_;
     // A read compares with an absent row: either answer tells the row as it
     // is now, which a lagging read does not.
     if (kind == call_kind::read)
@@ -162,10 +166,10 @@
         transaction.conditions.push_back({key, base});
     actions.push_back(
         transact{made.operation, transaction, now + settings_.table_timeout});
-    call_ = made;
+    pending_call_ = made;
 }
 
-void vm_registration::note_version(row_version version, time_point now)
+void vm_registration::record_version(row_version version, time_point now)
 {
     seen_versions_.emplace_back(now, version);
     while (seen_versions_.size() > 1 &&
@@ -173,7 +177,7 @@
         seen_versions_.pop_front();
 }
 
-row_version vm_registration::settled(time_point now) const
+row_version vm_registration::settled_version(time_point now) const
 {
     if (seen_versions_.empty() ||
         seen_versions_.front().first + settings_.order_gap > now)
@@ -183,14 +187,14 @@
 
 vm_row vm_registration::row_to_write(call_kind kind, time_point now)
 {
-    if (kind == call_kind::enrol)
-        return row_to_enrol();
+    if (kind == call_kind::register_vm)
+        return registration_row();
     vm_row row = *members_.row_of(settings_.vm);
     row.token = random_.next_token();
     row.ready = ready_;
     row.listed = row.listed || members_.listed(settings_.vm);
-    row.beat = ++beat_;
-    row.settled = settled(now);
+    row.renewal_count = ++renewal_count_;
+    row.settled_version = settled_version(now);
     row.stands_by = stands_by_;
     row.state = leaving_ ? member_state::leaving : member_state::live;
     if (kind == call_kind::close)
@@ -202,40 +206,41 @@
 // Symptom: the VM registers twice and takes its own row for another's. Until
 // the outcome is known the very same write is repeated, so that it lands once
 // and the conflict of the next one shows the VM its own token.
-vm_row vm_registration::row_to_enrol()
+vm_row vm_registration::registration_row()
 {
-    if (!enrol_token_.empty())
-        return enrol_row_;
-    enrol_token_ = random_.next_token();
-    enrol_base_ = members_.version_of(settings_.vm);
+    if (!registration_token_.empty())
+        return registration_row_;
+    registration_token_ = random_.next_token();
+    registration_base_ = members_.version_of(settings_.vm);
     vm_row const* const old = members_.row_of(settings_.vm);
     // After a power cut nobody has to stand back again who did before.
-    if (old != nullptr && process_life_.none())
+    if (old != nullptr && process_first_incarnation_.none())
         stands_by_ = old->stands_by;
     // Lives are counted by writes of the row, so that the version of a row
     // that cannot be read is not below any of them.
-    std::uint64_t const last =
-        old != nullptr ? old->life.value() : enrol_base_.value();
+    std::uint64_t const last = old != nullptr ? old->incarnation_number.value()
+                                              : registration_base_.value();
     incarnation const next(last + 1);
     vm_row row;
-    row.token = enrol_token_;
-    row.life = next;
-    row.process_life = process_life_.none() ? next : process_life_;
+    row.token = registration_token_;
+    row.incarnation_number = next;
+    row.process_first_incarnation =
+        process_first_incarnation_.none() ? next : process_first_incarnation_;
     if (old != nullptr)
         row.ended_below = ended_below(*old, next);
     else
-        row.ended_below = enrol_base_.none() ? next : incarnation();
+        row.ended_below = registration_base_.none() ? next : incarnation();
     row.address = settings_.address;
     row.domain = settings_.domain;
     row.state = leaving_ ? member_state::leaving : member_state::live;
     row.ready = ready_;
     row.listed = members_.listed(settings_.vm) || (old && old->listed);
     if (old != nullptr)
-        inherited_settled_ = std::max(inherited_settled_, old->settled);
-    row.settled = inherited_settled_;
+        inherited_settled_ = std::max(inherited_settled_, old->settled_version);
+    row.settled_version = inherited_settled_;
     row.stands_by = stands_by_;
     row.millicores = settings_.millicores;
-    enrol_row_ = row;
+    registration_row_ = row;
     return row;
 }
 
@@ -245,23 +250,23 @@
 incarnation vm_registration::ended_below(vm_row const& old,
                                          incarnation next) const
 {
-    if (!process_life_.none())
+    if (!process_first_incarnation_.none())
         return old.ended_below;
     bool const old_ended =
         old.address == settings_.address || old.state == member_state::closed;
-    bool const unbroken = old.ended_below == old.process_life;
+    bool const unbroken = old.ended_below == old.process_first_incarnation;
     return old_ended && unbroken ? next : old.ended_below;
 }
 
 void vm_registration::on_table(table_reply const& reply, time_point now,
                                action_list& actions)
 {
-    call const done = *call_;
-    call_.reset();
+    pending_call const done = *pending_call_;
+    pending_call_.reset();
     if (reply.outcome == table_outcome::done)
     {
         store_written(done, reply);
-        note_version(members_.version_of(settings_.vm), now);
+        record_version(members_.version_of(settings_.vm), now);
     }
     if (reply.outcome == table_outcome::conflict)
         store_read(reply);
@@ -269,8 +274,8 @@
     {
     case call_kind::read:
         return on_read(reply, now, actions);
-    case call_kind::enrol:
-        return on_enrolled(done, reply, now, actions);
+    case call_kind::register_vm:
+        return on_registration_reply(done, reply, now, actions);
     case call_kind::renew:
         return on_renewed(done, reply, now, actions);
     case call_kind::close:
@@ -278,7 +283,8 @@
     }
 }
 
-void vm_registration::store_written(call const& done, table_reply const& reply)
+void vm_registration::store_written(pending_call const& done,
+                                    table_reply const& reply)
 {
     if (done.kind == call_kind::read)
         return;
@@ -303,11 +309,13 @@
         reply.outcome == table_outcome::refused)
         return retry_later(now);
     phase_ = phase::registering;
-    send(call_kind::enrol, now, actions);
+    send(call_kind::register_vm, now, actions);
 }
 
-void vm_registration::on_enrolled(call const& done, table_reply const& reply,
-                                  time_point now, action_list& actions)
+void vm_registration::on_registration_reply(pending_call const& done,
+                                            table_reply const& reply,
+                                            time_point now,
+                                            action_list& actions)
 {
     if (phase_ != phase::registering)
         return;
@@ -317,10 +325,10 @@
     vm_row const* const row = members_.row_of(settings_.vm);
     bool const ours = row != nullptr && row->token == done.written.token;
     if (ours)
-        return become_registered(*row, enrol_asked_at_, now, actions);
+        return become_registered(*row, registration_asked_at_, now, actions);
     // Another process registered first, or another VM's write came between:
     // start from the row as it is.
-    enrol_token_.clear();
+    registration_token_.clear();
     next_call_at_ = now;
     tick(now, actions);
 }
@@ -329,45 +337,46 @@
                                         time_point now, action_list& actions)
 {
     phase_ = phase::registered;
-    enrol_token_.clear();
-    life_ = row.life;
-    process_life_ = row.process_life;
+    registration_token_.clear();
+    incarnation_number_ = row.incarnation_number;
+    process_first_incarnation_ = row.process_first_incarnation;
     registered_at_ = now;
-    count_renewal(asked_at, row);
+    extend_lease(asked_at, row);
     next_call_at_ =
-        now + random_.around(settings_.heartbeat * lease_factor(row));
-    if (out_of_date(row))
+        now + random_.jittered(settings_.heartbeat * lease_factor(row));
+    if (needs_rewrite(row))
         next_call_at_ = now;
-    note(actions, "vm-registered", life_text(life_));
+    log_event(actions, "vm-registered", incarnation_text(incarnation_number_));
 }
 
-void vm_registration::on_renewed(call const& done, table_reply const& reply,
-                                 time_point now, action_list& actions)
+void vm_registration::on_renewed(pending_call const& done,
+                                 table_reply const& reply, time_point now,
+                                 action_list& actions)
 {
     if (phase_ != phase::registered)
         return;
     switch (reply.outcome)
     {
     case table_outcome::done:
-        count_renewal(done.asked_at, done.written);
-        if (out_of_date(done.written))
+        extend_lease(done.asked_at, done.written);
+        if (needs_rewrite(done.written))
             next_call_at_ = now;
         return;
     case table_outcome::conflict:
         // An earlier renewal of ours landed after it was given up: the lease
         // goes on, and the next renewal rests on the row as it is.
         next_call_at_ = now;
-        examine_row(now, actions);
+        check_own_row(now, actions);
         return tick(now, actions);
     default:
         return retry_later(now);
     }
 }
 
-void vm_registration::count_renewal(time_point asked_at, vm_row const& written)
+void vm_registration::extend_lease(time_point asked_at, vm_row const& written)
 {
     int const factor = lease_factor(written);
-    holds_until_ = asked_at + settings_.lease * factor - settings_.lease_margin;
+    lease_until_ = asked_at + settings_.lease * factor - settings_.lease_margin;
     next_call_at_ = asked_at + settings_.heartbeat * factor;
 }
 
@@ -382,24 +391,25 @@
         phase_ = phase::closed;
 }
 
-void vm_registration::examine_row(time_point now, action_list& actions)
+void vm_registration::check_own_row(time_point now, action_list& actions)
 {
     vm_row const* const row = members_.row_of(settings_.vm);
     bool const unreadable =
         row == nullptr && !members_.version_of(settings_.vm).none();
     if (phase_ != phase::registered || (row == nullptr && !unreadable))
         return;
-    yield_to_others(actions);
+    stop_if_superseded(actions);
     if (phase_ != phase::registered)
         return;
-    if (!unreadable && row->life == life_ && is_member(row->state))
+    if (!unreadable && row->incarnation_number == incarnation_number_ &&
+        is_member(row->state))
         return;
-    note(actions, "vm-expired", life_text(life_));
+    log_event(actions, "vm-expired", incarnation_text(incarnation_number_));
     phase_ = leaving_ ? phase::expired : phase::registering;
     next_call_at_ = now;
 }
 
-bool vm_registration::out_of_date(vm_row const& written) const
+bool vm_registration::needs_rewrite(vm_row const& written) const
 {
     return written.ready != ready_ || written.stands_by != stands_by_ ||
            leaving_ != (written.state == member_state::leaving);
@@ -407,15 +417,16 @@
 
 bool vm_registration::lease_holds(time_point now) const
 {
-    return registered() && rules_.holds(holds_until_, now);
+    return registered() && rules_.own_lease_valid(lease_until_, now);
 }
 
 void vm_registration::retry_later(time_point now)
 {
-    bool const hurries = phase_ == phase::registering && !stands_by_ &&
-                         settings_.first_retry > duration(0);
-    next_call_at_ = now + random_.around(hurries ? settings_.first_retry
-                                                 : settings_.heartbeat / 2);
+    bool const use_first_retry = phase_ == phase::registering && !stands_by_ &&
+                                 settings_.first_retry > duration(0);
+    next_call_at_ =
+        now + random_.jittered(use_first_retry ? settings_.first_retry
+                                               : settings_.heartbeat / 2);
 }
 
 } // namespace mulberry
--- a/src/vm_row.cpp
+++ b/src/vm_row.cpp
@@ -22,7 +22,7 @@
 /// Of a VM that does not tell.
 constexpr std::uint64_t default_millicores = 1000;
 /// More than any machine has; a row may be another writer's.
-constexpr std::uint64_t most_millicores = 1'000'000;
+constexpr std::uint64_t max_millicores = 1'000'000;
 
 std::string name_of(member_state state)
 {
@@ -32,7 +32,7 @@
     return {};
 }
 
-std::optional<member_state> state_named(std::string const& text)
+std::optional<member_state> parse_state(std::string const& text)
 {
     for (auto const& [value, name] : state_names)
         if (name == text)
@@ -56,16 +56,17 @@
 {
     Json::Value object(Json::objectValue);
     object["token"] = row.token;
-    object["life"] = Json::UInt64(row.life.value());
-    object["process_life"] = Json::UInt64(row.process_life.value());
+    object["life"] = Json::UInt64(row.incarnation_number.value());
+    object["process_life"] =
+        Json::UInt64(row.process_first_incarnation.value());
     object["ended_below"] = Json::UInt64(row.ended_below.value());
     object["address"] = row.address;
     object["domain"] = row.domain.str();
     object["state"] = name_of(row.state);
     object["ready"] = row.ready;
     object["listed"] = row.listed;
-    object["beat"] = Json::UInt64(row.beat);
-    object["settled"] = Json::UInt64(row.settled.value());
+    object["beat"] = Json::UInt64(row.renewal_count);
+    object["settled"] = Json::UInt64(row.settled_version.value());
     object["stands_by"] = row.stands_by;
     object["millicores"] = row.millicores;
     return to_row_text(object);
@@ -77,40 +78,42 @@
     if (!object)
         return std::nullopt;
     auto const token = text_member(*object, "token");
-    auto const life = number_member(*object, "life");
-    auto const process_life = number_member(*object, "process_life");
+    auto const incarnation_number = number_member(*object, "life");
+    auto const process_first_incarnation =
+        number_member(*object, "process_life");
     auto const ended_below = number_member(*object, "ended_below");
     auto const address = text_member(*object, "address");
     auto const domain = text_member(*object, "domain");
     auto const state = text_member(*object, "state");
     auto const ready = flag_member(*object, "ready");
     auto const listed = flag_member(*object, "listed");
-    auto const beat = number_member(*object, "beat");
+    auto const renewal_count = number_member(*object, "beat");
     // Rows of programs that did not write them yet have none of these.
-    auto const settled = number_member(*object, "settled");
+    auto const settled_version = number_member(*object, "settled");
     auto const stands_by = flag_member(*object, "stands_by");
     auto const millicores = number_member(*object, "millicores");
-    if (!token || !life || !process_life || !ended_below || !address ||
-        !domain || !state || !ready || !listed || !beat)
+    if (!token || !incarnation_number || !process_first_incarnation ||
+        !ended_below || !address || !domain || !state || !ready || !listed ||
+        !renewal_count)
         return std::nullopt;
-    auto const known_state = state_named(*state);
-    if (!known_state || *life == 0)
+    auto const known_state = parse_state(*state);
+    if (!known_state || *incarnation_number == 0)
         return std::nullopt;
     return vm_row{
         *token,
-        incarnation(*life),
-        incarnation(*process_life),
+        incarnation(*incarnation_number),
+        incarnation(*process_first_incarnation),
         incarnation(*ended_below),
         *address,
         domain_id(*domain),
         *known_state,
         *ready,
         *listed,
-        *beat,
-        row_version(settled.value_or(0)),
+        *renewal_count,
+        row_version(settled_version.value_or(0)),
         stands_by.value_or(false),
         static_cast<unsigned>(std::min<std::uint64_t>(
-            millicores.value_or(default_millicores), most_millicores))};
+            millicores.value_or(default_millicores), max_millicores))};
 }
 
 bool is_member(member_state state)
--- a/src/vm_row.hpp
+++ b/src/vm_row.hpp
@@ -19,10 +19,10 @@
 {
     /// Unique to each write: whoever lost the answer knows its own write by it.
     std::string token;
-    incarnation life;
+    incarnation incarnation_number;
     /// The first life of the process that wrote the row. A process registers
     /// again when its lease lapsed, so that one process can have several lives.
-    incarnation process_life;
+    incarnation process_first_incarnation;
     /// The processes of all lives below that one have ended.
     incarnation ended_below;
     std::string address;
@@ -32,10 +32,10 @@
     bool ready = false;
     /// The platform's list has had the VM, in this life or an earlier one.
     bool listed = false;
-    std::uint64_t beat = 0;
+    std::uint64_t renewal_count = 0;
     /// Rows up to this version of the table were written longer before this
     /// row than the gap between two owners' orders.
-    row_version settled;
+    row_version settled_version;
     /// Owns no workers, so that it renews the row seldom; see owner_choice.hpp.
     bool stands_by = false;
     /// Thousandths of a processor core that the VM has.
--- a/src/worker_assignment.cpp
+++ b/src/worker_assignment.cpp
@@ -15,7 +15,7 @@
 {
 
 /// The most workers taken in one transaction.
-constexpr std::size_t most_taken_at_once = 32;
+constexpr std::size_t max_workers_per_takeover = 32;
 
 } // namespace
 
@@ -33,7 +33,7 @@
     for (auto& [id, worker] : workers_)
         worker.set_declared(false);
     for (worker_id const& id : declared_)
-        of(id).set_declared(true);
+        find_or_add(id).set_declared(true);
     assigned_generation_ = 0;
 }
 
@@ -43,7 +43,7 @@
     assigned_generation_ = 0;
 }
 
-worker_ownership& worker_assignment::of(worker_id const& worker)
+worker_ownership& worker_assignment::find_or_add(worker_id const& worker)
 {
     return workers_.try_emplace(worker, worker, context_).first->second;
 }
@@ -56,8 +56,8 @@
 
 bool worker_assignment::store(table_row const& row)
 {
-    worker_ownership& worker = of(worker_of_key(row.key));
-    if (!context_.rules.replaces(worker.condition().version, row.version))
+    worker_ownership& worker = find_or_add(worker_of_key(row.key));
+    if (!context_.rules.is_newer(worker.condition().version, row.version))
         return true;
     auto const parsed = parse_worker_row(row.value);
     if (parsed)
@@ -72,7 +72,7 @@
 
 bool worker_assignment::knows(operation_id operation) const
 {
-    if (taking_ && taking_->operation == operation)
+    if (pending_takeover_ && pending_takeover_->operation == operation)
         return true;
     return std::any_of(workers_.begin(), workers_.end(),
                        [operation](auto const& each)
@@ -82,21 +82,23 @@
 void worker_assignment::on_table(table_reply const& reply, time_point now,
                                  action_list& actions)
 {
-    if (taking_ && taking_->operation == reply.operation)
-        return on_taken(reply, now);
+    if (pending_takeover_ && pending_takeover_->operation == reply.operation)
+        return on_takeover_reply(reply, now);
     for (auto& [id, worker] : workers_)
         if (worker.knows(reply.operation))
             changed_ |= worker.on_table(reply, now, actions);
 }
 
-void worker_assignment::on_taken(table_reply const& reply, time_point now)
+void worker_assignment::on_takeover_reply(table_reply const& reply,
+                                          time_point now)
 {
-    taking const done = *std::exchange(taking_, std::nullopt);
+    pending_takeover const done =
+        *std::exchange(pending_takeover_, std::nullopt);
     if (reply.outcome != table_outcome::done)
     {
         for (auto const& [id, written] : done.written)
             if (reply.outcome != table_outcome::conflict)
-                of(id).retry_later(now);
+                find_or_add(id).retry_later(now);
         for (table_row const& row : reply.rows)
             store_conflict(row);
         return;
@@ -105,7 +107,8 @@
     {
         auto const written = done.written.find(worker_of_key(row.key));
         if (row.key.starts_with(worker_prefix) && written != done.written.end())
-            changed_ |= of(written->first).store(row.version, written->second);
+            changed_ |=
+                find_or_add(written->first).store(row.version, written->second);
     }
 }
 
@@ -119,19 +122,19 @@
         members_.store(row);
 }
 
-void worker_assignment::review(time_point now, action_list& actions)
+void worker_assignment::reconcile(time_point now, action_list& actions)
 {
-    refresh(now);
+    update_assignment(now);
     for (auto& [id, worker] : workers_)
     {
-        worker.examine(now, actions);
-        review_handover(worker, now);
+        worker.update_ownership(now, actions);
+        update_handover(worker, now);
         worker.tick(now, actions);
     }
     take_unowned(now, actions);
 }
 
-void worker_assignment::refresh(time_point now)
+void worker_assignment::update_assignment(time_point now)
 {
     if (assigned_generation_ == members_.generation())
         return;
@@ -141,7 +144,8 @@
     for (worker_id const& id : declared_)
     {
         auto const vm = assignment.find(id);
-        of(id).set_assignee(vm == assignment.end() ? vm_id() : vm->second, now);
+        find_or_add(id).set_assignee(
+            vm == assignment.end() ? vm_id() : vm->second, now);
     }
 }
 
@@ -157,7 +161,7 @@
 worker_assignment::owners_among(std::vector<vm_id> const& vms) const
 {
     owner_limits const& limits = context_.settings.owners;
-    if (limits.least_owners == 0)
+    if (limits.min_owners == 0)
         return vms;
     std::map<domain_id, std::vector<ranked_vm>> by_domain;
     for (vm_id const& vm : vms)
@@ -166,7 +170,7 @@
     std::vector<vm_id> owners;
     for (auto& [domain, ranked] : by_domain)
     {
-        std::size_t const wanted = owners_wanted(limits, workers_in(domain));
+        std::size_t const wanted = required_owners(limits, workers_in(domain));
         std::vector<vm_id> first = by_rank(std::move(ranked));
         first.resize(std::min(first.size(), wanted));
         owners.insert(owners.end(), first.begin(), first.end());
@@ -181,7 +185,7 @@
                        [this](auto const& each)
                        {
                            worker_row const* const row = each.second.row();
-                           return each.second.held() ||
+                           return each.second.is_active_owner() ||
                                   (row != nullptr &&
                                    row->owner.vm == context_.settings.vm);
                        });
@@ -201,15 +205,16 @@
 
 /// Failure: all owners of a failure domain are gone, and with them those who
 /// would say so in their rows. So an owner whose row stands still is missing.
-owner_situation worker_assignment::situation(lapsed_members const& lapsed,
-                                             time_point now) const
+owner_situation
+worker_assignment::standby_situation(lapsed_members const& lapsed,
+                                     time_point now) const
 {
     owner_situation result;
     owner_limits const& limits = context_.settings.owners;
     vm_id const& self = context_.settings.vm;
     // Rows from a while ago show no reason to take a place or to leave one.
     bool const recent = read_at_ + context_.settings.lease / 2 >= now;
-    if (limits.least_owners == 0 || !context_.registration.registered() ||
+    if (limits.min_owners == 0 || !context_.registration.registered() ||
         !recent)
         return result;
     vm_row const* const own_row = members_.row_of(self);
@@ -224,13 +229,13 @@
         if (view.stands_by)
             standing_by.push_back({vm, view.millicores});
         else
-            owners += vm == self || !lapsed.silent(vm, now);
+            owners += vm == self || !lapsed.appears_lapsed(vm, now);
     }
     std::size_t const wanted =
-        owners_wanted(limits, workers_in(context_.settings.domain));
-    result.surplus = owners > wanted && !assigned() &&
-                     assigned_generation_ == members_.generation() &&
-                     !taking_ && !owns_any();
+        required_owners(limits, workers_in(context_.settings.domain));
+    result.is_surplus = owners > wanted && !assigned() &&
+                        assigned_generation_ == members_.generation() &&
+                        !pending_takeover_ && !owns_any();
     result.missing_owners = wanted - std::min(wanted, owners);
     if (result.missing_owners == 0)
         return result;
@@ -262,20 +267,20 @@
     return assignment;
 }
 
-void worker_assignment::review_handover(worker_ownership& worker,
+void worker_assignment::update_handover(worker_ownership& worker,
                                         time_point now)
 {
     if (must_hand_over(worker))
-        return worker.hand_over(target_for(worker));
+        return worker.hand_over(handover_target(worker));
     vm_id const& assignee = worker.assignee();
     if (assignee.empty() || assignee == context_.settings.vm)
-        worker.keep();
+        worker.cancel_handover();
     if (worker.handing_over())
         // Under way already: only to whom may still change.
-        return worker.hand_over(target_for(worker));
+        return worker.hand_over(handover_target(worker));
     if (!may_rebalance(worker, now))
         return;
-    worker.hand_over(target_for(worker));
+    worker.hand_over(handover_target(worker));
     next_handover_at_ = now + context_.settings.handover_interval;
 }
 
@@ -292,18 +297,19 @@
 bool worker_assignment::may_rebalance(worker_ownership const& worker,
                                       time_point now) const
 {
-    return worker.held() && !worker.assignee().empty() &&
+    return worker.is_active_owner() && !worker.assignee().empty() &&
            worker.assignee() != context_.settings.vm &&
            worker.assignee_stable(now) && now >= next_handover_at_ &&
            context_.registration.lease_holds(now);
 }
 
-vm_life worker_assignment::target_for(worker_ownership const& worker) const
+vm_incarnation
+worker_assignment::handover_target(worker_ownership const& worker) const
 {
     member_view const* const target = members_.member(worker.assignee());
     if (!worker.declared() || target == nullptr)
         return {};
-    return {target->vm, target->life};
+    return {target->vm, target->incarnation_number};
 }
 
 bool worker_assignment::may_take(time_point now) const
@@ -311,7 +317,7 @@
     vm_registration const& own = context_.registration;
     // Rows read before this life began may show too few members.
     return own.lease_holds(now) && read_at_ >= own.registered_at() &&
-           !taking_ && !own.busy() &&
+           !pending_takeover_ && !own.busy() &&
            checks_.takes_new_work({own.leaving(), true});
 }
 
@@ -331,12 +337,13 @@
     std::vector<worker_ownership*> wanted;
     for (worker_id const& id : declared_)
     {
-        worker_ownership& worker = of(id);
-        if (wanted.size() < most_taken_at_once && should_take(worker, now))
+        worker_ownership& worker = find_or_add(id);
+        if (wanted.size() < max_workers_per_takeover &&
+            should_take(worker, now))
             wanted.push_back(&worker);
     }
     if (!wanted.empty())
-        take(wanted, now, actions);
+        send_takeover(wanted, now, actions);
 }
 
 // Failure: this VM was paused and expired after it had decided to take a
@@ -344,15 +351,16 @@
 // member owns a worker, or one that lives loses it. The write rests on both
 // VMs' rows too, so it lands only while this one is a member and the other is
 // none.
-void worker_assignment::take(std::vector<worker_ownership*> const& workers,
-                             time_point now, action_list& actions)
+void worker_assignment::send_takeover(
+    std::vector<worker_ownership*> const& workers, time_point now,
+    action_list& actions)
 {
-    taking made{context_.ids.next_operation(), {}};
+    pending_takeover made{context_.ids.next_operation(), {}};
     table_transaction transaction;
     std::set<vm_id> vms{context_.settings.vm};
     for (worker_ownership* const worker : workers)
     {
-        worker_row const row = worker->row_to_take();
+        worker_row const row = worker->takeover_row();
         table_condition const condition = worker->condition();
         transaction.conditions.push_back(condition);
         transaction.writes.push_back({condition.key, to_text(row)});
@@ -366,7 +374,7 @@
         transaction.conditions.clear();
     actions.push_back(transact{made.operation, std::move(transaction),
                                now + context_.settings.table_timeout});
-    taking_ = std::move(made);
+    pending_takeover_ = std::move(made);
 }
 
 } // namespace mulberry
--- a/src/worker_assignment.hpp
+++ b/src/worker_assignment.hpp
@@ -32,49 +32,49 @@
     /// worker's row.
     bool store(table_row const& row);
     /// What follows from the rows known for whether this VM should own workers.
-    owner_situation situation(lapsed_members const& lapsed,
-                              time_point now) const;
+    owner_situation standby_situation(lapsed_members const& lapsed,
+                                      time_point now) const;
     /// Whether this VM is one of those that own workers.
     bool assigned() const;
     /// The moment by which the rows known were all read.
     void set_read_at(time_point asked_at) { read_at_ = asked_at; }
     /// Everything that follows from the rows known now.
-    void review(time_point now, action_list& actions);
+    void reconcile(time_point now, action_list& actions);
 
     bool knows(operation_id operation) const;
     void on_table(table_reply const& reply, time_point now,
                   action_list& actions);
     /// The worker, known from now on.
-    worker_ownership& of(worker_id const& worker);
+    worker_ownership& find_or_add(worker_id const& worker);
     /// Null when nothing is known of it.
     worker_ownership const* find(worker_id const& worker) const;
     /// Whether an owner changed since the last call.
     bool take_changed();
 
 private:
-    struct taking
+    struct pending_takeover
     {
         operation_id operation;
         std::map<worker_id, worker_row> written;
     };
 
-    void refresh(time_point now);
+    void update_assignment(time_point now);
     std::map<worker_id, vm_id> assign(std::vector<vm_id> const& vms) const;
     std::size_t workers_in(domain_id const& domain) const;
     std::vector<vm_id> owners_among(std::vector<vm_id> const& vms) const;
     bool owns_any() const;
     bool settled() const;
-    void review_handover(worker_ownership& worker, time_point now);
+    void update_handover(worker_ownership& worker, time_point now);
     bool must_hand_over(worker_ownership const& worker) const;
     bool may_rebalance(worker_ownership const& worker, time_point now) const;
-    vm_life target_for(worker_ownership const& worker) const;
+    vm_incarnation handover_target(worker_ownership const& worker) const;
 
     bool may_take(time_point now) const;
     bool should_take(worker_ownership const& worker, time_point now) const;
     void take_unowned(time_point now, action_list& actions);
-    void take(std::vector<worker_ownership*> const& workers, time_point now,
-              action_list& actions);
-    void on_taken(table_reply const& reply, time_point now);
+    void send_takeover(std::vector<worker_ownership*> const& workers,
+                       time_point now, action_list& actions);
+    void on_takeover_reply(table_reply const& reply, time_point now);
     void store_conflict(table_row const& row);
 
     ownership_context context_;
@@ -87,7 +87,7 @@
     std::vector<vm_id> assigned_to_;
     /// Of the members that it was computed for; 0 once it is out of date.
     std::uint64_t assigned_generation_ = 0;
-    std::optional<taking> taking_;
+    std::optional<pending_takeover> pending_takeover_;
     time_point read_at_ = time_point::min();
     time_point next_handover_at_ = time_point::min();
     bool changed_ = false;
--- a/src/worker_ownership.hpp
+++ b/src/worker_ownership.hpp
@@ -48,7 +48,7 @@
     /// Of the row as it is known; none when it is not.
     row_version version() const { return version_; }
     /// Gains, loses and clears according to the rows known.
-    void examine(time_point now, action_list& actions);
+    void update_ownership(time_point now, action_list& actions);
 
     void set_declared(bool declared) { declared_ = declared; }
     bool declared() const { return declared_; }
@@ -58,28 +58,28 @@
     bool assignee_stable(time_point now) const;
 
     /// This VM owns it and counts on it.
-    bool held() const { return held_.has_value(); }
+    bool is_active_owner() const { return owned_fence_.has_value(); }
     /// Nobody does, for certain.
     bool unowned() const;
     worker_row const* row() const { return row_ ? &*row_ : nullptr; }
 
     /// Wants the row to name another owner (nobody, without a VM), or changes
     /// to whom. Does nothing unless this VM owns the worker.
-    void hand_over(vm_life const& to);
+    void hand_over(vm_incarnation const& to);
     bool handing_over() const { return handover_.has_value(); }
     /// Wants no handover any more; too late once its write may have landed.
-    void keep();
+    void cancel_handover();
     void request_intent(order_id order, engine_name const& name,
                         action_list& actions);
     void forget_intent(engine_name const& name, time_point now);
     /// Nothing that this process sent as an earlier owner is in progress any
     /// more: takes its lives off the suspects, now or when they appear there.
-    void sign_off();
+    void remove_self_from_suspects();
     /// Gives it up at once, without a write.
-    void lose(action_list& actions);
+    void give_up(action_list& actions);
 
     /// The row that makes this VM the owner. Precondition: unowned().
-    worker_row row_to_take() const;
+    worker_row takeover_row() const;
     table_condition condition() const;
     bool may_write(time_point now) const;
 
@@ -93,7 +93,7 @@
     void retry_later(time_point now);
 
 private:
-    struct call
+    struct pending_write
     {
         operation_id operation;
         /// The row's version that the write rests on.
@@ -102,29 +102,31 @@
     };
     struct handover
     {
-        vm_life to;
-        fencing_number from;
+        vm_incarnation to;
+        fencing_number previous_fence;
         /// A write with it was sent: it may land at any time.
         bool sent = false;
     };
 
-    vm_life self() const;
-    bool mine() const;
-    bool own_process(vm_life const& who) const;
-    bool forgets(engine_name const& name) const;
+    vm_incarnation self() const;
+    bool is_owner() const;
+    bool is_own_process(vm_incarnation const& who) const;
+    bool should_forget(engine_name const& name) const;
     bool may_want_write() const;
     bool wants_write(time_point now) const;
-    worker_row row_to_write() const;
-    void write_owned(worker_row& row) const;
+    worker_row next_row() const;
+    void apply_owner_changes(worker_row& row) const;
     void gain(action_list& actions);
     void clear_suspects(time_point now, action_list& actions);
-    void settle_intents(worker_row const& recorded, action_list& actions);
+    void report_recorded_intents(worker_row const& recorded,
+                                 action_list& actions);
     void drop_intents();
-    void settle(order_id order, bool recorded);
-    bool store_reply(call const& done, table_outcome outcome,
+    void report_intent(order_id order, bool recorded);
+    bool store_reply(pending_write const& done, table_outcome outcome,
                      table_row const& row, action_list& actions);
-    void on_unknown(call const& done, action_list& actions);
-    void note(action_list& actions, std::string kind, std::string text) const;
+    void on_unknown_outcome(pending_write const& done, action_list& actions);
+    void log_event(action_list& actions, std::string kind,
+                   std::string text) const;
 
     worker_id worker_;
     ownership_context context_;
@@ -134,21 +136,21 @@
     vm_id assignee_;
     time_point assignee_stable_at_ = never;
 
-    std::optional<fencing_number> held_;
+    std::optional<fencing_number> owned_fence_;
     /// suspects_cleared was told, or nothing had to be cleared.
-    bool cleared_ = false;
+    bool suspects_cleared_ = false;
     std::optional<handover> handover_;
-    std::map<engine_name, std::vector<order_id>> intents_;
-    std::set<engine_name> forgets_;
+    std::map<engine_name, std::vector<order_id>> requested_intents_;
+    std::set<engine_name> intents_to_forget_;
     /// Intents that were in the row when this VM became its owner.
-    std::set<engine_name> inherited_;
+    std::set<engine_name> inherited_intents_;
     time_point forget_at_ = never;
     /// Nothing that this process sent as an earlier owner is in progress.
-    bool sign_off_ = true;
+    bool remove_self_wanted_ = true;
 
-    std::optional<call> call_;
+    std::optional<pending_write> pending_write_;
     /// A write was given up whose outcome is not known yet.
-    bool uncertain_ = false;
+    bool outcome_unknown_ = false;
     time_point retry_at_ = time_point::min();
 };
 
--- a/src/worker_row.cpp
+++ b/src/worker_row.cpp
@@ -10,33 +10,34 @@
 namespace
 {
 
-Json::Value suspects_json(std::vector<vm_life> const& suspects)
+Json::Value suspects_json(std::vector<vm_incarnation> const& suspects)
 {
     Json::Value list(Json::arrayValue);
-    for (vm_life const& suspect : suspects)
+    for (vm_incarnation const& suspect : suspects)
     {
         Json::Value object(Json::objectValue);
         object["vm"] = suspect.vm.str();
-        object["life"] = Json::UInt64(suspect.life.value());
+        object["life"] = Json::UInt64(suspect.incarnation_number.value());
         list.append(object);
     }
     return list;
 }
 
-std::optional<std::vector<vm_life>> parse_suspects(Json::Value const& list)
+std::optional<std::vector<vm_incarnation>>
+parse_suspects(Json::Value const& list)
 {
     if (!list.isArray())
         return std::nullopt;
-    std::vector<vm_life> suspects;
+    std::vector<vm_incarnation> suspects;
     for (Json::Value const& object : list)
     {
         if (!object.isObject())
             return std::nullopt;
         auto const vm = text_member(object, "vm");
-        auto const life = number_member(object, "life");
-        if (!vm || !life)
+        auto const incarnation_number = number_member(object, "life");
+        if (!vm || !incarnation_number)
             return std::nullopt;
-        suspects.push_back({vm_id(*vm), incarnation(*life)});
+        suspects.push_back({vm_id(*vm), incarnation(*incarnation_number)});
     }
     return suspects;
 }
@@ -72,7 +73,7 @@
     Json::Value object(Json::objectValue);
     object["token"] = row.token;
     object["owner"] = row.owner.vm.str();
-    object["life"] = Json::UInt64(row.owner.life.value());
+    object["life"] = Json::UInt64(row.owner.incarnation_number.value());
     object["fence"] = Json::UInt64(row.fence.value());
     object["suspects"] = suspects_json(row.suspects);
     Json::Value intents(Json::arrayValue);
@@ -89,20 +90,21 @@
         return std::nullopt;
     auto const token = text_member(*object, "token");
     auto const owner = text_member(*object, "owner");
-    auto const life = number_member(*object, "life");
+    auto const incarnation_number = number_member(*object, "life");
     auto const fence = number_member(*object, "fence");
     auto const suspects = parse_suspects((*object)["suspects"]);
     auto const intents = parse_intents((*object)["intents"]);
-    if (!token || !owner || !life || !fence || !suspects || !intents)
+    if (!token || !owner || !incarnation_number || !fence || !suspects ||
+        !intents)
         return std::nullopt;
     return worker_row{*token,
-                      {vm_id(*owner), incarnation(*life)},
+                      {vm_id(*owner), incarnation(*incarnation_number)},
                       fencing_number(*fence),
                       *suspects,
                       *intents};
 }
 
-void add_suspect(worker_row& row, vm_life const& suspect)
+void add_suspect(worker_row& row, vm_incarnation const& suspect)
 {
     if (std::find(row.suspects.begin(), row.suspects.end(), suspect) ==
         row.suspects.end())
--- a/src/worker_row.hpp
+++ b/src/worker_row.hpp
@@ -15,11 +15,12 @@
 inline constexpr char const* worker_prefix = "worker/";
 
 /// One life of one VM. Value.
-struct vm_life
+struct vm_incarnation
 {
     vm_id vm;
-    incarnation life;
-    friend auto operator<=>(vm_life const&, vm_life const&) = default;
+    incarnation incarnation_number;
+    friend auto operator<=>(vm_incarnation const&,
+                            vm_incarnation const&) = default;
 };
 
 /// Value.
@@ -28,10 +29,10 @@
     /// Unique to each write.
     std::string token;
     /// Without a VM: nobody.
-    vm_life owner;
+    vm_incarnation owner;
     fencing_number fence;
     /// Earlier owners that may still send to the worker.
-    std::vector<vm_life> suspects;
+    std::vector<vm_incarnation> suspects;
     /// Unload orders that may still be sent.
     std::vector<engine_name> intents;
     friend bool operator==(worker_row const&, worker_row const&) = default;
@@ -45,7 +46,7 @@
 /// None when the text is no such row.
 std::optional<worker_row> parse_worker_row(std::string const& text);
 
-void add_suspect(worker_row& row, vm_life const& suspect);
+void add_suspect(worker_row& row, vm_incarnation const& suspect);
 void add_intent(worker_row& row, engine_name const& name);
 bool has_intent(worker_row const& row, engine_name const& name);
 
--- a/tests/core_world.cpp
+++ b/tests/core_world.cpp
@@ -74,7 +74,7 @@
     made.ownership.lease = 600ms;
     made.ownership.heartbeat = 100ms;
     made.ownership.lease_margin = 100ms;
-    made.ownership.gone_after = 1000ms;
+    made.ownership.delisted_after = 1000ms;
     made.ownership.handover_interval = 100ms;
     made.ownership.table_timeout = 200ms;
     made.ownership.seed = random_();
--- a/tests/owner_choice_test.cpp
+++ b/tests/owner_choice_test.cpp
@@ -15,20 +15,20 @@
 namespace
 {
 
-constexpr std::size_t least_owners = 4;
+constexpr std::size_t min_owners = 4;
 
-cluster_size many_vms(std::size_t vms)
+cluster_options many_vms(std::size_t vms)
 {
-    cluster_size size;
-    size.vms = vms;
-    size.workers = 12;
-    size.heartbeat = 500ms;
-    size.tick = 100ms;
-    size.ticks_an_unload = 0;
-    size.settle = 500ms;
-    size.owners = {least_owners, 8};
-    size.informed_first = true;
-    return size;
+    cluster_options options;
+    options.vms = vms;
+    options.workers = 12;
+    options.heartbeat = 500ms;
+    options.tick = 100ms;
+    options.ticks_per_unload = 0;
+    options.settle = 500ms;
+    options.owners = {min_owners, 8};
+    options.load_rows_first = true;
+    return options;
 }
 
 struct settled_fleet : ownership_cluster
@@ -37,7 +37,7 @@
         : ownership_cluster(many_vms(vms), 1, standard_ownership_rules())
     {
         run_for(20s);
-        REQUIRE(owners() == least_owners);
+        REQUIRE(owners() == min_owners);
     }
 
     /// The VMs that own workers.
@@ -50,9 +50,9 @@
         return result;
     }
 
-    void check_well()
+    void check_healthy()
     {
-        judge_recovery();
+        check_recovery();
         for (std::string const& violation : violations())
             FAIL_CHECK(violation);
     }
@@ -62,11 +62,11 @@
 
 TEST_CASE("owners grow with the workers, not with the VMs", "[owner_choice]")
 {
-    CHECK(owners_wanted({0, 8}, 100) == 0);
-    CHECK(owners_wanted({4, 8}, 0) == 4);
-    CHECK(owners_wanted({4, 8}, 32) == 4);
-    CHECK(owners_wanted({4, 8}, 33) == 5);
-    CHECK(owners_wanted({4, 8}, 725) == 91);
+    CHECK(required_owners({0, 8}, 100) == 0);
+    CHECK(required_owners({4, 8}, 0) == 4);
+    CHECK(required_owners({4, 8}, 32) == 4);
+    CHECK(required_owners({4, 8}, 33) == 5);
+    CHECK(required_owners({4, 8}, 725) == 91);
 }
 
 // An owner is gone. Those that stand by come in turns, one for each that is
@@ -117,10 +117,10 @@
     CHECK(standing_by == 20);
     auto const before = fleet.table().transactions();
     fleet.run_for(12s);
-    double const a_second =
+    double const writes_per_second =
         double(fleet.table().transactions() - before) / 12.0;
-    CHECK(a_second < 12.5);
-    fleet.check_well();
+    CHECK(writes_per_second < 12.5);
+    fleet.check_healthy();
 }
 
 // All VMs start within moments, as after a power cut. The four owners register,
@@ -148,7 +148,7 @@
     CHECK(fleet.table().transactions() - before <= 4 * (2 + 22) + 12 + 20 * 3);
     for (std::size_t vm = 0; vm < fleet.vms(); ++vm)
         CHECK(fleet.stands_by(vm) == (fleet.owned_by(vm) == 0));
-    fleet.check_well();
+    fleet.check_healthy();
 }
 
 // An owner is killed for good. Its lease lapses, its workers go to the owners
@@ -163,8 +163,8 @@
     fleet.run_for(8s);
     CHECK(fleet.take_longest_gap() < 3s + 5 * 500ms);
     fleet.run_for(20s);
-    CHECK(fleet.owners() == least_owners);
-    fleet.check_well();
+    CHECK(fleet.owners() == min_owners);
+    fleet.check_healthy();
 }
 
 // All owners are killed at once, and with them a VM that stood by and would
@@ -186,8 +186,8 @@
             break;
         }
     fleet.run_for(30s);
-    CHECK(fleet.owners() == least_owners);
-    fleet.check_well();
+    CHECK(fleet.owners() == min_owners);
+    fleet.check_healthy();
 }
 
 // A deployment with few VMs a failure domain: each of them owns workers.
@@ -196,5 +196,5 @@
     settled_fleet fleet(4);
     for (std::size_t vm = 0; vm < 4; ++vm)
         CHECK(fleet.owned_by(vm) == 3);
-    fleet.check_well();
+    fleet.check_healthy();
 }
--- a/tests/ownership_cluster.cpp
+++ b/tests/ownership_cluster.cpp
@@ -14,33 +14,34 @@
 using namespace std::chrono_literals;
 
 constexpr duration list_interval = 1s;
-constexpr duration longest_work = 2s;
-constexpr duration longest_unload = 1s;
+constexpr duration max_request_duration = 2s;
+constexpr duration max_unload_duration = 1s;
 
 } // namespace
 
-ownership_cluster::ownership_cluster(cluster_size size, std::uint64_t seed,
+ownership_cluster::ownership_cluster(cluster_options options,
+                                     std::uint64_t seed,
                                      ownership_rules const& rules)
-    : size_(size), rules_(rules), table_(time_, seed), random_(seed)
+    : options_(options), rules_(rules), table_(time_, seed), random_(seed)
 {
     table_.observe([this](auto const& before, auto const& after)
-                   { watch_row(before, after); });
-    for (std::size_t each = 0; each < size.workers; ++each)
+                   { check_row_write(before, after); });
+    for (std::size_t each = 0; each < options.workers; ++each)
         workers_.emplace_back("w" + std::to_string(each));
-    for (std::size_t each = 0; each < size.vms; ++each)
+    for (std::size_t each = 0; each < options.vms; ++each)
     {
         add_vm();
-        if (size.start_apart > duration(0))
-            run_for(size.start_apart);
+        if (options.start_interval > duration(0))
+            run_for(options.start_interval);
     }
 }
 
 ownership_cluster::~ownership_cluster() = default;
 
-duration ownership_cluster::up_to(duration most)
+duration ownership_cluster::random_below(duration limit)
 {
     return duration(static_cast<duration::rep>(
-        random_() % static_cast<std::uint64_t>(most.count())));
+        random_() % static_cast<std::uint64_t>(limit.count())));
 }
 
 std::size_t ownership_cluster::add_vm()
@@ -60,29 +61,30 @@
     settings.vm = vms_[vm].id;
     settings.domain = domain_id("domain");
     settings.address = "10.0.0." + std::to_string(vm) + ":7000";
-    settings.heartbeat = size_.heartbeat;
-    settings.settle = size_.settle;
-    settings.lease = size_.lease;
+    settings.heartbeat = options_.heartbeat;
+    settings.settle = options_.settle;
+    settings.lease = options_.lease;
     settings.seed = random_();
-    settings.owners = size_.owners;
+    settings.owners = options_.owners;
     started->keeper = std::make_unique<ownership_keeper>(settings, checks_,
                                                          started->ids, rules_);
     vms_[vm].running = started;
     call(started,
          [this](ownership_keeper& keeper, action_list& actions)
          {
-             if (size_.informed_first)
+             if (options_.load_rows_first)
              {
-                 keeper.learn(table_.rows(""), actions);
+                 keeper.set_initial_rows(table_.rows(""), actions);
                  keeper.set_workers(workers_, now(), actions);
              }
              keeper.start(now(), actions);
-             if (!size_.informed_first)
+             if (!options_.load_rows_first)
                  keeper.set_workers(workers_, now(), actions);
          });
-    later(started, up_to(size_.tick), [this, started] { tick(started); });
-    later(started, up_to(list_interval),
-          [this, started] { read_list(started); });
+    run_later(started, random_below(options_.tick),
+              [this, started] { tick(started); });
+    run_later(started, random_below(list_interval),
+              [this, started] { deliver_vm_list(started); });
 }
 
 void ownership_cluster::kill(std::size_t vm)
@@ -206,23 +208,24 @@
         what();
 }
 
-void ownership_cluster::later(process_ptr const& on, duration wait,
-                              virtual_time::task what)
+void ownership_cluster::run_later(process_ptr const& on, duration wait,
+                                  virtual_time::task what)
 {
     time_.after(wait, [this, on, what] { run_task(on, what); });
 }
 
-void ownership_cluster::call(process_ptr const& on, core_call const& what)
+void ownership_cluster::call(process_ptr const& on, keeper_call const& what)
 {
     action_list actions;
     what(*on->keeper, actions);
-    carry_out(on, actions);
+    execute(on, actions);
     for (ownership_event const& event : on->keeper->take_events())
-        std::visit([this, &on](auto const& each) { take(on, each); }, event);
+        std::visit([this, &on](auto const& each) { on_event(on, each); },
+                   event);
 }
 
-void ownership_cluster::carry_out(process_ptr const& on,
-                                  action_list const& actions)
+void ownership_cluster::execute(process_ptr const& on,
+                                action_list const& actions)
 {
     for (action const& each : actions)
     {
@@ -237,7 +240,7 @@
                               [&](ownership_keeper& keeper, action_list& out)
                               {
                                   if (!keeper.knows(reply.operation))
-                                      violate("an answer is not known");
+                                      add_violation("an answer is not known");
                                   else
                                       keeper.on_table(reply, now(), out);
                               });
@@ -251,12 +254,13 @@
 {
     call(on, [this](ownership_keeper& keeper, action_list& actions)
          { keeper.tick(now(), actions); });
-    watch_leases();
-    watch_gaps();
-    if (size_.ticks_an_unload > 0 && random_() % size_.ticks_an_unload == 0)
-        unload_something(on);
+    check_leases();
+    measure_gaps();
+    if (options_.ticks_per_unload > 0 &&
+        random_() % options_.ticks_per_unload == 0)
+        request_random_unload(on);
     close_when_idle(on);
-    later(on, size_.tick, [this, on] { tick(on); });
+    run_later(on, options_.tick, [this, on] { tick(on); });
 }
 
 void ownership_cluster::close_when_idle(process_ptr const& on)
@@ -276,7 +280,7 @@
     delist(vm);
 }
 
-void ownership_cluster::read_list(process_ptr const& on)
+void ownership_cluster::deliver_vm_list(process_ptr const& on)
 {
     std::vector<listed_vm> list;
     for (machine const& each : vms_)
@@ -284,10 +288,10 @@
             list.push_back({each.id, false});
     call(on, [&](ownership_keeper& keeper, action_list& actions)
          { keeper.on_vm_list(list, now(), actions); });
-    later(on, list_interval, [this, on] { read_list(on); });
+    run_later(on, list_interval, [this, on] { deliver_vm_list(on); });
 }
 
-void ownership_cluster::unload_something(process_ptr const& on)
+void ownership_cluster::request_random_unload(process_ptr const& on)
 {
     if (on->owned.empty() || !on->keeper->lease_holds(now()))
         return;
@@ -303,32 +307,35 @@
          { keeper.request_intent(intent, now(), actions); });
 }
 
-void ownership_cluster::take(process_ptr const& by, worker_gained const& event)
+void ownership_cluster::on_event(process_ptr const& by,
+                                 worker_gained const& event)
 {
     fencing_number const fence = event.grant.fence;
     if (!owners_.emplace(std::pair(event.worker, fence), by->number).second)
-        violate("two owners under one fencing number");
+        add_violation("two owners under one fencing number");
     by->owned[event.worker] = fence;
     by->active[event.worker].insert(fence);
     by->suspected.erase(event.worker);
     if (event.grant.suspects)
         by->suspected[event.worker];
     else
-        check_all_quiet(*by, event.worker, "granted without suspects");
+        check_earlier_owners_stopped(*by, event.worker,
+                                     "granted without suspects");
     auto const& inherited = event.grant.open_intents;
     for (auto const& [name, recorded_under] : open_intents_[event.worker])
         if (std::find(inherited.begin(), inherited.end(), name) ==
             inherited.end())
-            violate("a recorded intent is not in a later grant");
+            add_violation("a recorded intent is not in a later grant");
     for (engine_name const& name : inherited)
         forget_later(by, event.worker, name);
 }
 
-void ownership_cluster::take(process_ptr const& by, worker_lost const& event)
+void ownership_cluster::on_event(process_ptr const& by,
+                                 worker_lost const& event)
 {
     by->owned.erase(event.worker);
-    later(by, up_to(longest_work),
-          [this, by, worker = event.worker] { release(by, worker); });
+    run_later(by, random_below(max_request_duration),
+              [this, by, worker = event.worker] { release(by, worker); });
 }
 
 void ownership_cluster::release(process_ptr const& by, worker_id const& worker)
@@ -342,18 +349,18 @@
          { keeper.released(worker, now(), actions); });
 }
 
-void ownership_cluster::take(process_ptr const& by,
-                             suspects_cleared const& event)
+void ownership_cluster::on_event(process_ptr const& by,
+                                 suspects_cleared const& event)
 {
-    check_all_quiet(*by, event.worker, "suspects cleared");
+    check_earlier_owners_stopped(*by, event.worker, "suspects cleared");
     for (engine_name const& name : by->suspected[event.worker])
         open_intents_[event.worker].erase(name);
     by->suspected.erase(event.worker);
 }
 
-void ownership_cluster::check_all_quiet(process const& owner,
-                                        worker_id const& worker,
-                                        std::string const& what)
+void ownership_cluster::check_earlier_owners_stopped(process const& owner,
+                                                     worker_id const& worker,
+                                                     std::string const& what)
 {
     // A later owner may be sending already: this one may have been paused.
     fencing_number const fence = owner.owned.at(worker);
@@ -363,15 +370,16 @@
             continue;
         auto const& active = each.running->active[worker];
         if (!active.empty() && *active.begin() < fence)
-            violate(what + " while an earlier owner may still send");
+            add_violation(what + " while an earlier owner may still send");
     }
 }
 
-void ownership_cluster::take(process_ptr const& by, intent_settled const& event)
+void ownership_cluster::on_event(process_ptr const& by,
+                                 intent_settled const& event)
 {
     auto const settled = by->unsettled.extract(event.order);
     if (settled.empty())
-        return violate("an intent was settled twice");
+        return add_violation("an intent was settled twice");
     if (!event.recorded)
         return;
     engine_name const& name = settled.mapped().first.name;
@@ -383,8 +391,8 @@
                                      worker_id const& worker,
                                      engine_name const& name)
 {
-    later(by, up_to(longest_unload),
-          [this, by, worker, name] { forget(by, worker, name); });
+    run_later(by, random_below(max_unload_duration),
+              [this, by, worker, name] { forget(by, worker, name); });
 }
 
 void ownership_cluster::forget(process_ptr const& by, worker_id const& worker,
@@ -406,44 +414,46 @@
          });
 }
 
-void ownership_cluster::watch_row(std::optional<table_row> const& before,
-                                  table_row const& after)
+void ownership_cluster::check_row_write(std::optional<table_row> const& before,
+                                        table_row const& after)
 {
     if (after.key.starts_with(vm_prefix))
-        return watch_vm_row(after);
+        return record_vm_row(after);
     if (!before)
         return;
     auto const old_row = parse_worker_row(before->value);
     auto const new_row = parse_worker_row(after.value);
     if (!old_row || !new_row)
-        return violate("a row cannot be read");
+        return add_violation("a row cannot be read");
     bool const moved = old_row->owner != new_row->owner;
     if (new_row->fence < old_row->fence ||
         (moved && new_row->fence == old_row->fence))
-        violate("a fencing number did not rise");
+        add_violation("a fencing number did not rise");
 }
 
-void ownership_cluster::watch_vm_row(table_row const& after)
+void ownership_cluster::record_vm_row(table_row const& after)
 {
     auto const row = parse_vm_row(after.value);
     if (!row)
-        return violate("a row cannot be read");
+        return add_violation("a row cannot be read");
     vm_rows_[vm_of_key(after.key)] = *row;
 }
 
-void ownership_cluster::watch_leases()
+void ownership_cluster::check_leases()
 {
     for (machine const& each : vms_)
     {
         if (!each.running || !each.running->keeper->lease_holds(now()))
             continue;
         vm_row const& row = vm_rows_.at(each.id);
-        if (!is_member(row.state) || row.life != each.running->keeper->life())
-            violate("a VM counts on its lease although it was expired");
+        if (!is_member(row.state) ||
+            row.incarnation_number !=
+                each.running->keeper->incarnation_number())
+            add_violation("a VM counts on its lease although it was expired");
     }
 }
 
-void ownership_cluster::watch_gaps()
+void ownership_cluster::measure_gaps()
 {
     for (worker_id const& worker : workers_)
     {
@@ -492,31 +502,31 @@
     return known == events_.end() ? 0 : known->second;
 }
 
-void ownership_cluster::judge_recovery()
+void ownership_cluster::check_recovery()
 {
     std::size_t members = 0;
     for (machine const& each : vms_)
         members += each.running && !each.running->closing ? 1 : 0;
     if (members == 0)
         return;
-    if (size_.owners.least_owners > 0)
-        members = std::min(members, size_.owners.least_owners);
+    if (options_.owners.min_owners > 0)
+        members = std::min(members, options_.owners.min_owners);
     for (worker_id const& worker : workers_)
-        judge_worker(worker);
+        check_worker(worker);
     std::size_t const most = (workers_.size() + members - 1) / members;
     for (machine const& each : vms_)
     {
         if (!each.running)
             continue;
         if (each.running->owned.size() > most)
-            violate("a VM owns more than its share");
+            add_violation("a VM owns more than its share");
         for (auto const& [order, asked] : each.running->unsettled)
             if (now() - asked.second > 5s)
-                violate("an intent is not settled");
+                add_violation("an intent is not settled");
     }
 }
 
-void ownership_cluster::judge_worker(worker_id const& worker)
+void ownership_cluster::check_worker(worker_id const& worker)
 {
     std::vector<vm_id> owners;
     for (machine const& each : vms_)
@@ -524,17 +534,17 @@
             each.running->keeper->lease_holds(now()))
             owners.push_back(each.id);
     if (owners.size() != 1)
-        return violate("a worker has " + std::to_string(owners.size()) +
-                       " owners in the end");
+        return add_violation("a worker has " + std::to_string(owners.size()) +
+                             " owners in the end");
     for (machine const& each : vms_)
         if (each.running && each.running->keeper->owner_of(worker) != owners[0])
-            violate("a VM knows another owner in the end");
+            add_violation("a VM knows another owner in the end");
     auto const row = parse_worker_row(table_.row(worker_key(worker))->value);
     if (!row->suspects.empty())
-        violate("suspects were never cleared");
+        add_violation("suspects were never cleared");
 }
 
-void ownership_cluster::violate(std::string text)
+void ownership_cluster::add_violation(std::string text)
 {
     violations_.push_back(std::move(text));
 }
--- a/tests/ownership_cluster.hpp
+++ b/tests/ownership_cluster.hpp
@@ -50,7 +50,7 @@
     duration length{};
 };
 
-struct cluster_size
+struct cluster_options
 {
     std::size_t vms = 4;
     std::size_t workers = 6;
@@ -58,27 +58,27 @@
     duration lease = std::chrono::seconds(3);
     duration tick = std::chrono::milliseconds(200);
     /// One unload order at a VM for so many of its ticks; 0: none.
-    std::uint64_t ticks_an_unload = 12;
+    std::uint64_t ticks_per_unload = 12;
     /// See ownership_settings.
     duration settle = std::chrono::milliseconds(0);
     /// How long after one VM the next one starts; 0: all at the same time.
-    duration start_apart = std::chrono::milliseconds(0);
+    duration start_interval = std::chrono::milliseconds(0);
     owner_limits owners{};
     /// A VM registers when it knows the workers and the rows already.
-    bool informed_first = false;
+    bool load_rows_first = false;
 };
 
 class ownership_cluster
 {
 public:
-    ownership_cluster(cluster_size size, std::uint64_t seed,
+    ownership_cluster(cluster_options options, std::uint64_t seed,
                       ownership_rules const& rules);
     ~ownership_cluster();
 
     void add(ownership_fault const& fault);
     void run_for(duration length) { time_.run_until(time_.now() + length); }
     /// Adds a violation for all that is not well again.
-    void judge_recovery();
+    void check_recovery();
 
     std::vector<std::string> const& violations() const { return violations_; }
     fake_table& table() { return table_; }
@@ -128,40 +128,42 @@
         std::shared_ptr<process> running;
     };
     using process_ptr = std::shared_ptr<process>;
-    using core_call = std::function<void(ownership_keeper&, action_list&)>;
+    using keeper_call = std::function<void(ownership_keeper&, action_list&)>;
 
     void run_task(process_ptr const& on, virtual_time::task what);
-    void later(process_ptr const& on, duration wait, virtual_time::task what);
-    void call(process_ptr const& on, core_call const& what);
-    void carry_out(process_ptr const& on, action_list const& actions);
+    void run_later(process_ptr const& on, duration wait,
+                   virtual_time::task what);
+    void call(process_ptr const& on, keeper_call const& what);
+    void execute(process_ptr const& on, action_list const& actions);
     void tick(process_ptr const& on);
-    void read_list(process_ptr const& on);
+    void deliver_vm_list(process_ptr const& on);
     void close_when_idle(process_ptr const& on);
-    void unload_something(process_ptr const& on);
+    void request_random_unload(process_ptr const& on);
 
-    void take(process_ptr const& by, worker_gained const& event);
-    void take(process_ptr const& by, worker_lost const& event);
-    void take(process_ptr const& by, suspects_cleared const& event);
-    void take(process_ptr const& by, intent_settled const& event);
-    void take(process_ptr const&, membership_changed const&) {}
+    void on_event(process_ptr const& by, worker_gained const& event);
+    void on_event(process_ptr const& by, worker_lost const& event);
+    void on_event(process_ptr const& by, suspects_cleared const& event);
+    void on_event(process_ptr const& by, intent_settled const& event);
+    void on_event(process_ptr const&, membership_changed const&) {}
     void release(process_ptr const& by, worker_id const& worker);
     void forget_later(process_ptr const& by, worker_id const& worker,
                       engine_name const& name);
     void forget(process_ptr const& by, worker_id const& worker,
                 engine_name const& name);
 
-    void watch_vm_row(table_row const& after);
-    void watch_row(std::optional<table_row> const& before,
-                   table_row const& after);
-    void watch_leases();
-    void watch_gaps();
-    void check_all_quiet(process const& owner, worker_id const& worker,
-                         std::string const& what);
-    void judge_worker(worker_id const& worker);
-    void violate(std::string text);
-    duration up_to(duration most);
-
-    cluster_size size_;
+    void record_vm_row(table_row const& after);
+    void check_row_write(std::optional<table_row> const& before,
+                         table_row const& after);
+    void check_leases();
+    void measure_gaps();
+    void check_earlier_owners_stopped(process const& owner,
+                                      worker_id const& worker,
+                                      std::string const& what);
+    void check_worker(worker_id const& worker);
+    void add_violation(std::string text);
+    duration random_below(duration limit);
+
+    cluster_options options_;
     ownership_rules const& rules_;
     safeguards checks_;
     virtual_time time_;
--- a/tests/ownership_keeper_test.cpp
+++ b/tests/ownership_keeper_test.cpp
@@ -13,15 +13,15 @@
 namespace
 {
 
-cluster_size six_vms()
+cluster_options six_vms()
 {
-    cluster_size size;
-    size.vms = 6;
-    size.workers = 18;
-    size.heartbeat = 500ms;
-    size.tick = 20ms;
-    size.ticks_an_unload = 50;
-    return size;
+    cluster_options options;
+    options.vms = 6;
+    options.workers = 18;
+    options.heartbeat = 500ms;
+    options.tick = 20ms;
+    options.ticks_per_unload = 50;
+    return options;
 }
 
 /// Six VMs, each with its share of eighteen workers.
@@ -31,7 +31,7 @@
         : ownership_cluster(six_vms(), 1, standard_ownership_rules())
     {
         run_for(20s);
-        judge_recovery();
+        check_recovery();
         REQUIRE(violations().empty());
         take_longest_gap();
     }
@@ -86,7 +86,7 @@
     WARN("without owner after a kill: " << seconds(gap) << " s");
     CHECK(gap < 3s + 3 * 500ms);
     cluster.run_for(10s);
-    cluster.judge_recovery();
+    cluster.check_recovery();
     CHECK(cluster.violations().empty());
 }
 
@@ -96,15 +96,15 @@
 TEST_CASE("VMs that start together share the workers without handovers",
           "[ownership]")
 {
-    cluster_size size = six_vms();
-    size.start_apart = 60ms;
-    size.settle = 1s;
-    ownership_cluster cluster(size, 1, standard_ownership_rules());
+    cluster_options options = six_vms();
+    options.start_interval = 60ms;
+    options.settle = 1s;
+    ownership_cluster cluster(options, 1, standard_ownership_rules());
     cluster.run_for(20s);
-    cluster.judge_recovery();
+    cluster.check_recovery();
     CHECK(cluster.violations().empty());
-    for (std::size_t vm = 0; vm < size.vms; ++vm)
-        CHECK(cluster.owned_by(vm) == size.workers / size.vms);
+    for (std::size_t vm = 0; vm < options.vms; ++vm)
+        CHECK(cluster.owned_by(vm) == options.workers / options.vms);
     CHECK(cluster.count("worker-handed-over") == 0);
 }
 
@@ -129,9 +129,9 @@
 TEST_CASE("a refused write about a lapsed VM is not repeated at every tick",
           "[ownership]")
 {
-    cluster_size size = six_vms();
-    size.tick = 20ms;
-    ownership_cluster cluster(size, 1, standard_ownership_rules());
+    cluster_options options = six_vms();
+    options.tick = 20ms;
+    ownership_cluster cluster(options, 1, standard_ownership_rules());
     cluster.run_for(10s);
     cluster.kill(2);
     cluster.delist(2);
@@ -143,7 +143,7 @@
     CHECK(tries < 12);
     cluster.table().refuse(false);
     cluster.run_for(15s);
-    cluster.judge_recovery();
+    cluster.check_recovery();
     for (std::string const& violation : cluster.violations())
         FAIL_CHECK(violation);
 }
@@ -161,7 +161,7 @@
     WARN("without owner when a VM leaves: " << seconds(gap) << " s");
     CHECK(gap < 2 * 500ms);
     CHECK(cluster.count("vm-expired") == 0);
-    cluster.judge_recovery();
+    cluster.check_recovery();
     CHECK(cluster.violations().empty());
 }
 
@@ -176,7 +176,7 @@
     cluster.run_for(13s);
     CHECK(cluster.owned_by(newcomer) >= 2);
     CHECK(cluster.take_longest_gap() < 2 * 500ms);
-    cluster.judge_recovery();
+    cluster.check_recovery();
     CHECK(cluster.violations().empty());
 }
 
@@ -193,7 +193,7 @@
     CHECK(cluster.count("worker-gained") == gained);
     CHECK(cluster.count("worker-lost") == 0);
     CHECK(cluster.count("lease-lapsed") == 0);
-    cluster.judge_recovery();
+    cluster.check_recovery();
     CHECK(cluster.violations().empty());
 }
 
@@ -212,7 +212,7 @@
     cluster.run_for(20s);
     CHECK(cluster.count("suspects-cleared") > cleared);
     CHECK(cluster.count("vm-expired") == 1);
-    cluster.judge_recovery();
+    cluster.check_recovery();
     CHECK(cluster.violations().empty());
 }
 
@@ -226,7 +226,7 @@
         parse_worker_row(cluster.table().row(worker_key(worker))->value);
     CHECK(row->owner.vm.empty());
     CHECK(row->suspects.empty());
-    cluster.judge_recovery();
+    cluster.check_recovery();
     CHECK(cluster.violations().empty());
 }
 
@@ -244,16 +244,16 @@
     for (shape const& each :
          {shape{6, 18, 500ms, 3s, 20s}, shape{24, 72, 500ms, 3s, 20s}})
     {
-        cluster_size const size{each.vms,   each.workers, each.heartbeat,
-                                each.lease, 100ms,        0};
-        ownership_cluster cluster(size, 1, standard_ownership_rules());
+        cluster_options const options{each.vms,   each.workers, each.heartbeat,
+                                      each.lease, 100ms,        0};
+        ownership_cluster cluster(options, 1, standard_ownership_rules());
         cluster.run_for(each.settling);
         auto const writes = cluster.table().transactions();
         auto const reads = cluster.table().reads();
         cluster.run_for(10s);
-        double const writes_a_second =
+        double const writes_per_second =
             static_cast<double>(cluster.table().transactions() - writes) / 10;
-        WARN(each.vms << " VMs: " << writes_a_second << " writes/s, "
+        WARN(each.vms << " VMs: " << writes_per_second << " writes/s, "
                       << (cluster.table().reads() - reads) / 10 << " reads/s");
         CHECK(cluster.violations().empty());
     }
--- a/tests/ownership_runner_test.cpp
+++ b/tests/ownership_runner_test.cpp
@@ -78,7 +78,7 @@
         until([end] { return boot_clock::now() >= end; });
     }
     /// Another VM writes the worker's row, as an owner that hands it over does.
-    void hand_over_to(vm_life const& owner, std::uint64_t fence)
+    void hand_over_to(vm_incarnation const& owner, std::uint64_t fence)
     {
         worker_row row;
         row.token = "other";
@@ -91,7 +91,7 @@
     {
         vm_row row;
         row.token = "other";
-        row.life = row.process_life = incarnation(1);
+        row.incarnation_number = row.process_first_incarnation = incarnation(1);
         row.address = "127.0.0.1:1";
         row.domain = domain_id("zone");
         row.state = state;
--- a/tests/ownership_schedule_test.cpp
+++ b/tests/ownership_schedule_test.cpp
@@ -46,11 +46,11 @@
 
 /// By then the platform's list has had every VM. One that ends before stays a
 /// suspect for good: nothing proves that it is gone.
-constexpr duration first_fault_begins = 3s;
-constexpr duration last_fault_begins = 9s;
-constexpr duration longest_fault = 6s;
+constexpr duration earliest_fault = 3s;
+constexpr duration latest_fault = 9s;
+constexpr duration max_fault_duration = 6s;
 /// Expiry, taking, and the moves that even out the load afterwards.
-constexpr duration recovery = 16s;
+constexpr duration default_recovery_time = 16s;
 
 rc::Gen<duration> any_duration(duration least, duration most)
 {
@@ -68,12 +68,12 @@
         rc::gen::set(&ownership_fault::kind, kind),
         rc::gen::set(&ownership_fault::vm, rc::gen::inRange<std::size_t>(0, 6)),
         rc::gen::set(&ownership_fault::at,
-                     any_duration(first_fault_begins, last_fault_begins)),
+                     any_duration(earliest_fault, latest_fault)),
         rc::gen::set(&ownership_fault::length,
-                     any_duration(100ms, longest_fault)));
+                     any_duration(100ms, max_fault_duration)));
 }
 
-/// Sized as a whole, since the size would also narrow what is drawn.
+/// Sized as a whole, since the options would also narrow what is drawn.
 rc::Gen<schedule> any_schedule()
 {
     auto const faults = rc::gen::mapcat(
@@ -91,18 +91,18 @@
 }
 
 std::vector<std::string> run(schedule const& plan, ownership_rules const& rules,
-                             cluster_size const& size = {},
-                             duration until_well = recovery)
+                             cluster_options const& options = {},
+                             duration recovery_time = default_recovery_time)
 {
-    ownership_cluster cluster(size, plan.seed, rules);
+    ownership_cluster cluster(options, plan.seed, rules);
     duration last_end{};
     for (ownership_fault const& fault : plan.faults)
     {
         cluster.add(fault);
         last_end = std::max(last_end, fault.at + fault.length);
     }
-    cluster.run_for(last_end + until_well);
-    cluster.judge_recovery();
+    cluster.run_for(last_end + recovery_time);
+    cluster.check_recovery();
     return cluster.violations();
 }
 
@@ -120,11 +120,11 @@
 
 /// The first of those schedules that reports that violation does not report
 /// any with the standard rules.
-bool noticed(ownership_rules const& rules, std::string const& violation,
+bool detects(ownership_rules const& rules, std::string const& violation,
              schedule (*plans)(std::uint64_t) = generated)
 {
-    constexpr std::uint64_t most_schedules = 300;
-    for (std::uint64_t each = 0; each < most_schedules; ++each)
+    constexpr std::uint64_t max_schedules = 300;
+    for (std::uint64_t each = 0; each < max_schedules; ++each)
     {
         schedule const plan = plans(each);
         if (!reported(run(plan, rules), violation))
@@ -164,10 +164,10 @@
 // give it back, while any of them are paused, cut off or replaced.
 TEST_CASE("ownership holds while VMs stand by and take over", "[ownership]")
 {
-    cluster_size size;
-    size.vms = 6;
-    size.settle = 400ms;
-    size.owners = {2, 100};
+    cluster_options options;
+    options.vms = 6;
+    options.settle = 400ms;
+    options.owners = {2, 100};
     // Besides: the turns of those that stand by but are gone, and a newcomer's
     // lease before it is given its share.
     constexpr duration longer_recovery = 30s;
@@ -176,7 +176,7 @@
                     {
                         schedule const plan = *any_schedule();
                         auto const violations =
-                            run(plan, standard_ownership_rules(), size,
+                            run(plan, standard_ownership_rules(), options,
                                 longer_recovery);
                         for (std::string const& each : violations)
                             RC_LOG() << each << "\n";
@@ -191,9 +191,9 @@
     // before; it believes that it owns the worker again under the old number.
     struct any_row_replaces : ownership_rules
     {
-        bool replaces(row_version, row_version) const override { return true; }
+        bool is_newer(row_version, row_version) const override { return true; }
     };
-    CHECK(noticed(any_row_replaces{}, "two owners under one fencing number"));
+    CHECK(detects(any_row_replaces{}, "two owners under one fencing number"));
 }
 
 TEST_CASE("without conditional writes a worker has two owners",
@@ -205,7 +205,7 @@
     {
         bool writes_conditionally() const override { return false; }
     };
-    CHECK(noticed(unconditional{}, "two owners under one fencing number"));
+    CHECK(detects(unconditional{}, "two owners under one fencing number"));
 }
 
 TEST_CASE("without waiting for the lease a VM is expired while it holds it",
@@ -213,11 +213,11 @@
 {
     // A VM's heartbeat is seen late; another expires it at once and its
     // workers move, while it goes on giving orders.
-    struct no_patience : ownership_rules
+    struct lapses_at_once : ownership_rules
     {
         bool lapsed(time_point, time_point) const override { return true; }
     };
-    CHECK(noticed(no_patience{},
+    CHECK(detects(lapses_at_once{},
                   "a VM counts on its lease although it was expired"));
 }
 
@@ -226,11 +226,14 @@
 {
     // A VM is cut off from the table; others expire it and take its workers;
     // it goes on giving orders to them.
-    struct never_doubts : ownership_rules
+    struct lease_never_ends : ownership_rules
     {
-        bool holds(time_point, time_point) const override { return true; }
+        bool own_lease_valid(time_point, time_point) const override
+        {
+            return true;
+        }
     };
-    CHECK(noticed(never_doubts{},
+    CHECK(detects(lease_never_ends{},
                   "a VM counts on its lease although it was expired"));
 }
 
@@ -238,14 +241,16 @@
 {
     // A VM is paused between its check and its send; its lease lapses, its
     // successor takes it for ended and evicts; then it wakes and sends.
-    struct time_clears : ownership_rules
+    struct expiry_clears_suspects : ownership_rules
     {
-        bool sends_no_more(life_evidence const& evidence) const override
+        bool
+        has_stopped_sending(process_evidence const& evidence) const override
         {
-            return evidence.expired || ownership_rules::sends_no_more(evidence);
+            return evidence.expired ||
+                   ownership_rules::has_stopped_sending(evidence);
         }
     };
-    CHECK(noticed(time_clears{},
+    CHECK(detects(expiry_clears_suspects{},
                   "suspects cleared while an earlier owner may still send"));
 }
 
@@ -261,7 +266,7 @@
             return fencing_number(std::max<std::uint64_t>(1, fence.value()));
         }
     };
-    CHECK(noticed(same_fence{}, "a fencing number did not rise"));
+    CHECK(detects(same_fence{}, "a fencing number did not rise"));
 }
 
 TEST_CASE("an owner that drops inherited intents is noticed",
@@ -278,7 +283,7 @@
         }
     };
     CHECK(
-        noticed(drops_intents{}, "a recorded intent is not in a later grant"));
+        detects(drops_intents{}, "a recorded intent is not in a later grant"));
 }
 
 TEST_CASE("an owner that forgets another's intent too early is noticed",
@@ -290,7 +295,7 @@
     {
         bool may_forget(bool, bool) const override { return true; }
     };
-    CHECK(noticed(forgets_early{}, "a recorded intent is not in a later grant",
+    CHECK(detects(forgets_early{}, "a recorded intent is not in a later grant",
                   long_pause));
 }
 
@@ -299,9 +304,10 @@
 {
     // The table goes down as an intent is written; the VM takes it for
     // recorded and sends the unload; its successor finds nothing in the row.
-    struct hopes : ownership_rules
+    struct assumes_recorded : ownership_rules
     {
         bool intent_recorded(table_outcome) const override { return true; }
     };
-    CHECK(noticed(hopes{}, "a recorded intent is not in a later grant"));
+    CHECK(detects(assumes_recorded{},
+                  "a recorded intent is not in a later grant"));
 }
