--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -143,23 +143,23 @@
     return result;
 }
 
-std::vector<vm_incarnation> membership::possibly_running() const
+std::vector<incarnation_id> membership::possibly_running() const
 {
-    std::vector<vm_incarnation> result;
+    std::vector<incarnation_id> result;
     for (auto const& [vm, known] : rows_)
         if (known.row && !has_stopped({vm, known.row->incarnation_number}))
             result.push_back({vm, known.row->incarnation_number});
     return result;
 }
 
-bool membership::is_current_member(vm_incarnation const& who) const
+bool membership::is_current_member(incarnation_id const& who) const
 {
     member_view const* const view = member(who.vm);
     return view != nullptr &&
            view->incarnation_number == who.incarnation_number;
 }
 
-bool membership::is_former_member(vm_incarnation const& who) const
+bool membership::is_former_member(incarnation_id const& who) const
 {
     auto const known = rows_.find(who.vm);
     if (known == rows_.end())
@@ -172,17 +172,17 @@
            !is_member(row->state);
 }
 
-bool membership::closed_cleanly(vm_incarnation const& who) const
+bool membership::closed_cleanly(incarnation_id const& who) const
 {
     return evidence_on(who).closed;
 }
 
-bool membership::has_stopped(vm_incarnation const& who) const
+bool membership::has_stopped(incarnation_id const& who) const
 {
     return rules_.has_stopped_sending(evidence_on(who));
 }
 
-process_evidence membership::evidence_on(vm_incarnation const& who) const
+process_evidence membership::evidence_on(incarnation_id const& who) const
 {
     process_evidence evidence;
     vm_row const* const row = row_of(who.vm);
--- a/src/membership.hpp
+++ b/src/membership.hpp
@@ -42,21 +42,21 @@
     std::map<vm_id, member_view> const& members() const { return members_; }
     std::map<vm_id, row_version> member_versions() const;
     /// Every VM whose process may still act, members or not.
-    std::vector<vm_incarnation> possibly_running() const;
+    std::vector<incarnation_id> possibly_running() const;
     /// Members that may be given workers, in the order of their names; those
     /// that stand by are not among them.
     std::vector<vm_id> assignable() const;
     bool listed(vm_id const& vm) const { return listed_.count(vm) > 0; }
 
     /// Whether that life is a member's.
-    bool is_current_member(vm_incarnation const& who) const;
+    bool is_current_member(incarnation_id const& who) const;
     /// Whether that life was and is no member any more. Neither this nor
     /// is_current_member() holds while the VM's row is older than what is asked
     /// about.
-    bool is_former_member(vm_incarnation const& who) const;
+    bool is_former_member(incarnation_id const& who) const;
     /// Whether its process can certainly send no more.
-    bool has_stopped(vm_incarnation const& who) const;
-    bool closed_cleanly(vm_incarnation const& who) const;
+    bool has_stopped(incarnation_id const& who) const;
+    bool closed_cleanly(incarnation_id const& who) const;
 
 private:
     struct known_vm
@@ -67,7 +67,7 @@
 
     void adopt(vm_id const& vm, row_version version, std::optional<vm_row> row);
     void refresh_member(vm_id const& vm);
-    process_evidence evidence_on(vm_incarnation const& who) const;
+    process_evidence evidence_on(incarnation_id const& who) const;
     void update_delisted(vm_id const& vm, time_point now);
 
     duration delisted_after_;
--- a/src/ownership_keeper.cpp
+++ b/src/ownership_keeper.cpp
@@ -558,7 +558,7 @@
 ownership_keeper::possibly_alive() const
 {
     std::vector<std::pair<vm_id, incarnation>> result;
-    for (vm_incarnation const& one :
+    for (incarnation_id const& one :
          implementation_->members().possibly_running())
         result.emplace_back(one.vm, one.incarnation_number);
     return result;
--- a/src/worker_assignment.cpp
+++ b/src/worker_assignment.cpp
@@ -303,7 +303,7 @@
            context_.registration.lease_holds(now);
 }
 
-vm_incarnation
+incarnation_id
 worker_assignment::handover_target(worker_ownership const& worker) const
 {
     member_view const* const target = members_.member(worker.assignee());
--- a/src/worker_assignment.hpp
+++ b/src/worker_assignment.hpp
@@ -67,7 +67,7 @@
     void update_handover(worker_ownership& worker, time_point now);
     bool must_hand_over(worker_ownership const& worker) const;
     bool may_rebalance(worker_ownership const& worker, time_point now) const;
-    vm_incarnation handover_target(worker_ownership const& worker) const;
+    incarnation_id handover_target(worker_ownership const& worker) const;
 
     bool may_take(time_point now) const;
     bool should_take(worker_ownership const& worker, time_point now) const;
--- a/src/worker_ownership.cpp
+++ b/src/worker_ownership.cpp
@@ -32,7 +32,7 @@
                                  worker_.str() + " " + std::move(text)});
 }
 
-vm_incarnation worker_ownership::self() const
+incarnation_id worker_ownership::self() const
 {
     return {context_.settings.vm, context_.registration.incarnation_number()};
 }
@@ -42,7 +42,7 @@
     return row_ && context_.registration.registered() && row_->owner == self();
 }
 
-bool worker_ownership::is_own_process(vm_incarnation const& who) const
+bool worker_ownership::is_own_process(incarnation_id const& who) const
 {
     incarnation const first = context_.registration.process_first_incarnation();
     return who.vm == context_.settings.vm && !first.none() &&
@@ -107,7 +107,7 @@
 // run; the dispatcher waits for a report of a later moment.
 void worker_ownership::clear_suspects(time_point now, action_list& actions)
 {
-    for (vm_incarnation const& suspect : row_->suspects)
+    for (incarnation_id const& suspect : row_->suspects)
         if (!context_.members.has_stopped(suspect))
             return;
     suspects_cleared_ = true;
@@ -134,7 +134,7 @@
            context_.members.is_former_member(row_->owner);
 }
 
-void worker_ownership::hand_over(vm_incarnation const& to)
+void worker_ownership::hand_over(incarnation_id const& to)
 {
     if (!is_owner())
         return;
@@ -262,7 +262,7 @@
         return true;
     return remove_self_wanted_ &&
            std::any_of(row_->suspects.begin(), row_->suspects.end(),
-                       [this](vm_incarnation const& who)
+                       [this](incarnation_id const& who)
                        { return is_own_process(who); });
 }
 
@@ -271,7 +271,7 @@
 {
     worker_row row = *row_;
     if (remove_self_wanted_)
-        std::erase_if(row.suspects, [this](vm_incarnation const& who)
+        std::erase_if(row.suspects, [this](incarnation_id const& who)
                       { return is_own_process(who); });
     if (is_owner())
         apply_owner_changes(row);
--- a/src/worker_ownership.hpp
+++ b/src/worker_ownership.hpp
@@ -65,7 +65,7 @@
 
     /// Wants the row to name another owner (nobody, without a VM), or changes
     /// to whom. Does nothing unless this VM owns the worker.
-    void hand_over(vm_incarnation const& to);
+    void hand_over(incarnation_id const& to);
     bool handing_over() const { return handover_.has_value(); }
     /// Wants no handover any more; too late once its write may have landed.
     void cancel_handover();
@@ -102,15 +102,15 @@
     };
     struct handover
     {
-        vm_incarnation to;
+        incarnation_id to;
         fencing_number previous_fence;
         /// A write with it was sent: it may land at any time.
         bool sent = false;
     };
 
-    vm_incarnation self() const;
+    incarnation_id self() const;
     bool is_owner() const;
-    bool is_own_process(vm_incarnation const& who) const;
+    bool is_own_process(incarnation_id const& who) const;
     bool should_forget(engine_name const& name) const;
     bool may_want_write() const;
     bool wants_write(time_point now) const;
--- a/src/worker_row.cpp
+++ b/src/worker_row.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 
-Json::Value suspects_json(std::vector<vm_incarnation> const& suspects)
+Json::Value suspects_json(std::vector<incarnation_id> const& suspects)
 {
     Json::Value list(Json::arrayValue);
-    for (vm_incarnation const& suspect : suspects)
+    for (incarnation_id const& suspect : suspects)
     {
         Json::Value object(Json::objectValue);
         object["vm"] = suspect.vm.str();
@@ -23,12 +23,12 @@
     return list;
 }
 
-std::optional<std::vector<vm_incarnation>>
+std::optional<std::vector<incarnation_id>>
 parse_suspects(Json::Value const& list)
 {
     if (!list.isArray())
         return std::nullopt;
-    std::vector<vm_incarnation> suspects;
+    std::vector<incarnation_id> suspects;
     for (Json::Value const& object : list)
     {
         if (!object.isObject())
@@ -104,7 +104,7 @@
                       *intents};
 }
 
-void add_suspect(worker_row& row, vm_incarnation const& suspect)
+void add_suspect(worker_row& row, incarnation_id const& suspect)
 {
     if (std::find(row.suspects.begin(), row.suspects.end(), suspect) ==
         row.suspects.end())
--- a/src/worker_row.hpp
+++ b/src/worker_row.hpp
@@ -15,12 +15,12 @@
 inline constexpr char const* worker_prefix = "worker/";
 
 /// One life of one VM. Value.
-struct vm_incarnation
+struct incarnation_id
 {
     vm_id vm;
     incarnation incarnation_number;
-    friend auto operator<=>(vm_incarnation const&,
-                            vm_incarnation const&) = default;
+    friend auto operator<=>(incarnation_id const&,
+                            incarnation_id const&) = default;
 };
 
 /// Value.
@@ -29,10 +29,10 @@
     /// Unique to each write.
     std::string token;
     /// Without a VM: nobody.
-    vm_incarnation owner;
+    incarnation_id owner;
     fencing_number fence;
     /// Earlier owners that may still send to the worker.
-    std::vector<vm_incarnation> suspects;
+    std::vector<incarnation_id> suspects;
     /// Unload orders that may still be sent.
     std::vector<engine_name> intents;
     friend bool operator==(worker_row const&, worker_row const&) = default;
@@ -46,7 +46,7 @@
 /// None when the text is no such row.
 std::optional<worker_row> parse_worker_row(std::string const& text);
 
-void add_suspect(worker_row& row, vm_incarnation const& suspect);
+void add_suspect(worker_row& row, incarnation_id const& suspect);
 void add_intent(worker_row& row, engine_name const& name);
 bool has_intent(worker_row const& row, engine_name const& name);
 
--- a/tests/ownership_runner_test.cpp
+++ b/tests/ownership_runner_test.cpp
@@ -78,7 +78,7 @@
         until([end] { return boot_clock::now() >= end; });
     }
     /// Another VM writes the worker's row, as an owner that hands it over does.
-    void hand_over_to(vm_incarnation const& owner, std::uint64_t fence)
+    void hand_over_to(incarnation_id const& owner, std::uint64_t fence)
     {
         worker_row row;
         row.token = "other";
