--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -61,8 +61,8 @@
 void membership::on_platform_list(std::vector<listed_vm> const& vms,
                                   time_point now)
 {
-    // A list without any VM tells that the list is broken, not that all VMs
-    // went: it would prove the end of processes that still run.
+    // An empty list means that the list is broken, not that all VMs are gone.
+    // Using it would count running processes as ended.
     if (vms.empty())
         return;
     listed_.clear();
@@ -164,7 +164,8 @@
     auto const known = rows_.find(who.vm);
     if (known == rows_.end())
         return false;
-    // A VM whose row became unreadable cannot renew it: it registers anew.
+    // A VM whose row became unreadable cannot renew it and registers a new
+    // incarnation.
     auto const& row = known->second.row;
     if (!row || row->incarnation_number > who.incarnation_number)
         return true;
@@ -186,15 +187,16 @@
 {
     process_evidence evidence;
     vm_row const* const row = row_of(who.vm);
-    // Rows are never deleted: without one of that life or a later one, only
-    // too little has been read.
+    // Rows are never deleted. If no row of this incarnation or a later one is
+    // known, the newest row has not been read yet.
     if (row == nullptr || row->incarnation_number < who.incarnation_number)
         return evidence;
     bool const known_listed = ever_listed_.count(who.vm) > 0 || row->listed;
     evidence.delisted = known_listed && delisted_.count(who.vm) > 0;
     evidence.expired = !is_member(row->state);
-    // The row speaks for its own process only; an earlier process of the same
-    // VM is covered by what the later one proved when it registered.
+    // The row's state describes only the process that wrote it. Whether an
+    // earlier process of the VM has ended was recorded in ended_below when the
+    // later process registered.
     bool const same_process =
         who.incarnation_number >= row->process_first_incarnation;
     evidence.closed = same_process && row->state == member_state::closed;
--- a/src/membership.hpp
+++ b/src/membership.hpp
@@ -1,5 +1,5 @@
-/// Which VMs there are: their rows, newest first known, and the platform's
-/// list.
+/// The VMs of the cluster, from the newest rows read or written and from the
+/// platform's list of VMs.
 #ifndef MULBERRY_MEMBERSHIP_HPP
 #define MULBERRY_MEMBERSHIP_HPP
 
@@ -18,44 +18,56 @@
 namespace mulberry
 {
 
-/// Thread safety: none. `rules` outlives this object.
+/// Keeps the newest known row of every VM and derives the members from these
+/// rows. A member is a VM whose row says live or leaving.
+/// Thread safety: none.
 class membership
 {
 public:
+    /// `delisted_after`: how long a VM must be missing from the platform's list
+    /// before it counts as delisted. `rules` outlives this object.
     membership(duration delisted_after, ownership_rules const& rules);
 
-    /// Takes a row that was read or written. False when it is no VM's row,
-    /// which is then as good as unwritten.
+    /// Stores a row that was read, if it is newer than the known one. Returns
+    /// false when the text cannot be parsed; the VM then counts as a VM without
+    /// a row, though the row's version is kept.
+    /// Precondition: the key has vm_prefix.
     bool store(table_row const& row);
+    /// Stores a row that this VM wrote, if it is newer than the known one.
     void store(vm_id const& vm, row_version version, vm_row const& row);
+    /// Handles the platform's list of VMs. An empty list is ignored.
     void on_platform_list(std::vector<listed_vm> const& vms, time_point now);
-    /// Whether members changed since the last call.
+    /// Whether a member, or the platform's list of leaving VMs, changed since
+    /// the last call.
     bool take_changed();
-    /// Rises whenever what assignable() or members() return changes.
+    /// Rises whenever the result of assignable() or members() changes.
     std::uint64_t generation() const { return generation_; }
 
     /// 0 when the row is not known.
     row_version version_of(vm_id const& vm) const;
     /// Null when the row is not known or unreadable.
     vm_row const* row_of(vm_id const& vm) const;
+    /// Null when the VM is no member.
     member_view const* member(vm_id const& vm) const;
     std::map<vm_id, member_view> const& members() const { return members_; }
     std::map<vm_id, row_version> member_versions() const;
-    /// Every VM whose process may still act, members or not.
+    /// Incarnations, of members and others, whose process may still send.
     std::vector<incarnation_id> possibly_running() const;
-    /// Members that may be given workers, in the order of their names; those
-    /// that stand by are not among them.
+    /// Members that may own workers, sorted by name: those that are ready, not
+    /// leaving and not on standby.
     std::vector<vm_id> assignable() const;
+    /// Whether the platform's last list contains the VM.
     bool listed(vm_id const& vm) const { return listed_.count(vm) > 0; }
 
-    /// Whether that life is a member's.
+    /// Whether the incarnation is a VM's current one and the VM is a member.
     bool is_current_member(incarnation_id const& who) const;
-    /// Whether that life was and is no member any more. Neither this nor
-    /// is_current_member() holds while the VM's row is older than what is asked
-    /// about.
+    /// Whether the incarnation was a member and is one no more. Both this and
+    /// is_current_member() are false while the known row of the VM is older
+    /// than the incarnation.
     bool is_former_member(incarnation_id const& who) const;
-    /// Whether its process can certainly send no more.
+    /// Whether the incarnation's process can certainly send no more.
     bool has_stopped(incarnation_id const& who) const;
+    /// Whether the incarnation's process wrote the state `closed` itself.
     bool closed_cleanly(incarnation_id const& who) const;
 
 private:
--- a/src/ownership_random.hpp
+++ b/src/ownership_random.hpp
@@ -1,4 +1,4 @@
-/// Tokens and jitter, out of one seeded generator.
+/// Write tokens and jitter from one seeded random generator.
 #ifndef MULBERRY_OWNERSHIP_RANDOM_HPP
 #define MULBERRY_OWNERSHIP_RANDOM_HPP
 
@@ -11,7 +11,8 @@
 namespace mulberry
 {
 
-/// Thread safety: none.
+/// Precondition: prefix and seed together differ between processes, since
+/// tokens are derived from them. Thread safety: none.
 class ownership_random
 {
 public:
@@ -20,14 +21,14 @@
     {
     }
 
-    /// A text that no other write has.
+    /// A token that identifies one write.
     std::string next_token()
     {
         std::uint64_t const number = generator_();
         return prefix_ + "-" + std::to_string(number);
     }
 
-    /// Between half of the time given and one and a half times it.
+    /// A random duration between 0.5 and 1.5 times `middle`.
     duration jittered(duration middle)
     {
         auto const range =
--- a/src/ownership_rules.hpp
+++ b/src/ownership_rules.hpp
@@ -1,5 +1,5 @@
-/// The rules that ownership rests on, one function each, so that a test can
-/// leave one out and see the violation reported.
+/// The safety rules of ownership, one function each. Tests override single
+/// rules to show that leaving out a rule causes a violation.
 #ifndef MULBERRY_OWNERSHIP_RULES_HPP
 #define MULBERRY_OWNERSHIP_RULES_HPP
 
@@ -12,16 +12,17 @@
 namespace mulberry
 {
 
-/// What is known of the process behind one life of a VM.
+/// What is known about the process of one incarnation of a VM. Value.
 struct process_evidence
 {
-    /// Its row says closed: nothing of it was in progress any more.
+    /// Its row says closed: the process had nothing in progress any more.
     bool closed = false;
-    /// A later process has listened on its IP and port.
+    /// A later process has listened on the same IP address and port.
     bool address_reused = false;
-    /// Its row says that it is no member any more.
+    /// Its row says that the VM is no member any more.
     bool expired = false;
-    /// Its VM, once in the platform's list, has been missing from it for long.
+    /// The VM was in the platform's list and has been missing from the list for
+    /// ownership_settings::delisted_after.
     bool delisted = false;
 };
 
@@ -31,28 +32,32 @@
 public:
     virtual ~ownership_rules() = default;
 
-    /// Whether a row that was read replaces the one known.
+    /// Whether a row that was read is newer than the known one and replaces
+    /// it.
     virtual bool is_newer(row_version known, row_version read) const;
-    /// Whether writes depend on the versions of the rows they rest on.
+    /// Whether a write is conditional on the versions of the rows on which the
+    /// decision to write was based.
     virtual bool writes_conditionally() const;
-    /// Whether another VM's lease has lapsed, having been seen unchanged.
+    /// Whether the lease of another VM, whose row was seen unchanged, has
+    /// lapsed.
     virtual bool lapsed(time_point lapses_at, time_point now) const;
-    /// Whether a holder may count on its own lease.
+    /// Whether this VM may still rely on its own lease.
     virtual bool own_lease_valid(time_point own_lease_until,
                                  time_point now) const;
-    /// Whether the process behind a life can certainly send no more.
+    /// Whether the process can certainly send no more.
     virtual bool has_stopped_sending(process_evidence const& evidence) const;
+    /// The fencing number of the next owner.
     virtual fencing_number next_fence(fencing_number fence) const;
-    /// The open intents that a new owner takes over with the row.
+    /// The open intents that a new owner inherits from the worker's row.
     virtual std::vector<engine_name>
     inherited(std::vector<engine_name> intents) const;
-    /// Whether an intent that is said to be over may leave the row.
+    /// Whether an intent whose order is over may be removed from the row.
     virtual bool may_forget(bool inherited, bool suspects_cleared) const;
-    /// Whether an intent counts as recorded after its write ended so.
+    /// Whether an intent counts as recorded after its write had this outcome.
     virtual bool intent_recorded(table_outcome outcome) const;
 };
 
-/// The rules as they are. Lives as long as the process.
+/// The rules used in production. The object exists until the process ends.
 ownership_rules const& standard_ownership_rules();
 
 } // namespace mulberry
--- a/src/vm_row.cpp
+++ b/src/vm_row.cpp
@@ -19,9 +19,9 @@
     {member_state::expired, "expired"},
 }};
 
-/// Of a VM that does not tell.
+/// Used when a row does not state the VM's capacity.
 constexpr std::uint64_t default_millicores = 1000;
-/// More than any machine has; a row may be another writer's.
+/// More than any machine has. Limits what a faulty writer can claim.
 constexpr std::uint64_t max_millicores = 1'000'000;
 
 std::string name_of(member_state state)
@@ -88,7 +88,7 @@
     auto const ready = flag_member(*object, "ready");
     auto const listed = flag_member(*object, "listed");
     auto const renewal_count = number_member(*object, "beat");
-    // Rows of programs that did not write them yet have none of these.
+    // Rows written by older versions of the program lack these members.
     auto const settled_version = number_member(*object, "settled");
     auto const stands_by = flag_member(*object, "stands_by");
     auto const millicores = number_member(*object, "millicores");
--- a/src/worker_row.hpp
+++ b/src/worker_row.hpp
@@ -1,5 +1,5 @@
-/// A worker's row in the table: who owns it, and what its owner must know of
-/// those before it.
+/// A worker's row in the metadata table: the owner, and what the owner must
+/// know about earlier owners.
 #ifndef MULBERRY_WORKER_ROW_HPP
 #define MULBERRY_WORKER_ROW_HPP
 
@@ -14,7 +14,7 @@
 
 inline constexpr char const* worker_prefix = "worker/";
 
-/// One life of one VM. Value.
+/// Identifies one incarnation of one VM. Value.
 struct incarnation_id
 {
     vm_id vm;
@@ -23,30 +23,32 @@
                             incarnation_id const&) = default;
 };
 
-/// Value.
+/// Ownership of one worker. Value.
 struct worker_row
 {
     /// Unique to each write.
     std::string token;
-    /// Without a VM: nobody.
+    /// An empty VM means that nobody owns the worker.
     incarnation_id owner;
     fencing_number fence;
-    /// Earlier owners that may still send to the worker.
+    /// Earlier owners whose process may still send to the worker.
     std::vector<incarnation_id> suspects;
-    /// Unload orders that may still be sent.
+    /// Adapters, by engine name, for which an unload order may still be sent.
     std::vector<engine_name> intents;
     friend bool operator==(worker_row const&, worker_row const&) = default;
 };
 
 std::string worker_key(worker_id const& worker);
-/// Precondition: the key has the prefix.
+/// Precondition: the key has worker_prefix.
 worker_id worker_of_key(std::string const& key);
 
 std::string to_text(worker_row const& row);
-/// None when the text is no such row.
+/// None when the text is no valid worker row.
 std::optional<worker_row> parse_worker_row(std::string const& text);
 
+/// Adds the suspect unless the row has it already.
 void add_suspect(worker_row& row, incarnation_id const& suspect);
+/// Adds the intent unless the row has it already.
 void add_intent(worker_row& row, engine_name const& name);
 bool has_intent(worker_row const& row, engine_name const& name);
 
