--- a/src/lapsed_members.cpp
+++ b/src/lapsed_members.cpp
@@ -20,9 +20,9 @@
 {
 }
 
-// Failure: the table answers reads but takes no writes for a while. Symptom:
-// every VM sees the others' rows stand still and expires them when writes come
-// back. One that cannot renew its own lease judges none.
+// While the table answers reads but refuses writes, every VM sees the other
+// VMs' rows unchanged and would expire those VMs when writes succeed again. A
+// VM that cannot renew its own lease therefore observes no other leases.
 void lapsed_members::on_scan(time_point now)
 {
     if (registration_.lease_holds(now) && !registration_.stands_by())
@@ -76,10 +76,10 @@
                        { return each.second.vm == vm; });
 }
 
-// Failure: all VMs expire the same one at once. Symptom: hundreds of
-// conflicting writes in one moment, refused for rate with the heartbeats among
-// them. They take turns by rank, a heartbeat apart; one that lapsed itself has
-// no turn, nor has one that stands by.
+// If all VMs expired a VM at once, hundreds of conflicting writes would exceed
+// the table's rate limit, and heartbeats would be refused too. So the VMs take
+// turns by rendezvous hashing, one heartbeat apart. VMs that lapsed themselves
+// or are on standby are not counted.
 duration lapsed_members::expiry_delay(vm_id const& vm, time_point now) const
 {
     auto const score = [&vm](vm_id const& by)
@@ -93,12 +93,12 @@
     return rank * settings_.heartbeat;
 }
 
-// Failure: the table refuses writes at once. Symptom: the same write again at
-// every tick, which uses up the rate that heartbeats need. It is tried again
-// after a heartbeat.
+// When the table refuses writes immediately, a retry at every tick would use up
+// the request rate that heartbeats need, so the write is retried after a
+// heartbeat.
 //
-// The write rests on both rows: it lands only if the other VM did not renew
-// its lease, and only while this VM is a member itself.
+// The write is conditional on both rows: it succeeds only if the other VM did
+// not renew its lease and this VM is still a member.
 void lapsed_members::expire(vm_id const& vm, time_point now,
                             action_list& actions)
 {
@@ -126,7 +126,8 @@
     return pending_expiries_.count(operation) > 0;
 }
 
-// Without an outcome nothing need be done: the next scan tells.
+// A write without a known outcome needs no handling: the next scan shows the
+// row.
 void lapsed_members::on_table(table_reply const& reply)
 {
     pending_expiry const done =
--- a/src/lapsed_members.hpp
+++ b/src/lapsed_members.hpp
@@ -1,4 +1,4 @@
-/// Expires the VMs whose lease lapsed, so that their workers can be taken.
+/// Expires VMs whose lease lapsed, so that other VMs can take their workers.
 #ifndef MULBERRY_LAPSED_MEMBERS_HPP
 #define MULBERRY_LAPSED_MEMBERS_HPP
 
@@ -16,6 +16,7 @@
 namespace mulberry
 {
 
+/// Writes the state `expired` into the rows of such VMs.
 /// Thread safety: none. The references outlive this object.
 class lapsed_members
 {
@@ -25,14 +26,18 @@
                    vm_registration const& registration,
                    ownership_random& random, id_source& ids);
 
-    /// The rows of all VMs were read.
+    /// Call after the rows of all VMs were read and stored in `members`.
     void on_scan(time_point now);
+    /// Sends the writes that are due.
     void tick(time_point now, action_list& actions);
+    /// Whether the operation is one of this object's writes.
     bool knows(operation_id operation) const;
+    /// Precondition: knows(reply.operation).
     void on_table(table_reply const& reply);
-    /// Whether the VM's row has stood still for a lease, as far as reads tell.
-    /// Unlike the judgement that its lease lapsed it does not rest on this VM's
-    /// own lease: enough to take a place beside it, not to take what it has.
+    /// Whether reads showed the VM's row unchanged for a lease. Unlike the
+    /// decision to expire the VM, the result does not depend on this VM's own
+    /// lease. It justifies becoming an owner in addition to the VM, but not
+    /// taking the VM's workers.
     bool appears_lapsed(vm_id const& vm, time_point now) const;
 
 private:
@@ -44,7 +49,7 @@
 
     bool lapsed(vm_id const& vm, time_point now) const;
     bool should_expire(vm_id const& vm, time_point now) const;
-    /// How long this VM waits for those that come before it.
+    /// How long this VM waits for other VMs to expire `vm` first.
     duration expiry_delay(vm_id const& vm, time_point now) const;
     bool expiry_pending(vm_id const& vm) const;
     void expire(vm_id const& vm, time_point now, action_list& actions);
@@ -58,7 +63,7 @@
     lease_watch expiry_watch_;
     lease_watch unconditional_watch_;
     std::map<operation_id, pending_expiry> pending_expiries_;
-    /// When a VM's end may be written again that could not be.
+    /// The earliest time of the next attempt to expire a VM.
     std::map<vm_id, time_point> next_attempt_at_;
 };
 
--- a/src/lease_watch.cpp
+++ b/src/lease_watch.cpp
@@ -5,10 +5,10 @@
 
 lease_watch::lease_watch(duration lease) : lease_(lease) {}
 
-// Failure: the table is down for all, or this VM was paused; when it returns,
-// every other VM's row looks unchanged for long. Symptom: all VMs expire one
-// another and every worker moves. Time without scans says nothing about a
-// holder, so after a gap every observation starts anew.
+// Prevents that all VMs expire one another, and all workers move, after the
+// table was unavailable or this VM was paused: every other VM's row then looks
+// unchanged for long. Time without scans says nothing about a lease holder, so
+// all observations restart after a gap between scans.
 void lease_watch::on_scan(std::map<vm_id, row_version> const& members,
                           time_point now)
 {
@@ -27,10 +27,10 @@
     observations_.swap(seen);
 }
 
-// Failure: a VM renews its lease just before it is expired; the conflict shows
-// its new row, and the next attempt, resting on that row, succeeds. Symptom: a
-// VM is expired a moment after it renewed. An observation counts for the
-// version that was observed only.
+// Prevents that a VM is expired just after it renewed its lease: the first
+// write that expires the VM conflicts with the renewal and returns the new row,
+// and a second write, conditional on the new row, would succeed. An observation
+// is valid only for the version that was observed.
 std::optional<time_point> lease_watch::lapses_at(vm_id const& vm,
                                                  row_version version) const
 {
--- a/src/lease_watch.hpp
+++ b/src/lease_watch.hpp
@@ -1,4 +1,4 @@
-/// Judges, by one VM's own clock, which other VMs' leases have lapsed.
+/// Determines by this VM's own clock when other VMs' leases lapse.
 #ifndef MULBERRY_LEASE_WATCH_HPP
 #define MULBERRY_LEASE_WATCH_HPP
 
@@ -11,19 +11,20 @@
 namespace mulberry
 {
 
+/// Records since when the row of each member has been unchanged.
 /// Thread safety: none.
 class lease_watch
 {
 public:
     explicit lease_watch(duration lease);
 
-    /// The members' row versions after a successful scan.
+    /// Records the versions of the members' rows after a successful scan.
     void on_scan(std::map<vm_id, row_version> const& members, time_point now);
-    /// The moment from which the VM's lease counts as lapsed while its row
-    /// stays at that version; none when the row is not watched at it.
+    /// When the VM's lease lapses if its row stays at this version; none when
+    /// the last scan did not show this version.
     std::optional<time_point> lapses_at(vm_id const& vm,
                                         row_version version) const;
-    /// Whether scans have been succeeding up to now.
+    /// Whether the last successful scan is at most half a lease old.
     bool is_current(time_point now) const;
 
 private:
@@ -34,7 +35,7 @@
     };
 
     duration lease_;
-    /// When the last scan is too old to go on from.
+    /// When the last scan becomes too old for its observations to be used.
     time_point outdated_at_ = time_point::min();
     std::map<vm_id, observation> observations_;
 };
--- a/src/membership.hpp
+++ b/src/membership.hpp
@@ -51,7 +51,8 @@
     member_view const* member(vm_id const& vm) const;
     std::map<vm_id, member_view> const& members() const { return members_; }
     std::map<vm_id, row_version> member_versions() const;
-    /// Incarnations, of members and others, whose process may still send.
+    /// The incarnations in the rows of all VMs, members or not, whose process
+    /// may still send.
     std::vector<incarnation_id> possibly_running() const;
     /// Members that may own workers, sorted by name: those that are ready, not
     /// leaving and not on standby.
--- a/src/owner_choice.cpp
+++ b/src/owner_choice.cpp
@@ -29,7 +29,8 @@
         return true;
     }
     missing_since_ = std::min(missing_since_, now);
-    // As many as are missing come at once; the others wait for their turn.
+    // The first VMs, as many as owners are missing, start at once; the others
+    // wait by rank.
     std::size_t const ranks_to_wait =
         situation.rank < situation.missing_owners
             ? 0
--- a/src/ownership_keeper.cpp
+++ b/src/ownership_keeper.cpp
@@ -92,14 +92,14 @@
     }
 
 private:
-    /// A scan of one prefix; one at a time.
+    /// State of the periodic scan of one key prefix; one scan at a time.
     struct scan
     {
         std::string prefix;
         operation_id operation;
         time_point asked_at{};
         bool in_progress = false;
-        /// When the question was asked that was last answered.
+        /// The moment from which the rows of the last successful scan date.
         time_point read_at = time_point::min();
     };
 
@@ -126,7 +126,7 @@
     standby_decision standby_;
 
     bool started_ = false;
-    /// The rows were read a moment before the start.
+    /// set_initial_rows() was called.
     bool has_initial_rows_ = false;
     time_point table_heard_at_ = time_point::min();
     time_point next_scan_at_ = never;
@@ -181,8 +181,9 @@
     time_point const asked_at = registration_.asked_at();
     bool const was_registered = registration_.registered();
     registration_.on_table(reply, now, actions);
-    // Nothing is taken before rows were read in this life: read them now, not
-    // a heartbeat later, for which its workers would have no owner.
+    // No worker is taken before rows were read in this incarnation. Reading
+    // them a heartbeat later would leave the workers without an owner
+    // meanwhile.
     if (registration_.registered() && !was_registered)
         next_scan_at_ = now;
     if (table_answered(reply.outcome))
@@ -219,9 +220,10 @@
     which.in_progress = false;
     if (reply.outcome != table_outcome::done)
     {
-        // Failure: VMs start while the table is away. Their workers have no
-        // owner until rows were read in this life, and a scan that fails at the
-        // table's return would leave them so for another heartbeat.
+        // VMs that start while the table is unavailable have to read rows in
+        // this incarnation before their workers have an owner. If a scan fails
+        // as the table returns, waiting for a heartbeat would prolong the time
+        // without owners.
         bool const use_first_retry =
             settings_.first_retry > duration(0) &&
             (!registration_.registered() ||
@@ -318,8 +320,8 @@
     start_scans(now, actions);
 }
 
-// Everything that follows from what is known now, in one place, so that it
-// does not matter which answer came first.
+// Derives all actions from the current state in one place, so that the result
+// does not depend on the order of replies.
 void ownership_keeper::implementation::reconcile(time_point now,
                                                  action_list& actions)
 {
--- a/src/vm_registration.cpp
+++ b/src/vm_registration.cpp
@@ -7,8 +7,8 @@
 namespace
 {
 
-/// VMs that stood by register within so many heartbeats of their start, spread
-/// over that time: with a heartbeat of two seconds twenty of two hundred each
+/// VMs that were on standby register at a time spread over this many heartbeats
+/// after their start: with 200 VMs and a heartbeat of two seconds, 20 VMs per
 /// second.
 constexpr int standby_start_heartbeats = 5;
 constexpr duration::rep spread_steps = 1000;
@@ -25,7 +25,7 @@
 
 std::string incarnation_text(incarnation incarnation_number)
 {
-    return "life " + std::to_string(incarnation_number.value());
+    return "incarnation " + std::to_string(incarnation_number.value());
 }
 
 } // namespace
@@ -39,11 +39,10 @@
 {
 }
 
-/// Failure: two hundred VMs start at once after a power cut, and the table
-/// takes two hundred writes a second. The owners wait for seconds behind those
-/// that own nothing, are refused, and wait again; nobody loads an adapter
-/// meanwhile. So a VM that stood by registers a while later, each at its own
-/// time.
+// When 200 VMs start at once after a power failure and the table accepts 200
+// writes per second, owners would wait for seconds behind VMs that own no
+// workers, be refused and wait again, and no adapter would be loaded meanwhile.
+// So a VM that was on standby registers later, at a time derived from its name.
 void vm_registration::start(bool rows_known, time_point now,
                             action_list& actions)
 {
@@ -72,10 +71,10 @@
     stands_by_ = stands_by;
     if (registered())
         next_call_at_ = now;
-    // Failure: the answer to the write that says so is lost. From that write on
-    // others judge this VM by an owner's lease, while it counts on the long one
-    // of a VM that stands by, and gives orders beside the VM that took over.
-    // So it counts on none before the answer.
+    // Once the write that ends standby is applied, other VMs apply an owner's
+    // shorter lease to this VM. If the reply to the write is lost, this VM must
+    // not rely on its longer standby lease and give orders while another VM has
+    // taken over. So it has no lease until the reply arrives.
     if (!stands_by_)
         lease_until_ = time_point::min();
 }
@@ -119,8 +118,8 @@
     }
 }
 
-// Another process runs under this VM's name. It is the later one, so this one
-// gives up: two that both came back would expire each other for ever.
+// If a later process runs under this VM's name, this process stops. If both
+// registered again, they would supersede each other forever.
 void vm_registration::stop_if_superseded(action_list& actions)
 {
     vm_row const* const row = members_.row_of(settings_.vm);
@@ -158,8 +157,8 @@
     }
     if (kind == call_kind::register_vm)
         base = registration_base_;
-    // A read compares with an absent row: either answer tells the row as it
-    // is now, which a lagging read does not.
+    // The read is a transaction conditional on the row's absence. Both replies,
+    // done and conflict, show the current row, which a lagging read does not.
     if (kind == call_kind::read)
         base = row_version();
     if (rules_.writes_conditionally() || kind == call_kind::read)
@@ -202,10 +201,10 @@
     return row;
 }
 
-// Failure: the answer to an enrolment is lost, or the write lands late.
-// Symptom: the VM registers twice and takes its own row for another's. Until
-// the outcome is known the very same write is repeated, so that it lands once
-// and the conflict of the next one shows the VM its own token.
+// If the reply to a registration is lost or the write is applied late, the VM
+// must not register twice or mistake its own row for another process's. The
+// identical write is repeated until its outcome is known, so that it is applied
+// once and the conflict of a repetition shows the VM its own token.
 vm_row vm_registration::registration_row()
 {
     if (!registration_token_.empty())
@@ -213,11 +212,13 @@
     registration_token_ = random_.next_token();
     registration_base_ = members_.version_of(settings_.vm);
     vm_row const* const old = members_.row_of(settings_.vm);
-    // After a power cut nobody has to stand back again who did before.
+    // After a restart a VM that was on standby stays on standby, so that the
+    // VMs need not decide this again after a power failure.
     if (old != nullptr && process_first_incarnation_.none())
         stands_by_ = old->stands_by;
-    // Lives are counted by writes of the row, so that the version of a row
-    // that cannot be read is not below any of them.
+    // If the row is unreadable, its version serves as the last number. Each
+    // number needed a write of the row, so the version is no lower than any of
+    // them.
     std::uint64_t const last = old != nullptr ? old->incarnation_number.value()
                                               : registration_base_.value();
     incarnation const next(last + 1);
@@ -244,9 +245,9 @@
     return row;
 }
 
-// Precondition of start(): this process listens on settings_.address already.
-// So a process that registered the same address before has ended; what that
-// one had proved of those before it, still holds.
+// By the precondition of ownership_keeper::start() this process already listens
+// on settings_.address, so an earlier process that registered the same address
+// has ended. What that process had proved about earlier processes still holds.
 incarnation vm_registration::ended_below(vm_row const& old,
                                          incarnation next) const
 {
@@ -326,8 +327,8 @@
     bool const ours = row != nullptr && row->token == done.written.token;
     if (ours)
         return become_registered(*row, registration_asked_at_, now, actions);
-    // Another process registered first, or another VM's write came between:
-    // start from the row as it is.
+    // Another process registered first, or another VM wrote the row meanwhile.
+    // Register again, based on the current row.
     registration_token_.clear();
     next_call_at_ = now;
     tick(now, actions);
@@ -363,8 +364,8 @@
             next_call_at_ = now;
         return;
     case table_outcome::conflict:
-        // An earlier renewal of ours landed after it was given up: the lease
-        // goes on, and the next renewal rests on the row as it is.
+        // An earlier renewal was applied after it had been considered lost. The
+        // lease continues, and the next renewal is based on the current row.
         next_call_at_ = now;
         check_own_row(now, actions);
         return tick(now, actions);
--- a/src/vm_registration.hpp
+++ b/src/vm_registration.hpp
@@ -1,4 +1,4 @@
-/// This VM's own row: registering, renewing, leaving, closing.
+/// Writes this VM's own row: registration, lease renewal, leaving and closing.
 #ifndef MULBERRY_VM_REGISTRATION_HPP
 #define MULBERRY_VM_REGISTRATION_HPP
 
@@ -17,8 +17,8 @@
 namespace mulberry
 {
 
-/// Writes one row, one write at a time. Thread safety: none. The references
-/// outlive this object.
+/// Sends one table operation at a time, so that the VM's writes stay in order.
+/// Thread safety: none. The references outlive this object.
 class vm_registration
 {
 public:
@@ -26,30 +26,37 @@
                     ownership_rules const& rules, membership& members,
                     ownership_random& random, id_source& ids);
 
-    /// Reads the row and registers a life above it. With `informed` the rows
-    /// were read a moment ago: it registers at once, or a while later if the
-    /// life before stood by.
+    /// Reads the row and registers an incarnation with a higher number. With
+    /// `rows_known`, meaning that all rows were read just before, registers
+    /// without reading; after a delay if the previous incarnation was on
+    /// standby.
     void start(bool rows_known, time_point now, action_list& actions);
-    /// The workers of the configuration are known: this VM can take some.
+    /// Call when the workers of the configuration are known, so that this VM
+    /// can take workers. Writes this into the row.
     void set_ready(time_point now);
-    /// Whether this VM is to own workers or stands by; says so in its row.
-    /// Precondition: it owns none if it is to stand by.
+    /// Puts this VM on standby or makes it an owner, and writes this into the
+    /// row. Precondition: the VM owns no workers if it goes on standby.
     void set_stands_by(bool stands_by, time_point now);
+    /// Writes the state `leaving` with the next renewal, at the next tick.
     void leave(time_point now);
+    /// Writes the state `closed`, at the next tick.
     void close(time_point now);
+    /// Sends the next operation if it is due.
     void tick(time_point now, action_list& actions);
 
+    /// Whether the operation is the one in progress.
     bool knows(operation_id operation) const;
+    /// Precondition: knows(reply.operation).
     void on_table(table_reply const& reply, time_point now,
                   action_list& actions);
-    /// After the own row may have been read: learns that it expired or that
-    /// another process took the VM's name.
+    /// Checks whether the known row shows that this VM expired or that another
+    /// process registered under this VM's name. Call after rows were read.
     void check_own_row(time_point now, action_list& actions);
 
-    /// Whether a write of the own row is on its way, so that its version is
-    /// about to change.
+    /// Whether an operation on the own row is in progress, so that the row's
+    /// version may be about to change.
     bool busy() const { return pending_call_.has_value(); }
-    /// Precondition: busy().
+    /// When the operation in progress was sent. Precondition: busy().
     time_point asked_at() const { return pending_call_->asked_at; }
     bool registered() const { return phase_ == phase::registered; }
     bool ready() const { return ready_; }
@@ -57,13 +64,15 @@
     bool stands_by() const { return stands_by_; }
     bool closed() const { return phase_ == phase::closed; }
     incarnation incarnation_number() const { return incarnation_number_; }
-    /// The first life of this process; none before it registered.
+    /// The first incarnation number of this process; none before it
+    /// registered.
     incarnation process_first_incarnation() const
     {
         return process_first_incarnation_;
     }
-    /// When the own row last changed from none or another life to this one.
+    /// When the current incarnation was registered.
     time_point registered_at() const { return registered_at_; }
+    /// Whether this VM may rely on its lease.
     bool lease_holds(time_point now) const;
     /// See ownership_keeper::settled_version().
     row_version settled_version(time_point now) const;
@@ -75,7 +84,7 @@
         reading,
         registering,
         registered,
-        /// Expired while leaving: not worth a new life.
+        /// Expired while leaving; a new incarnation would serve no purpose.
         expired,
         /// Another process registered under this VM's name.
         superseded,
@@ -131,18 +140,19 @@
     incarnation incarnation_number_;
     incarnation process_first_incarnation_;
     std::string registration_token_;
-    /// The row as it was when the enrolment under registration_token_ was first
-    /// written; the write stays the same until its outcome is known.
+    /// The version of the own row when the registration with
+    /// registration_token_ was first sent. The write stays the same until its
+    /// outcome is known.
     row_version registration_base_;
     time_point registration_asked_at_{};
     vm_row registration_row_;
     time_point registered_at_ = never;
     time_point lease_until_ = time_point::min();
     std::uint64_t renewal_count_ = 0;
-    /// What the table's newest version was, and when; the newest of those that
-    /// are older than the order gap, and all after it.
+    /// Versions of the own row's writes and when each was seen: the newest one
+    /// that is older than ownership_settings::order_gap, and all later ones.
     std::deque<std::pair<time_point, row_version>> seen_versions_;
-    /// Of an earlier process of this VM.
+    /// The settled version from the row of an earlier incarnation.
     row_version inherited_settled_;
     bool ready_ = false;
     bool leaving_ = false;
--- a/src/worker_assignment.cpp
+++ b/src/worker_assignment.cpp
@@ -14,7 +14,6 @@
 namespace
 {
 
-/// The most workers taken in one transaction.
 constexpr std::size_t max_workers_per_takeover = 32;
 
 } // namespace
@@ -156,7 +155,7 @@
         [&domain](auto const& each) { return each.second == domain; }));
 }
 
-/// Of each failure domain those that come first; see owner_choice.hpp.
+// Of each failure domain, the VMs that rank first; see owner_choice.hpp.
 std::vector<vm_id>
 worker_assignment::owners_among(std::vector<vm_id> const& vms) const
 {
@@ -203,8 +202,9 @@
            context_.registration.registered_at() + context_.settings.settle;
 }
 
-/// Failure: all owners of a failure domain are gone, and with them those who
-/// would say so in their rows. So an owner whose row stands still is missing.
+// If all owners of a failure domain fail at once, no owner is left to expire
+// the others. So an owner whose row has been unchanged for a lease counts as
+// missing.
 owner_situation
 worker_assignment::standby_situation(lapsed_members const& lapsed,
                                      time_point now) const
@@ -212,7 +212,8 @@
     owner_situation result;
     owner_limits const& limits = context_.settings.owners;
     vm_id const& self = context_.settings.vm;
-    // Rows from a while ago show no reason to take a place or to leave one.
+    // Rows that are too old justify neither becoming an owner nor going on
+    // standby.
     bool const recent = read_at_ + context_.settings.lease / 2 >= now;
     if (limits.min_owners == 0 || !context_.registration.registered() ||
         !recent)
@@ -276,7 +277,7 @@
     if (assignee.empty() || assignee == context_.settings.vm)
         worker.cancel_handover();
     if (worker.handing_over())
-        // Under way already: only to whom may still change.
+        // The handover has begun; only its target may still change.
         return worker.hand_over(handover_target(worker));
     if (!may_rebalance(worker, now))
         return;
@@ -292,8 +293,8 @@
            worker.assignee() != context_.settings.vm;
 }
 
-// A newcomer must stay for a lease before it is given anything, and workers
-// move one by one, each with its pins.
+// A new VM must be a member for a lease before workers are handed to it, and
+// workers move one at a time, each with the adapters pinned there.
 bool worker_assignment::may_rebalance(worker_ownership const& worker,
                                       time_point now) const
 {
@@ -315,7 +316,7 @@
 bool worker_assignment::may_take(time_point now) const
 {
     vm_registration const& own = context_.registration;
-    // Rows read before this life began may show too few members.
+    // Rows read before this incarnation registered may show too few members.
     return own.lease_holds(now) && read_at_ >= own.registered_at() &&
            !pending_takeover_ && !own.busy() &&
            checks_.takes_new_work({own.leaving(), true});
@@ -346,11 +347,11 @@
         send_takeover(wanted, now, actions);
 }
 
-// Failure: this VM was paused and expired after it had decided to take a
-// worker, or the owner's row was not what it seemed. Symptom: a VM that is no
-// member owns a worker, or one that lives loses it. The write rests on both
-// VMs' rows too, so it lands only while this one is a member and the other is
-// none.
+// If this VM was paused and expired after it decided to take a worker, or if
+// the known row of the owner is outdated, a VM that is no member would own a
+// worker, or a live member would lose one. So the write is also conditional on
+// the rows of both VMs: it succeeds only while this VM is a member and the
+// owner is not.
 void worker_assignment::send_takeover(
     std::vector<worker_ownership*> const& workers, time_point now,
     action_list& actions)
--- a/src/worker_assignment.hpp
+++ b/src/worker_assignment.hpp
@@ -1,5 +1,5 @@
-/// Which workers this VM should own, and the taking and handing over that
-/// follow from it.
+/// Determines which workers this VM should own, and takes and hands over
+/// workers accordingly.
 #ifndef MULBERRY_WORKER_ASSIGNMENT_HPP
 #define MULBERRY_WORKER_ASSIGNMENT_HPP
 
@@ -17,38 +17,46 @@
 
 class lapsed_members;
 
-/// Thread safety: none. What the references lead to outlives this object.
+/// Assigns each declared worker to a member; all VMs compute the same
+/// assignment from the same rows. Thread safety: none. The objects that the
+/// parameters refer to outlive this object.
 class worker_assignment
 {
 public:
     worker_assignment(ownership_context const& context, membership& members,
                       safeguards const& checks);
 
+    /// Sets the workers of the current configuration.
     void set_workers(std::vector<worker_id> workers);
-    /// The failure domains of workers. One whose domain has a VM is given to a
-    /// VM there, so that what its owner sends it stays within the domain.
+    /// Sets the failure domains of workers. A worker whose domain has a VM is
+    /// assigned to a VM of that domain, so that the owner's traffic to the
+    /// worker stays within the domain.
     void set_domains(std::map<worker_id, domain_id> domains);
-    /// Takes a row that was read, if it is newer. False when it is no
-    /// worker's row.
+    /// Stores a row that was read, if it is newer than the known one. Returns
+    /// false when the text cannot be parsed. Precondition: the key has
+    /// worker_prefix.
     bool store(table_row const& row);
-    /// What follows from the rows known for whether this VM should own workers.
+    /// The input of standby_decision, computed from the known rows.
     owner_situation standby_situation(lapsed_members const& lapsed,
                                       time_point now) const;
-    /// Whether this VM is one of those that own workers.
+    /// Whether this VM is one of the chosen owners.
     bool assigned() const;
-    /// The moment by which the rows known were all read.
+    /// Sets the moment from which all known rows date, or later.
     void set_read_at(time_point asked_at) { read_at_ = asked_at; }
-    /// Everything that follows from the rows known now.
+    /// Updates assignment and ownership from the known rows, and starts
+    /// handovers and takeovers that are due.
     void reconcile(time_point now, action_list& actions);
 
+    /// Whether this object or one of its workers started the operation.
     bool knows(operation_id operation) const;
+    /// Handles a reply; replies to unknown operations are ignored.
     void on_table(table_reply const& reply, time_point now,
                   action_list& actions);
-    /// The worker, known from now on.
+    /// The worker; adds it if it is unknown.
     worker_ownership& find_or_add(worker_id const& worker);
-    /// Null when nothing is known of it.
+    /// Null when the worker is unknown.
     worker_ownership const* find(worker_id const& worker) const;
-    /// Whether an owner changed since the last call.
+    /// Whether an owner or fencing number changed since the last call.
     bool take_changed();
 
 private:
@@ -83,9 +91,10 @@
     std::map<worker_id, worker_ownership> workers_;
     std::vector<worker_id> declared_;
     std::map<worker_id, domain_id> domains_;
-    /// The VMs that the assignment was computed for.
+    /// The owners chosen when the assignment was computed.
     std::vector<vm_id> assigned_to_;
-    /// Of the members that it was computed for; 0 once it is out of date.
+    /// The generation of the members for which the assignment was computed; 0
+    /// when the assignment is outdated.
     std::uint64_t assigned_generation_ = 0;
     std::optional<pending_takeover> pending_takeover_;
     time_point read_at_ = time_point::min();
--- a/src/worker_ownership.cpp
+++ b/src/worker_ownership.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-/// How long a forgotten intent may wait for a write that it can go along with.
+/// How long the removal of an intent may wait to be combined with another
+/// write.
 constexpr duration forget_delay = std::chrono::seconds(1);
 
 std::string fence_text(fencing_number fence)
@@ -57,7 +58,8 @@
         !row_ || row_->owner != row.owner || row_->fence != row.fence;
     version_ = version;
     row_ = row;
-    // Whatever we wrote rested on an older version and cannot land any more.
+    // Earlier writes were conditional on an older version and cannot be applied
+    // any more.
     outcome_unknown_ = false;
     return changed;
 }
@@ -102,9 +104,9 @@
     context_.events.push_back(worker_lost{worker_});
 }
 
-// Failure, symptom and why this suffices: see
-// ownership_rules::has_stopped_sending. What such an owner did send may still
-// run; the dispatcher waits for a report of a later moment.
+// For the failure that this prevents, see ownership_rules::has_stopped_sending.
+// Requests that such an owner has sent may still run; the dispatcher waits for
+// a worker report from a later moment.
 void worker_ownership::clear_suspects(time_point now, action_list& actions)
 {
     for (incarnation_id const& suspect : row_->suspects)
@@ -185,8 +187,8 @@
     context_.events.push_back(intent_settled{order, worker_, recorded});
 }
 
-// Precondition: that row is the table's, and no write of ours that is still
-// on its way takes anything from it.
+// Precondition: the table has this row, and no write of this VM that may still
+// be applied removes intents from the row.
 void worker_ownership::report_recorded_intents(worker_row const& recorded,
                                                action_list& actions)
 {
@@ -205,8 +207,8 @@
     }
 }
 
-// A write that is on its way may still record them, but nothing is unloaded
-// on it, and the next owner only avoids a name more than it must.
+// A write in progress may still record the intents. This is harmless: no unload
+// is sent for them, and the next owner avoids adapters unnecessarily.
 void worker_ownership::drop_intents()
 {
     auto const dropped = std::exchange(requested_intents_, {});
@@ -252,7 +254,7 @@
     return !only_forgets || now >= forget_at_;
 }
 
-// Cheap: asked for each worker at each tick.
+// A cheap check, since tick() runs for each worker.
 bool worker_ownership::may_want_write() const
 {
     if (outcome_unknown_ || handover_ || !requested_intents_.empty() ||
@@ -266,7 +268,7 @@
                        { return is_own_process(who); });
 }
 
-// The token stays; tick() sets a new one.
+// Keeps the token of the known row; tick() sets a new one.
 worker_row worker_ownership::next_row() const
 {
     worker_row row = *row_;
@@ -360,9 +362,10 @@
     return changed;
 }
 
-// Failure: the answer to a handover is lost. Symptom: this VM admits requests
-// for a worker that is another's already. It may have landed, so admitting
-// ends; as it may not have, the write is repeated until the outcome is known.
+// If the reply to a handover is lost, this VM must not admit requests for a
+// worker that another VM may own already. The handover may have been applied,
+// so this VM gives up the worker; it may not have been, so the write is
+// repeated until the outcome is known.
 void worker_ownership::on_unknown_outcome(pending_write const& done,
                                           action_list& actions)
 {
--- a/src/worker_ownership.hpp
+++ b/src/worker_ownership.hpp
@@ -1,4 +1,4 @@
-/// One worker's row as this VM knows it, and this VM's writes to it.
+/// One worker's row as this VM knows it, and this VM's writes to that row.
 #ifndef MULBERRY_WORKER_OWNERSHIP_HPP
 #define MULBERRY_WORKER_OWNERSHIP_HPP
 
@@ -19,8 +19,7 @@
 namespace mulberry
 {
 
-/// What every worker's ownership needs of the rest. The references outlive
-/// it.
+/// The objects shared by all worker_ownership objects, which they outlive.
 struct ownership_context
 {
     ownership_settings const& settings;
@@ -32,9 +31,9 @@
     std::vector<ownership_event>& events;
 };
 
-/// The owner's writes go through a queue of one: what is wanted is merged
-/// into the next write, and a write whose outcome is unknown is followed by
-/// another until the table says what the row is. Thread safety: none.
+/// Sends at most one write at a time. Requested changes are merged into the
+/// next write, and a write whose outcome is unknown is followed by another
+/// write until the table shows the current row. Thread safety: none.
 class worker_ownership
 {
 public:
@@ -42,61 +41,76 @@
 
     worker_id const& id() const { return worker_; }
 
-    /// Takes the row if it is newer than the one known. True when the owner
-    /// or the fencing number changed.
+    /// Stores the row if it is newer than the known one. Returns whether the
+    /// owner or the fencing number changed.
     bool store(row_version version, worker_row const& row);
-    /// Of the row as it is known; none when it is not.
+    /// The version of the known row; none when no row is known.
     row_version version() const { return version_; }
-    /// Gains, loses and clears according to the rows known.
+    /// Gains or gives up ownership and clears suspects according to the known
+    /// rows, and emits the events.
     void update_ownership(time_point now, action_list& actions);
 
+    /// Whether the worker is in the current configuration.
     void set_declared(bool declared) { declared_ = declared; }
     bool declared() const { return declared_; }
-    /// Remembers since when that VM has been the one that should own it.
+    /// Records which VM should own the worker, and since when.
     void set_assignee(vm_id const& vm, time_point now);
     vm_id const& assignee() const { return assignee_; }
+    /// Whether the assignee has been the same for a lease.
     bool assignee_stable(time_point now) const;
 
-    /// This VM owns it and counts on it.
+    /// Whether this VM owns the worker and may use it; false once a handover
+    /// may have been applied.
     bool is_active_owner() const { return owned_fence_.has_value(); }
-    /// Nobody does, for certain.
+    /// Whether certainly nobody owns the worker.
     bool unowned() const;
+    /// Null when no row is known.
     worker_row const* row() const { return row_ ? &*row_ : nullptr; }
 
-    /// Wants the row to name another owner (nobody, without a VM), or changes
-    /// to whom. Does nothing unless this VM owns the worker.
+    /// Requests a handover to another owner (to nobody if `to` has no VM), or
+    /// changes the target of the handover. Does nothing unless this VM owns the
+    /// worker.
     void hand_over(incarnation_id const& to);
     bool handing_over() const { return handover_.has_value(); }
-    /// Wants no handover any more; too late once its write may have landed.
+    /// Cancels the requested handover, unless a write with it was sent.
     void cancel_handover();
+    /// Requests that the intent to unload the adapter is written into the row;
+    /// emits intent_settled, at once with `recorded` false if this VM is not
+    /// the owner.
     void request_intent(order_id order, engine_name const& name,
                         action_list& actions);
+    /// Requests that the intent is removed from the row.
     void forget_intent(engine_name const& name, time_point now);
-    /// Nothing that this process sent as an earlier owner is in progress any
-    /// more: takes its lives off the suspects, now or when they appear there.
+    /// Removes this process's incarnations from the suspects, now or when they
+    /// appear there. Precondition: nothing that this process sent as an earlier
+    /// owner is in progress any more.
     void remove_self_from_suspects();
-    /// Gives it up at once, without a write.
+    /// Ends the use of the worker at once, without a write.
     void give_up(action_list& actions);
 
-    /// The row that makes this VM the owner. Precondition: unowned().
+    /// The row to write to make this VM the owner. Precondition: unowned().
     worker_row takeover_row() const;
+    /// The condition that the row still has the known version.
     table_condition condition() const;
+    /// Whether no write is in progress and no retry delay is running.
     bool may_write(time_point now) const;
 
-    /// Sends the next write if one is wanted and due.
+    /// Sends the next write if one is needed and due.
     void tick(time_point now, action_list& actions);
+    /// Whether the operation is the write in progress.
     bool knows(operation_id operation) const;
-    /// True when the owner or the fencing number changed.
+    /// Returns whether the owner or the fencing number changed. Precondition:
+    /// knows(reply.operation).
     bool on_table(table_reply const& reply, time_point now,
                   action_list& actions);
-    /// A take of this worker by the keeper had no outcome: not again at once.
+    /// Delays the next write after a failed one, including a failed takeover.
     void retry_later(time_point now);
 
 private:
     struct pending_write
     {
         operation_id operation;
-        /// The row's version that the write rests on.
+        /// The version of the row on which the write is based.
         row_version base;
         worker_row written;
     };
@@ -104,7 +118,7 @@
     {
         incarnation_id to;
         fencing_number previous_fence;
-        /// A write with it was sent: it may land at any time.
+        /// A write with the handover was sent and may be applied at any time.
         bool sent = false;
     };
 
@@ -137,19 +151,20 @@
     time_point assignee_stable_at_ = never;
 
     std::optional<fencing_number> owned_fence_;
-    /// suspects_cleared was told, or nothing had to be cleared.
+    /// suspects_cleared was emitted, or there were no suspects.
     bool suspects_cleared_ = false;
     std::optional<handover> handover_;
     std::map<engine_name, std::vector<order_id>> requested_intents_;
     std::set<engine_name> intents_to_forget_;
-    /// Intents that were in the row when this VM became its owner.
+    /// Intents that were in the row when this VM became the owner.
     std::set<engine_name> inherited_intents_;
     time_point forget_at_ = never;
-    /// Nothing that this process sent as an earlier owner is in progress.
+    /// Nothing that this process sent as an earlier owner is in progress, so
+    /// this process should not be among the suspects.
     bool remove_self_wanted_ = true;
 
     std::optional<pending_write> pending_write_;
-    /// A write was given up whose outcome is not known yet.
+    /// A write was sent whose outcome is unknown.
     bool outcome_unknown_ = false;
     time_point retry_at_ = time_point::min();
 };
