--- a/src/worker_ownership.hpp
+++ b/src/worker_ownership.hpp
@@ -50,7 +50,7 @@
     /// rows, and emits the events.
     void update_ownership(time_point now, action_list& actions);
 
-    /// Whether the worker is in the current configuration.
+    /// Sets whether the worker is in the current configuration.
     void set_declared(bool declared) { declared_ = declared; }
     bool declared() const { return declared_; }
     /// Records which VM should own the worker, and since when.
--- a/tests/owner_choice_test.cpp
+++ b/tests/owner_choice_test.cpp
@@ -1,5 +1,5 @@
-// Few VMs own workers, the others stand by and take the place of those that
-// are gone.
+// Choice of owners: a few VMs own the workers; the others are on standby and
+// replace owners that fail.
 #include "owner_choice.hpp"
 
 #include "ownership_cluster.hpp"
@@ -60,7 +60,8 @@
 
 } // namespace
 
-TEST_CASE("owners grow with the workers, not with the VMs", "[owner_choice]")
+TEST_CASE("the number of owners depends on the workers, not on the VMs",
+          "[owner_choice]")
 {
     CHECK(required_owners({0, 8}, 100) == 0);
     CHECK(required_owners({4, 8}, 0) == 4);
@@ -69,9 +70,9 @@
     CHECK(required_owners({4, 8}, 725) == 91);
 }
 
-// An owner is gone. Those that stand by come in turns, one for each that is
-// missing, and the others only if these do not come.
-TEST_CASE("VMs that stand by take over in turns", "[owner_choice]")
+// When owners are missing, as many VMs on standby replace them at once; VMs of
+// lower rank follow, one delay per rank, only if owners are still missing.
+TEST_CASE("VMs on standby take over in order of rank", "[owner_choice]")
 {
     time_point const now(10s);
     owner_situation situation;
@@ -87,7 +88,7 @@
             rank < 2 ? duration(0) : duration(2s) * static_cast<int>(rank - 1);
         CHECK(decision.decide(true, situation, now) == (rank >= 2));
         CHECK_FALSE(decision.decide(true, situation, now + turn));
-        // One came: it counts anew.
+        // An owner joined: the delay starts again.
         situation.missing_owners = 0;
         CHECK(decision.decide(true, situation, now + 2s));
         situation.missing_owners = 1;
@@ -95,7 +96,7 @@
     }
 }
 
-TEST_CASE("a VM stands by once it is settled and owns nothing",
+TEST_CASE("a VM goes on standby once rows are settled and it is surplus",
           "[owner_choice]")
 {
     time_point const now(10s);
@@ -105,10 +106,11 @@
     CHECK(decision.decide(false, {true, true, 0, 0}, now));
 }
 
-// Twenty-four VMs stand before twelve workers. Each renewed its row twice a
-// second, 48 writes; now four do, and the others once in six seconds: 11.3.
-TEST_CASE("what is written does not grow with VMs that own nothing",
-          "[owner_choice]")
+// Guards against table load that grows with the number of VMs. If all 24 VMs
+// renewed their rows twice per second, there would be 48 writes per second.
+// Four owners do, and the others renew once in six seconds: 11.3 writes per
+// second.
+TEST_CASE("VMs on standby add few writes to the table", "[owner_choice]")
 {
     settled_fleet fleet(24);
     std::size_t standing_by = 0;
@@ -123,11 +125,12 @@
     fleet.check_healthy();
 }
 
-// All VMs start within moments, as after a power cut. The four owners register,
-// take their workers in one write, renew their leases twice within the second
-// and clear the life before the cut from the row of each of the twelve; nothing
-// else is written meanwhile, however many VMs there are.
-TEST_CASE("after a power cut owners register before all others",
+// All VMs restart at once, as after a power failure, and VMs without workers
+// must not delay the owners' writes. The four owners register, take their
+// workers in one write, renew their leases twice within the second and remove
+// the previous incarnation from the rows of the twelve workers. Nothing else is
+// written meanwhile except registrations of VMs on standby.
+TEST_CASE("after a power failure owners register before all other VMs",
           "[owner_choice]")
 {
     settled_fleet fleet(24);
@@ -151,9 +154,9 @@
     fleet.check_healthy();
 }
 
-// An owner is killed for good. Its lease lapses, its workers go to the owners
-// that are left, and a VM that stood by joins them.
-TEST_CASE("a lost owner is replaced by a VM that stood by", "[owner_choice]")
+// An owner fails for good. Its lease lapses, the remaining owners take its
+// workers, and a VM on standby becomes an owner.
+TEST_CASE("a failed owner is replaced by a VM on standby", "[owner_choice]")
 {
     settled_fleet fleet(24);
     fleet.take_longest_gap();
@@ -167,10 +170,10 @@
     fleet.check_healthy();
 }
 
-// All owners are killed at once, and with them a VM that stood by and would
-// come first. The others notice by the rows of the owners and take over; the
-// one that is gone costs them a turn.
-TEST_CASE("VMs that stand by take over from all owners", "[owner_choice]")
+// All owners fail at once, and so does one VM on standby. The other VMs on
+// standby see the owners' rows unchanged and take over; the failed VM delays
+// them by one rank if it ranks first.
+TEST_CASE("VMs on standby replace all owners", "[owner_choice]")
 {
     settled_fleet fleet(24);
     for (std::size_t const vm : fleet.owning())
@@ -190,8 +193,9 @@
     fleet.check_healthy();
 }
 
-// A deployment with few VMs a failure domain: each of them owns workers.
-TEST_CASE("where there are few VMs each owns workers", "[owner_choice]")
+// With no more VMs in a failure domain than the minimum number of owners,
+// nobody is on standby.
+TEST_CASE("with few VMs each VM owns workers", "[owner_choice]")
 {
     settled_fleet fleet(4);
     for (std::size_t vm = 0; vm < 4; ++vm)
--- a/tests/ownership_cluster.cpp
+++ b/tests/ownership_cluster.cpp
@@ -240,7 +240,8 @@
                               [&](ownership_keeper& keeper, action_list& out)
                               {
                                   if (!keeper.knows(reply.operation))
-                                      add_violation("an answer is not known");
+                                      add_violation("a table reply belongs to "
+                                                    "no known operation");
                                   else
                                       keeper.on_table(reply, now(), out);
                               });
@@ -362,7 +363,8 @@
                                                      worker_id const& worker,
                                                      std::string const& what)
 {
-    // A later owner may be sending already: this one may have been paused.
+    // Only earlier owners count: this owner may have been paused, and a later
+    // owner may be sending already.
     fencing_number const fence = owner.owned.at(worker);
     for (machine const& each : vms_)
     {
@@ -522,7 +524,7 @@
             add_violation("a VM owns more than its share");
         for (auto const& [order, asked] : each.running->unsettled)
             if (now() - asked.second > 5s)
-                add_violation("an intent is not settled");
+                add_violation("an intent was not settled in time");
     }
 }
 
@@ -535,10 +537,10 @@
             owners.push_back(each.id);
     if (owners.size() != 1)
         return add_violation("a worker has " + std::to_string(owners.size()) +
-                             " owners in the end");
+                             " owners after recovery");
     for (machine const& each : vms_)
         if (each.running && each.running->keeper->owner_of(worker) != owners[0])
-            add_violation("a VM knows another owner in the end");
+            add_violation("a VM knows another owner after recovery");
     auto const row = parse_worker_row(table_.row(worker_key(worker))->value);
     if (!row->suspects.empty())
         add_violation("suspects were never cleared");
--- a/tests/ownership_cluster.hpp
+++ b/tests/ownership_cluster.hpp
@@ -1,5 +1,5 @@
-/// Ownership keepers of several VMs in virtual time round one fake table, the
-/// faults that befall them, and the checks on what they believe.
+/// Simulates the ownership keepers of several VMs with one fake table in
+/// virtual time, injects faults and checks the safety properties of ownership.
 #ifndef MULBERRY_TESTS_OWNERSHIP_CLUSTER_HPP
 #define MULBERRY_TESTS_OWNERSHIP_CLUSTER_HPP
 
@@ -24,15 +24,15 @@
 
 enum class fault_kind
 {
-    /// The process stands still, then goes on where it was.
+    /// The process stops running, then continues where it was.
     pause,
-    /// The VM alone has lost the table.
+    /// This VM alone cannot reach the table.
     cut,
-    /// The process ends; a new one starts at the same address.
+    /// The process ends; a new process starts at the same address.
     restart,
-    /// The VM ends and drops out of the list; another one comes.
+    /// The VM ends and leaves the platform's list; a new VM starts.
     replace,
-    /// The VM leaves in good order; another one comes.
+    /// The VM leaves gracefully; a new VM starts.
     leave,
     table_down,
     lost_answers,
@@ -44,8 +44,10 @@
 struct ownership_fault
 {
     fault_kind kind;
-    /// Which VM, by the order in which they came; for faults of a VM.
+    /// The VM's index in order of creation, taken modulo the number of VMs; for
+    /// faults of one VM.
     std::size_t vm = 0;
+    /// Start, counted from the call of ownership_cluster::add().
     duration at{};
     duration length{};
 };
@@ -57,17 +59,19 @@
     duration heartbeat = std::chrono::milliseconds(800);
     duration lease = std::chrono::seconds(3);
     duration tick = std::chrono::milliseconds(200);
-    /// One unload order at a VM for so many of its ticks; 0: none.
+    /// A VM orders an unload once in this many of its ticks on average; 0:
+    /// never.
     std::uint64_t ticks_per_unload = 12;
-    /// See ownership_settings.
+    /// See ownership_settings::settle.
     duration settle = std::chrono::milliseconds(0);
-    /// How long after one VM the next one starts; 0: all at the same time.
+    /// Time between the starts of two VMs; 0: all start at the same time.
     duration start_interval = std::chrono::milliseconds(0);
     owner_limits owners{};
-    /// A VM registers when it knows the workers and the rows already.
+    /// A VM knows the workers and all rows before it registers.
     bool load_rows_first = false;
 };
 
+/// Thread safety: none.
 class ownership_cluster
 {
 public:
@@ -75,35 +79,45 @@
                       ownership_rules const& rules);
     ~ownership_cluster();
 
+    /// Schedules a fault.
     void add(ownership_fault const& fault);
     void run_for(duration length) { time_.run_until(time_.now() + length); }
-    /// Adds a violation for all that is not well again.
+    /// Adds a violation for everything that has not recovered: a worker without
+    /// exactly one owner, a VM with more than its share, suspects that were not
+    /// cleared, an intent that was not settled.
     void check_recovery();
 
     std::vector<std::string> const& violations() const { return violations_; }
     fake_table& table() { return table_; }
     time_point now() const { return time_.now(); }
-    /// The longest that a worker was without a VM that may give it orders,
-    /// since the last call.
+    /// The longest time since the last call for which a worker had no VM that
+    /// may give it orders.
     duration take_longest_gap();
+    /// How many workers the VM owns.
     std::size_t owned_by(std::size_t vm) const;
     /// How many VMs own workers.
     std::size_t owners() const;
     bool stands_by(std::size_t vm) const;
     std::size_t vms() const { return vms_.size(); }
+    /// How many log events of this kind there were.
     std::uint64_t count(std::string const& kind) const;
     void pause(std::size_t vm);
     void resume(std::size_t vm);
+    /// Ends the VM's process at once.
     void kill(std::size_t vm);
+    /// Removes the VM from the platform's list.
     void delist(std::size_t vm);
     void start(std::size_t vm);
+    /// The VM leaves gracefully.
     void leave(std::size_t vm);
+    /// Removes the worker from the configuration of all VMs.
     void undeclare(worker_id const& worker);
+    /// Starts a new VM and returns its index.
     std::size_t add_vm();
     vm_id id_of(std::size_t vm) const { return vms_[vm].id; }
 
 private:
-    /// One process of a VM, with a model of the dispatchers that it has.
+    /// One process of a VM, with a model of its dispatchers.
     struct process
     {
         std::uint64_t number = 0;
@@ -111,13 +125,15 @@
         id_source ids;
         std::unique_ptr<ownership_keeper> keeper;
         bool paused = false;
+        /// Tasks that came due while the process was paused.
         std::deque<virtual_time::task> waiting;
         std::map<worker_id, fencing_number> owned;
-        /// Ownerships under which it may still send.
+        /// Fencing numbers under which the process may still send.
         std::map<worker_id, std::set<fencing_number>> active;
         /// Workers whose suspects are not cleared yet, with the inherited
-        /// intents that were said to be over meanwhile.
+        /// intents whose orders ended meanwhile.
         std::map<worker_id, std::set<engine_name>> suspected;
+        /// Requested intents without a result, and when they were requested.
         std::map<order_id, std::pair<record_intent, time_point>> unsettled;
         bool closing = false;
     };
@@ -161,6 +177,7 @@
                                       std::string const& what);
     void check_worker(worker_id const& worker);
     void add_violation(std::string text);
+    /// A random duration in [0, limit).
     duration random_below(duration limit);
 
     cluster_options options_;
@@ -175,7 +192,8 @@
     std::vector<std::string> violations_;
     std::map<std::string, std::uint64_t> events_;
     std::map<std::pair<worker_id, fencing_number>, std::uint64_t> owners_;
-    /// Intents that were recorded and not forgotten, by whose number.
+    /// Intents that were recorded and not removed, with the fencing number
+    /// under which each was recorded.
     std::map<worker_id, std::map<engine_name, fencing_number>> open_intents_;
     std::map<vm_id, vm_row> vm_rows_;
     std::map<worker_id, time_point> without_owner_since_;
--- a/tests/ownership_keeper_test.cpp
+++ b/tests/ownership_keeper_test.cpp
@@ -1,4 +1,4 @@
-// Single failures round the ownership of workers, one after the other.
+// Ownership of workers under single failures.
 #include "ownership_cluster.hpp"
 #include "worker_row.hpp"
 
@@ -44,7 +44,8 @@
 
 } // namespace
 
-TEST_CASE("rows are read back as written, and nothing else is", "[ownership]")
+TEST_CASE("rows are parsed as written and other texts are rejected",
+          "[ownership]")
 {
     vm_row const vm{"t",
                     incarnation(3),
@@ -76,8 +77,8 @@
 TEST_CASE("a killed VM's workers have owners again after lease and heartbeats",
           "[ownership]")
 {
-    // A VM's process is killed; its row stands still; a lease later another
-    // VM expires it and the assignees take its workers.
+    // A VM's process is killed. After a lease without renewal another VM
+    // expires the VM, and the assignees take its workers.
     settled_cluster cluster;
     cluster.kill(2);
     cluster.delist(2);
@@ -90,9 +91,9 @@
     CHECK(cluster.violations().empty());
 }
 
-// VMs start within moments of each other, as after a power cut. Without a
-// pause the first to register takes every worker and hands most of them over
-// later, and a worker that changes hands takes no orders for a while.
+// VMs start at nearly the same time, as after a power failure. Without a
+// settling time the first to register takes every worker and hands most of them
+// over later, and a worker gets no orders for a while after a handover.
 TEST_CASE("VMs that start together share the workers without handovers",
           "[ownership]")
 {
@@ -111,8 +112,8 @@
 TEST_CASE("two VMs killed together are replaced within the same bound",
           "[ownership]")
 {
-    // Two processes are killed a moment apart; those that would have expired
-    // one of them may be the other, and turns pass on.
+    // Two processes are killed 300 ms apart. If the VM that should expire one
+    // of them first is the other one, the next VM in rank expires both.
     settled_cluster cluster;
     cluster.kill(1);
     cluster.run_for(300ms);
@@ -123,10 +124,10 @@
     CHECK(gap < 3s + 5 * 500ms);
 }
 
-// A VM is gone for good, and just then the table refuses everything at once.
-// The VM whose turn it is would write the other's end again at every tick, some
-// sixty times a second, and each refusal counts against the table's rate.
-TEST_CASE("a refused write about a lapsed VM is not repeated at every tick",
+// A VM fails for good while the table refuses all writes immediately. Guards
+// against another VM that repeats the write of the expiry at every tick, about
+// sixty times per second, since refusals count against the table's rate limit.
+TEST_CASE("a refused expiry of a lapsed VM is not repeated at every tick",
           "[ownership]")
 {
     cluster_options options = six_vms();
@@ -148,10 +149,10 @@
         FAIL_CHECK(violation);
 }
 
-TEST_CASE("a leaving VM hands over at once", "[ownership]")
+TEST_CASE("a leaving VM hands over its workers at once", "[ownership]")
 {
-    // The VM says that it leaves; each of its workers is written over to its
-    // assignee; nobody is without an owner for longer than two heartbeats.
+    // The VM writes `leaving` and hands each worker over to its assignee. No
+    // worker is without an owner for longer than two heartbeats.
     settled_cluster cluster;
     cluster.leave(3);
     cluster.run_for(1s);
@@ -165,10 +166,10 @@
     CHECK(cluster.violations().empty());
 }
 
-TEST_CASE("a newcomer is given its share one worker at a time", "[ownership]")
+TEST_CASE("a new VM receives its share one worker at a time", "[ownership]")
 {
-    // A seventh VM registers; only when it has stayed for a lease do the
-    // others hand workers to it, one at a time each.
+    // A seventh VM registers. After it has been a member for a lease, each of
+    // the other VMs hands workers to it, one at a time.
     settled_cluster cluster;
     std::size_t const newcomer = cluster.add_vm();
     cluster.run_for(2s);
@@ -182,8 +183,8 @@
 
 TEST_CASE("an outage of the table moves no worker", "[ownership]")
 {
-    // The table is down for many leases; all leases lapse; when it is back
-    // every holder renews its row and nobody expires anybody.
+    // The table is unavailable for many leases, so all leases lapse. When the
+    // table is back every holder renews its row, and no VM expires another.
     settled_cluster cluster;
     auto const gained = cluster.count("worker-gained");
     cluster.table().set_down(true);
@@ -197,11 +198,12 @@
     CHECK(cluster.violations().empty());
 }
 
-TEST_CASE("a paused VM stays a suspect until it has signed off", "[ownership]")
+TEST_CASE("a paused VM stays a suspect until it removes itself", "[ownership]")
 {
-    // A VM is stopped past its lease; its workers move; for as long as it is
-    // listed nobody may take it for ended; it wakes, learns that it expired,
-    // ends what it had and signs off.
+    // A VM is paused for longer than its lease and its workers move. While the
+    // VM is listed, no other VM may assume that its process has ended. When
+    // resumed, the VM learns that it expired, ends its work and removes itself
+    // from the suspects.
     settled_cluster cluster;
     cluster.pause(0);
     cluster.run_for(60s);
@@ -230,9 +232,9 @@
     CHECK(cluster.violations().empty());
 }
 
-TEST_CASE("what a quiet cluster asks of the table", "[ownership]")
+TEST_CASE("table load of an idle cluster", "[ownership]")
 {
-    // Writes grow with the VMs, not with the workers.
+    // Prints the load; writes grow with the VMs, not with the workers.
     struct shape
     {
         std::size_t vms;
--- a/tests/ownership_schedule_test.cpp
+++ b/tests/ownership_schedule_test.cpp
@@ -1,5 +1,6 @@
-// Several VMs under generated schedules of faults: what must hold of ownership
-// at every moment, and that leaving out any one rule is noticed.
+// Property tests of ownership on several VMs with generated schedules of
+// faults: the safety properties hold, and leaving out any single rule is
+// detected.
 #include "ownership_cluster.hpp"
 
 #include <catch2/catch.hpp>
@@ -44,12 +45,12 @@
     return out;
 }
 
-/// By then the platform's list has had every VM. One that ends before stays a
-/// suspect for good: nothing proves that it is gone.
+/// By then every VM has been in the platform's list. A VM that ends earlier
+/// stays a suspect forever, since nothing proves that it has ended.
 constexpr duration earliest_fault = 3s;
 constexpr duration latest_fault = 9s;
 constexpr duration max_fault_duration = 6s;
-/// Expiry, taking, and the moves that even out the load afterwards.
+/// Time for expiry, takeover and the handovers that rebalance workers.
 constexpr duration default_recovery_time = 16s;
 
 rc::Gen<duration> any_duration(duration least, duration most)
@@ -73,7 +74,8 @@
                      any_duration(100ms, max_fault_duration)));
 }
 
-/// Sized as a whole, since the options would also narrow what is drawn.
+/// Uses a fixed RapidCheck size, since a smaller size would also narrow the
+/// ranges of the generated values.
 rc::Gen<schedule> any_schedule()
 {
     auto const faults = rc::gen::mapcat(
@@ -118,8 +120,8 @@
     return any_schedule()(rc::Random(number), 100).value();
 }
 
-/// The first of those schedules that reports that violation does not report
-/// any with the standard rules.
+/// Whether a schedule causes the violation with these rules, and the first such
+/// schedule causes no violation with the standard rules.
 bool detects(ownership_rules const& rules, std::string const& violation,
              schedule (*plans)(std::uint64_t) = generated)
 {
@@ -135,7 +137,7 @@
     return false;
 }
 
-/// A VM is paused for long, and two that may have taken its workers leave.
+/// A VM is paused for 12 s, and two VMs that may have taken its workers leave.
 schedule long_pause(std::uint64_t number)
 {
     return {number,
@@ -146,7 +148,8 @@
 
 } // namespace
 
-TEST_CASE("ownership holds under any schedule of faults", "[ownership]")
+TEST_CASE("ownership is safe and recovers under any schedule of faults",
+          "[ownership]")
 {
     CHECK(rc::check("no violation",
                     []()
@@ -160,16 +163,17 @@
                     }));
 }
 
-// Four of six VMs stand by. They take the place of owners that are gone, and
-// give it back, while any of them are paused, cut off or replaced.
-TEST_CASE("ownership holds while VMs stand by and take over", "[ownership]")
+// Four of six VMs are on standby. They replace failed owners and go back to
+// standby, while any VM may be paused, cut off or replaced.
+TEST_CASE("ownership is safe while VMs on standby replace owners",
+          "[ownership]")
 {
     cluster_options options;
     options.vms = 6;
     options.settle = 400ms;
     options.owners = {2, 100};
-    // Besides: the turns of those that stand by but are gone, and a newcomer's
-    // lease before it is given its share.
+    // Adds the delays for failed VMs on standby, and the lease for which a new
+    // VM must be a member before it receives its share.
     constexpr duration longer_recovery = 30s;
     CHECK(rc::check("no violation",
                     [&]()
@@ -184,11 +188,12 @@
                     }));
 }
 
-TEST_CASE("without the rule of newest rows a worker has two owners",
+TEST_CASE("accepting older rows gives a worker two owners",
           "[ownership][double]")
 {
-    // A VM hands a worker over; a lagging read then shows it the row of
-    // before; it believes that it owns the worker again under the old number.
+    // A VM hands a worker over. A lagging read then returns the old row, and
+    // the VM believes that it owns the worker again under the old fencing
+    // number.
     struct any_row_replaces : ownership_rules
     {
         bool is_newer(row_version, row_version) const override { return true; }
@@ -196,11 +201,12 @@
     CHECK(detects(any_row_replaces{}, "two owners under one fencing number"));
 }
 
-TEST_CASE("without conditional writes a worker has two owners",
+TEST_CASE("unconditional writes give a worker two owners",
           "[ownership][double]")
 {
-    // Two VMs that see different members take the same worker; both writes
-    // land, and both believe that they own it under the same number.
+    // Two VMs that know different members take the same worker. Both writes are
+    // applied, and both VMs believe that they own the worker under the same
+    // fencing number.
     struct unconditional : ownership_rules
     {
         bool writes_conditionally() const override { return false; }
@@ -208,10 +214,10 @@
     CHECK(detects(unconditional{}, "two owners under one fencing number"));
 }
 
-TEST_CASE("without waiting for the lease a VM is expired while it holds it",
+TEST_CASE("expiring a VM without waiting for its lease is detected",
           "[ownership][double]")
 {
-    // A VM's heartbeat is seen late; another expires it at once and its
+    // A VM's heartbeat is seen late. Another VM expires it at once and its
     // workers move, while it goes on giving orders.
     struct lapses_at_once : ownership_rules
     {
@@ -221,11 +227,11 @@
                   "a VM counts on its lease although it was expired"));
 }
 
-TEST_CASE("a holder that never doubts its lease outlives it",
+TEST_CASE("a holder that ignores the end of its lease is detected",
           "[ownership][double]")
 {
-    // A VM is cut off from the table; others expire it and take its workers;
-    // it goes on giving orders to them.
+    // A VM cannot reach the table. Other VMs expire it and take its workers,
+    // while it goes on giving orders to them.
     struct lease_never_ends : ownership_rules
     {
         bool own_lease_valid(time_point, time_point) const override
@@ -237,10 +243,12 @@
                   "a VM counts on its lease although it was expired"));
 }
 
-TEST_CASE("an expired VM that was paused may still send", "[ownership][double]")
+TEST_CASE("treating an expired VM as stopped is detected",
+          "[ownership][double]")
 {
-    // A VM is paused between its check and its send; its lease lapses, its
-    // successor takes it for ended and evicts; then it wakes and sends.
+    // A VM is paused between its check of the lease and its send. Its lease
+    // lapses, and its successor assumes that the VM has ended and evicts an
+    // adapter. Then the VM resumes and sends.
     struct expiry_clears_suspects : ownership_rules
     {
         bool
@@ -254,11 +262,11 @@
                   "suspects cleared while an earlier owner may still send"));
 }
 
-TEST_CASE("an owner that keeps the fencing number is noticed",
+TEST_CASE("an owner that keeps the fencing number is detected",
           "[ownership][double]")
 {
-    // An owner changes without a higher number; late orders of the earlier
-    // one pass for the new one's.
+    // A worker changes owners without a higher fencing number, so late orders
+    // of the earlier owner are mistaken for orders of the new owner.
     struct same_fence : ownership_rules
     {
         fencing_number next_fence(fencing_number fence) const override
@@ -269,11 +277,12 @@
     CHECK(detects(same_fence{}, "a fencing number did not rise"));
 }
 
-TEST_CASE("an owner that drops inherited intents is noticed",
+TEST_CASE("an owner that drops inherited intents is detected",
           "[ownership][double]")
 {
-    // A VM records an unload and is paused before it sends it; its successor,
-    // who does not know of it, routes to the adapter as it vanishes.
+    // A VM records an intent and is paused before it sends the unload. Its
+    // successor does not know the intent and routes requests to the adapter
+    // while the adapter is unloaded.
     struct drops_intents : ownership_rules
     {
         std::vector<engine_name>
@@ -286,11 +295,12 @@
         detects(drops_intents{}, "a recorded intent is not in a later grant"));
 }
 
-TEST_CASE("an owner that forgets another's intent too early is noticed",
+TEST_CASE("removing an inherited intent too early is detected",
           "[ownership][double]")
 {
-    // A VM records an unload and is paused before it sends it; its successor
-    // takes it for over; the one after that does not know of it.
+    // A VM records an intent and is paused before it sends the unload. Its
+    // successor assumes that the unload is over and removes the intent, so the
+    // next owner does not know it.
     struct forgets_early : ownership_rules
     {
         bool may_forget(bool, bool) const override { return true; }
@@ -299,11 +309,12 @@
                   long_pause));
 }
 
-TEST_CASE("an intent whose write is lost does not count as recorded",
+TEST_CASE("counting an intent as recorded without confirmation is detected",
           "[ownership][double]")
 {
-    // The table goes down as an intent is written; the VM takes it for
-    // recorded and sends the unload; its successor finds nothing in the row.
+    // The table becomes unavailable while an intent is written. The VM counts
+    // the intent as recorded and sends the unload; its successor finds no
+    // intent in the row.
     struct assumes_recorded : ownership_rules
     {
         bool intent_recorded(table_outcome) const override { return true; }
