--- a/src/vm_registration.cpp
+++ b/src/vm_registration.cpp
@@ -25,7 +25,7 @@
 
 std::string incarnation_text(incarnation incarnation_number)
 {
-    return "incarnation " + std::to_string(incarnation_number.value());
+    return "life " + std::to_string(incarnation_number.value());
 }
 
 } // namespace
