--- a/src/configuration_keeper.cpp
+++ b/src/configuration_keeper.cpp
@@ -17,19 +17,19 @@
 
 /// A VM that never registered before has no row, and rows are never deleted: so
 /// in this life nobody has promised anything under its name before.
-constexpr incarnation first_life(1);
+constexpr incarnation first_incarnation(1);
 
-note_event note(std::string kind, std::string text)
+note_event log_entry(std::string kind, std::string text)
 {
     return {"configuration", std::move(kind), std::move(text)};
 }
 
 /// A refused confirm that waits until the declaration it lost to is loaded.
-struct waiting_refusal
+struct delayed_refusal
 {
     confirm_settled settled;
     config_version found;
-    time_point until;
+    time_point wait_until;
 };
 
 } // namespace
@@ -41,8 +41,8 @@
                    id_source& ids, promise_rules const& rules)
         : settings_(std::move(settings)), rules_(rules), ids_(ids),
           random_(settings_.seed + 1), reader_(settings_, checks, rules_, ids_),
-          peers_(settings_.vm), given_(rules_, settings_.promise),
-          support_(rules_)
+          peers_(settings_.vm), given_(rules_, settings_.promise_duration),
+          outage_promises_(rules_)
     {
     }
 
@@ -53,32 +53,35 @@
     void on_object(object_reply const& reply, time_point now,
                    action_list& actions);
     void set_members(std::vector<std::pair<vm_id, incarnation>> const& members,
-                     incarnation own_life);
+                     incarnation own_incarnation);
     void on_peer(vm_id const& from, peer_message const& message, time_point now,
                  action_list& actions);
-    void table_heard(time_point asked_at) { reader_.table_heard(asked_at); }
-    void confirm(confirm_order order, time_point now, action_list& actions);
+    void on_table_answer(time_point asked_at)
+    {
+        reader_.on_table_answer(asked_at);
+    }
+    void confirm(confirm_request request, time_point now, action_list& actions);
     void tick(time_point now, action_list& actions);
     std::vector<configuration_event> take_events();
     std::string next_token(std::uint64_t ticket);
 
     configuration_reader const& reader() const { return reader_; }
-    bool known(time_point now) const;
+    bool is_known(time_point now) const;
     bool going_on(time_point now) const;
 
 private:
-    void hear(vm_id const& from, outage_question const& question,
-              time_point now, action_list& actions);
-    void hear(vm_id const& from, outage_answer const& answer, time_point now,
-              action_list& actions);
-    void hear(vm_id const& from, confirm_question const& question,
-              time_point now, action_list& actions);
-    given_promises::facts facts(time_point now) const;
-    void watch_table(time_point now, action_list& actions);
-    void ask_for_support(time_point now, action_list& actions);
-    bool caught_up(time_point now) const;
-    void observe(time_point now, action_list& actions);
-    void collect_runs(time_point now);
+    void handle(vm_id const& from, outage_question const& question,
+                time_point now, action_list& actions);
+    void handle(vm_id const& from, outage_answer const& answer, time_point now,
+                action_list& actions);
+    void handle(vm_id const& from, confirm_question const& question,
+                time_point now, action_list& actions);
+    given_promises::observed_state facts(time_point now) const;
+    void update_outage(time_point now, action_list& actions);
+    void request_promises(time_point now, action_list& actions);
+    bool is_up_to_date(time_point now) const;
+    void update_state(time_point now, action_list& actions);
+    void collect_results(time_point now);
     void release_refusals(time_point now);
 
     configuration_settings const settings_;
@@ -88,15 +91,15 @@
     configuration_reader reader_;
     configuration_peers peers_;
     given_promises given_;
-    collected_promises support_;
+    collected_promises outage_promises_;
     std::list<confirm_run> runs_;
-    std::vector<waiting_refusal> refusals_;
+    std::vector<delayed_refusal> refusals_;
     std::vector<configuration_event> events_;
-    bool outage_ = false;
+    bool in_outage_ = false;
     time_point outage_since_{};
     /// The table was found to answer again, and the row is being read.
     bool catching_up_ = false;
-    time_point ask_again_ = never;
+    time_point next_request_at_ = never;
     bool was_going_on_ = false;
     bool was_known_ = false;
 };
@@ -123,7 +126,7 @@
     reader_.on_table(reply, now, actions);
     for (confirm_run& run : runs_)
         run.on_table(reply, now, actions);
-    observe(now, actions);
+    update_state(now, actions);
 }
 
 void configuration_keeper::implementation::on_object(object_reply const& reply,
@@ -133,16 +136,16 @@
     reader_.on_object(reply, now, actions);
     for (confirm_run& run : runs_)
         run.on_object(reply, now, actions);
-    observe(now, actions);
+    update_state(now, actions);
 }
 
 void configuration_keeper::implementation::set_members(
     std::vector<std::pair<vm_id, incarnation>> const& members,
-    incarnation own_life)
+    incarnation own_incarnation)
 {
-    peers_.set_members(members, own_life);
-    if (own_life == first_life)
-        given_.begin_first_life();
+    peers_.set_members(members, own_incarnation);
+    if (own_incarnation == first_incarnation)
+        given_.set_first_incarnation();
 }
 
 void configuration_keeper::implementation::on_peer(vm_id const& from,
@@ -151,73 +154,74 @@
                                                    action_list& actions)
 {
     if (auto const* hint = std::get_if<configuration_hint>(&message))
-        reader_.hear_of(hint->version, now, actions);
+        reader_.on_version_reported(hint->version, now, actions);
     else if (auto const* question = std::get_if<outage_question>(&message))
-        hear(from, *question, now, actions);
+        handle(from, *question, now, actions);
     else if (auto const* answer = std::get_if<outage_answer>(&message))
-        hear(from, *answer, now, actions);
-    else if (auto const* plea = std::get_if<confirm_question>(&message))
-        hear(from, *plea, now, actions);
+        handle(from, *answer, now, actions);
+    else if (auto const* confirm_query =
+                 std::get_if<confirm_question>(&message))
+        handle(from, *confirm_query, now, actions);
     else if (auto const* promise = std::get_if<confirm_answer>(&message))
         for (confirm_run& run : runs_)
             run.on_answer(from, *promise, now, actions);
-    observe(now, actions);
+    update_state(now, actions);
 }
 
-given_promises::facts
+given_promises::observed_state
 configuration_keeper::implementation::facts(time_point now) const
 {
-    return {reader_.heard(now), reader_.lost(now), reader_.highest()};
+    return {reader_.is_table_reachable(now), reader_.is_table_unreachable(now),
+            reader_.highest()};
 }
 
-void configuration_keeper::implementation::hear(vm_id const& from,
-                                                outage_question const& question,
-                                                time_point now,
-                                                action_list& actions)
+void configuration_keeper::implementation::handle(
+    vm_id const& from, outage_question const& question, time_point now,
+    action_list& actions)
 {
-    reader_.hear_of(question.configuration, now, actions);
+    reader_.on_version_reported(question.configuration, now, actions);
     outage_answer answer;
     answer.number = question.number;
-    answer.life = peers_.own_life();
+    answer.life = peers_.own_incarnation();
     answer.promised =
-        peers_.joined() &&
+        peers_.is_registered() &&
         given_.promise_outage(facts(now), question.configuration, now);
-    answer.holds_for = settings_.promise;
+    answer.holds_for = settings_.promise_duration;
     answer.configuration = reader_.highest();
     actions.emplace_back(tell_peer{from, answer});
 }
 
-void configuration_keeper::implementation::hear(vm_id const& from,
-                                                outage_answer const& answer,
-                                                time_point now,
-                                                action_list& actions)
+void configuration_keeper::implementation::handle(vm_id const& from,
+                                                  outage_answer const& answer,
+                                                  time_point now,
+                                                  action_list& actions)
 {
-    reader_.hear_of(answer.configuration, now, actions);
+    reader_.on_version_reported(answer.configuration, now, actions);
     if (answer.promised && peers_.is_member(from, answer.life))
-        support_.add(from, answer.number, answer.holds_for, now);
+        outage_promises_.add(from, answer.number, answer.holds_for, now);
 }
 
-void configuration_keeper::implementation::hear(
+void configuration_keeper::implementation::handle(
     vm_id const& from, confirm_question const& question, time_point now,
     action_list& actions)
 {
     confirm_answer answer;
     answer.number = question.number;
-    answer.life = peers_.own_life();
-    answer.promised = peers_.joined() &&
+    answer.life = peers_.own_incarnation();
+    answer.promised = peers_.is_registered() &&
                       given_.promise_confirm(facts(now), question.base, now);
-    answer.holds_for = settings_.promise;
+    answer.holds_for = settings_.promise_duration;
     actions.emplace_back(tell_peer{from, answer});
 }
 
-void configuration_keeper::implementation::confirm(confirm_order order,
+void configuration_keeper::implementation::confirm(confirm_request request,
                                                    time_point now,
                                                    action_list& actions)
 {
-    confirm_surroundings const around{settings_, rules_, ids_,   random_,
-                                      peers_,    given_, reader_};
-    runs_.emplace_back(std::move(order), around).begin(now, actions);
-    observe(now, actions);
+    confirm_context const context{settings_, rules_, ids_,   random_,
+                                  peers_,    given_, reader_};
+    runs_.emplace_back(std::move(request), context).begin(now, actions);
+    update_state(now, actions);
 }
 
 void configuration_keeper::implementation::tick(time_point now,
@@ -226,26 +230,27 @@
     reader_.tick(now, actions);
     for (confirm_run& run : runs_)
         run.tick(now, actions);
-    watch_table(now, actions);
-    observe(now, actions);
+    update_outage(now, actions);
+    update_state(now, actions);
 }
 
-void configuration_keeper::implementation::watch_table(time_point now,
-                                                       action_list& actions)
+void configuration_keeper::implementation::update_outage(time_point now,
+                                                         action_list& actions)
 {
-    bool const lost = reader_.lost(now);
-    if (lost && !outage_)
+    bool const lost = reader_.is_table_unreachable(now);
+    if (lost && !in_outage_)
     {
-        outage_ = true;
+        in_outage_ = true;
         outage_since_ = now;
-        ask_again_ = now;
-        actions.emplace_back(note("outage-begun", "the table does not answer"));
+        next_request_at_ = now;
+        actions.emplace_back(
+            log_entry("outage-begun", "the table does not answer"));
     }
-    if (outage_ && !lost && !catching_up_)
-        reader_.read_surely(now, actions);
-    catching_up_ = outage_ && !lost;
-    if (outage_ && lost && now >= ask_again_)
-        ask_for_support(now, actions);
+    if (in_outage_ && !lost && !catching_up_)
+        reader_.read_with_retry(now, actions);
+    catching_up_ = in_outage_ && !lost;
+    if (in_outage_ && lost && now >= next_request_at_)
+        request_promises(now, actions);
 }
 
 // Any answered call shows that the table is back, but only a read of the row
@@ -253,65 +258,71 @@
 // whose last read is past the bound would drop its peers' promises and refuse
 // requests until its next read. The promises are no weaker for the table being
 // back: those who gave them keep to them, and they run out by themselves.
-bool configuration_keeper::implementation::caught_up(time_point now) const
+bool configuration_keeper::implementation::is_up_to_date(time_point now) const
 {
-    return !reader_.lost(now) && reader_.last_read() >= outage_since_ &&
-           reader_.fresh(now);
+    return !reader_.is_table_unreachable(now) &&
+           reader_.last_read_asked_at() >= outage_since_ &&
+           reader_.is_fresh(now);
 }
 
-void configuration_keeper::implementation::ask_for_support(time_point now,
-                                                           action_list& actions)
+void configuration_keeper::implementation::request_promises(
+    time_point now, action_list& actions)
 {
     // Each promise is renewed once a poll, and asked for twice as often while
     // it is due: so that it takes several lost messages to lose it.
-    duration const pace = std::min(settings_.poll, settings_.promise / 3);
-    ask_again_ = now + pace / 2;
+    duration const request_interval =
+        std::min(settings_.poll_interval, settings_.promise_duration / 3);
+    next_request_at_ = now + request_interval / 2;
     config_version const own = reader_.version();
-    if (own.none() || !peers_.joined())
+    if (own.none() || !peers_.is_registered())
         return;
-    std::uint64_t const number = peers_.next_question();
-    support_.ask(number, now);
+    std::uint64_t const number = peers_.next_question_number();
+    outage_promises_.record_question(number, now);
     if (given_.promise_outage(facts(now), own, now))
-        support_.add_own(peers_.self(), now + settings_.promise);
-    time_point const due = now + settings_.promise - pace;
+        outage_promises_.add_own(peers_.self(),
+                                 now + settings_.promise_duration);
+    time_point const renew_until =
+        now + settings_.promise_duration - request_interval;
     for (vm_id const& member : peers_.members())
-        if (member != peers_.self() && support_.until(member) <= due)
+        if (member != peers_.self() &&
+            outage_promises_.valid_until(member) <= renew_until)
             actions.emplace_back(
                 tell_peer{member, outage_question{number, own}});
 }
 
-void configuration_keeper::implementation::observe(time_point now,
-                                                   action_list& actions)
+void configuration_keeper::implementation::update_state(time_point now,
+                                                        action_list& actions)
 {
-    if (reader_.last_read())
-        given_.read_answered(*reader_.last_read());
-    if (outage_ && caught_up(now))
+    if (reader_.last_read_asked_at())
+        given_.read_answered(*reader_.last_read_asked_at());
+    if (in_outage_ && is_up_to_date(now))
     {
-        outage_ = false;
+        in_outage_ = false;
         catching_up_ = false;
-        support_.clear();
-        actions.emplace_back(note("outage-ended", "the table answers again"));
+        outage_promises_.clear();
+        actions.emplace_back(
+            log_entry("outage-ended", "the table answers again"));
     }
     for (configuration_in_force& loaded : reader_.take_in_force())
         events_.emplace_back(std::move(loaded));
-    collect_runs(now);
+    collect_results(now);
     release_refusals(now);
     if (going_on(now) != was_going_on_)
     {
         was_going_on_ = !was_going_on_;
         events_.emplace_back(outage_changed{was_going_on_});
     }
-    if (known(now) != was_known_)
+    if (is_known(now) != was_known_)
     {
         was_known_ = !was_known_;
         actions.emplace_back(
-            was_known_ ? note("configuration-known", "the version holds")
-                       : note("configuration-stale",
-                              "whether the version holds cannot be told"));
+            was_known_ ? log_entry("configuration-known", "the version holds")
+                       : log_entry("configuration-stale",
+                                   "whether the version holds cannot be told"));
     }
 }
 
-void configuration_keeper::implementation::collect_runs(time_point now)
+void configuration_keeper::implementation::collect_results(time_point now)
 {
     for (confirm_run& run : runs_)
     {
@@ -320,19 +331,20 @@
             continue;
         auto const* why = std::get_if<error>(&settled->result);
         if (why != nullptr && why->kind() == error_kind::plan_outdated)
-            refusals_.push_back({std::move(*settled), run.found(),
+            refusals_.push_back({std::move(*settled), run.found_version(),
                                  now + 2 * settings_.table_timeout});
         else
             events_.emplace_back(std::move(*settled));
     }
-    std::erase_if(runs_, [](confirm_run const& run) { return run.over(); });
+    std::erase_if(runs_,
+                  [](confirm_run const& run) { return run.is_finished(); });
 }
 
 void configuration_keeper::implementation::release_refusals(time_point now)
 {
-    auto const ready = [&](waiting_refusal& refusal)
+    auto const ready = [&](delayed_refusal& refusal)
     {
-        if (reader_.version() < refusal.found && now < refusal.until)
+        if (reader_.version() < refusal.found && now < refusal.wait_until)
             return false;
         refusal.settled.current = reader_.current();
         events_.emplace_back(std::move(refusal.settled));
@@ -351,22 +363,23 @@
 configuration_keeper::implementation::next_token(std::uint64_t ticket)
 {
     return settings_.vm.str() + "/" +
-           std::to_string(peers_.own_life().value()) + "/" +
+           std::to_string(peers_.own_incarnation().value()) + "/" +
            std::to_string(ticket) + "/" + std::to_string(random_.next());
 }
 
 bool configuration_keeper::implementation::going_on(time_point now) const
 {
     auto const& members = peers_.members();
-    return outage_ && !reader_.version().none() &&
-           reader_.highest() == reader_.version() && peers_.joined() &&
-           support_.running({peers_.self()}, now) == 1 &&
-           rules_.is_majority(support_.running(members, now), members.size());
+    return in_outage_ && !reader_.version().none() &&
+           reader_.highest() == reader_.version() && peers_.is_registered() &&
+           outage_promises_.count_valid({peers_.self()}, now) == 1 &&
+           rules_.is_majority(outage_promises_.count_valid(members, now),
+                              members.size());
 }
 
-bool configuration_keeper::implementation::known(time_point now) const
+bool configuration_keeper::implementation::is_known(time_point now) const
 {
-    return reader_.fresh(now) || going_on(now);
+    return reader_.is_fresh(now) || going_on(now);
 }
 
 configuration_keeper::configuration_keeper(configuration_settings settings,
@@ -404,9 +417,9 @@
 
 void configuration_keeper::set_members(
     std::vector<std::pair<vm_id, incarnation>> const& members,
-    incarnation own_life, time_point /*now*/)
+    incarnation own_incarnation, time_point /*now*/)
 {
-    implementation_->set_members(members, own_life);
+    implementation_->set_members(members, own_incarnation);
 }
 
 void configuration_keeper::on_peer(vm_id const& from,
@@ -416,9 +429,9 @@
     implementation_->on_peer(from, message, now, actions);
 }
 
-void configuration_keeper::table_heard(time_point asked_at)
+void configuration_keeper::on_table_answer(time_point asked_at)
 {
-    implementation_->table_heard(asked_at);
+    implementation_->on_table_answer(asked_at);
 }
 
 void configuration_keeper::confirm(std::uint64_t ticket, config_version base,
@@ -452,9 +465,9 @@
     return implementation_->reader().current();
 }
 
-bool configuration_keeper::known(time_point now) const
+bool configuration_keeper::is_known(time_point now) const
 {
-    return implementation_->known(now);
+    return implementation_->is_known(now);
 }
 
 bool configuration_keeper::going_on_without_table(time_point now) const
--- a/src/configuration_keeper.hpp
+++ b/src/configuration_keeper.hpp
@@ -31,15 +31,15 @@
 struct configuration_settings
 {
     vm_id vm;
-    duration poll = std::chrono::seconds(1);
+    duration poll_interval = std::chrono::seconds(1);
     /// How long the configuration counts as known after the question that was
     /// last answered was asked.
-    duration bound = std::chrono::seconds(4);
+    duration staleness_bound = std::chrono::seconds(4);
     /// How long without the table before peers are asked.
     duration outage_after = std::chrono::milliseconds(1500);
     /// How long a promise holds. On one VM not shorter than in its last life,
     /// which it takes to have promised that long.
-    duration promise = std::chrono::seconds(3);
+    duration promise_duration = std::chrono::seconds(3);
     duration table_timeout = std::chrono::milliseconds(1000);
     duration confirm_timeout = std::chrono::seconds(10);
     std::uint64_t seed = 1;
@@ -117,13 +117,13 @@
     /// the table: else those that have it could confirm among themselves while
     /// a majority of the members before goes on without.
     void set_members(std::vector<std::pair<vm_id, incarnation>> const& members,
-                     incarnation own_life, time_point now);
+                     incarnation own_incarnation, time_point now);
     /// Takes configuration_hint, outage_* and confirm_*; ignores the rest.
     void on_peer(vm_id const& from, peer_message const& message, time_point now,
                  action_list& actions);
     /// Any other call of this VM's that the table answered, by the moment it
     /// was asked.
-    void table_heard(time_point asked_at);
+    void on_table_answer(time_point asked_at);
     /// Confirms a declaration if `base` is still the version in force. `ticket`
     /// comes back in confirm_settled. Precondition: the digest fits the text.
     void confirm(std::uint64_t ticket, config_version base, std::string digest,
@@ -137,7 +137,7 @@
     /// Null before the first configuration.
     std::shared_ptr<declaration const> current() const;
     /// Whether this VM knows at this moment that its version still holds.
-    bool known(time_point now) const;
+    bool is_known(time_point now) const;
     bool going_on_without_table(time_point now) const;
 
 private:
--- a/src/configuration_peers.hpp
+++ b/src/configuration_peers.hpp
@@ -22,39 +22,44 @@
     explicit configuration_peers(vm_id self) : self_(std::move(self)) {}
 
     void set_members(std::vector<std::pair<vm_id, incarnation>> const& members,
-                     incarnation own_life)
+                     incarnation own_incarnation)
     {
-        own_life_ = own_life;
+        own_incarnation_ = own_incarnation;
         members_.clear();
-        lives_.clear();
-        for (auto const& [vm, life] : members)
-            if (lives_.emplace(vm, life).second)
+        incarnations_.clear();
+        for (auto const& [vm, incarnation_number] : members)
+            if (incarnations_.emplace(vm, incarnation_number).second)
                 members_.push_back(vm);
     }
 
     vm_id const& self() const { return self_; }
-    incarnation own_life() const { return own_life_; }
+    incarnation own_incarnation() const { return own_incarnation_; }
     std::vector<vm_id> const& members() const { return members_; }
 
     /// Whether this VM is a member; only then does it give or ask promises.
-    bool joined() const { return !own_life_.none() && lives_.contains(self_); }
+    bool is_registered() const
+    {
+        return !own_incarnation_.none() && incarnations_.contains(self_);
+    }
 
     /// Whether the answer comes from that member's present life.
-    bool is_member(vm_id const& vm, incarnation life) const
+    bool is_member(vm_id const& vm, incarnation incarnation_number) const
     {
-        auto const found = lives_.find(vm);
-        return found != lives_.end() && found->second == life;
+        auto const found = incarnations_.find(vm);
+        return found != incarnations_.end() &&
+               found->second == incarnation_number;
     }
 
     /// Unique over this VM's lives: else a late answer to a former life's
     /// question would count from the moment this life asked another.
-    std::uint64_t next_question()
+    std::uint64_t next_question_number()
     {
-        constexpr unsigned life_shift = 32;
-        return (own_life_.value() << life_shift) + ++questions_;
+        constexpr unsigned incarnation_shift = 32;
+        return (own_incarnation_.value() << incarnation_shift) +
+               ++question_count_;
     }
 
-    void tell_all(peer_message const& message, action_list& actions) const
+    void broadcast(peer_message const& message, action_list& actions) const
     {
         for (vm_id const& member : members_)
             if (member != self_)
@@ -63,10 +68,10 @@
 
 private:
     vm_id self_;
-    incarnation own_life_;
+    incarnation own_incarnation_;
     std::vector<vm_id> members_;
-    std::map<vm_id, incarnation> lives_;
-    std::uint64_t questions_ = 0;
+    std::map<vm_id, incarnation> incarnations_;
+    std::uint64_t question_count_ = 0;
 };
 
 } // namespace mulberry
--- a/src/configuration_reader.cpp
+++ b/src/configuration_reader.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-constexpr duration fetch_retry = std::chrono::milliseconds(400);
+constexpr duration fetch_retry_delay = std::chrono::milliseconds(400);
 
-note_event note(std::string kind, std::string text)
+note_event log_entry(std::string kind, std::string text)
 {
     return {"configuration", std::move(kind), std::move(text)};
 }
@@ -36,7 +36,7 @@
 {
     read_now(now, actions);
     // VMs that start together do not poll together.
-    next_poll_ = now + jitter_.about(settings_.poll);
+    next_poll_ = now + jitter_.about(settings_.poll_interval);
 }
 
 void configuration_reader::tick(time_point now, action_list& actions)
@@ -44,14 +44,14 @@
     drop_overdue_reads(now);
     if (next_poll_ <= now)
     {
-        next_poll_ =
-            std::max(next_poll_ + settings_.poll, now + settings_.poll / 2);
-        read_surely(now, actions);
+        next_poll_ = std::max(next_poll_ + settings_.poll_interval,
+                              now + settings_.poll_interval / 2);
+        read_with_retry(now, actions);
     }
-    if (ask_again_ <= now)
+    if (retry_read_at_ <= now)
     {
         // One lost answer, or one connection gone silent, is no outage.
-        ask_again_ = never;
+        retry_read_at_ = never;
         read_now(now, actions);
     }
     if (next_fetch_ <= now)
@@ -68,17 +68,17 @@
     operation_id const operation = ids_.next_operation();
     time_point const deadline = now + settings_.table_timeout;
     reads_[operation] = {now, deadline + settings_.table_timeout};
-    if (rules_.reads_may_lag())
+    if (rules_.allows_stale_reads())
         actions.emplace_back(
             read_row{operation, configuration_key(), deadline});
     else
-        actions.emplace_back(
-            transact{operation, current_read({configuration_key()}), deadline});
+        actions.emplace_back(transact{
+            operation, linearizable_read({configuration_key()}), deadline});
 }
 
-void configuration_reader::read_surely(time_point now, action_list& actions)
+void configuration_reader::read_with_retry(time_point now, action_list& actions)
 {
-    ask_again_ = now + overdue_after();
+    retry_read_at_ = now + overdue_after();
     read_now(now, actions);
 }
 
@@ -104,59 +104,61 @@
 {
     if (reply.outcome == table_outcome::refused)
     {
-        next_poll_ =
-            std::min(next_poll_, now + jitter_.about(settings_.poll / 2));
+        next_poll_ = std::min(next_poll_,
+                              now + jitter_.about(settings_.poll_interval / 2));
         return;
     }
     if (reply.outcome == table_outcome::unreachable)
     {
-        note_unanswered(read);
+        count_failure(read);
         return;
     }
-    table_heard(read.asked_at);
-    ask_again_ = never;
+    on_table_answer(read.asked_at);
+    retry_read_at_ = never;
     auto const row = find_configuration_row(reply.rows, configuration_key());
     if (!row)
     {
-        note_fault("the configuration row is malformed", actions);
+        log_fault("the configuration row is malformed", actions);
         return;
     }
-    last_read_ = std::max(last_read_.value_or(read.asked_at), read.asked_at);
-    if (read.asked_at >= heard_of_at_)
-        heard_of_ = config_version();
-    see_row(*row, rules_.counts_from(read.asked_at, now), now, actions);
+    last_read_asked_at_ =
+        std::max(last_read_asked_at_.value_or(read.asked_at), read.asked_at);
+    if (read.asked_at >= reported_at_)
+        reported_version_ = config_version();
+    on_row(*row, rules_.valid_from(read.asked_at, now), now, actions);
 }
 
-void configuration_reader::see_row(configuration_row const& row,
-                                   time_point asked_at, time_point now,
-                                   action_list& actions)
+void configuration_reader::on_row(configuration_row const& row,
+                                  time_point asked_at, time_point now,
+                                  action_list& actions)
 {
     if (row.version == in_force_)
-        agreed_ = std::max(agreed_.value_or(asked_at), asked_at);
-    if (row.version == seen_.version)
-        seen_at_ = std::max(seen_at_, asked_at);
-    if (!checks_.replaces(seen_.version, row.version) ||
-        row.version == seen_.version)
+        last_agreeing_read_at_ =
+            std::max(last_agreeing_read_at_.value_or(asked_at), asked_at);
+    if (row.version == latest_row_.version)
+        latest_row_read_at_ = std::max(latest_row_read_at_, asked_at);
+    if (!checks_.replaces(latest_row_.version, row.version) ||
+        row.version == latest_row_.version)
         return;
-    seen_ = row;
-    seen_at_ = asked_at;
-    if (seen_.version != in_force_)
+    latest_row_ = row;
+    latest_row_read_at_ = asked_at;
+    if (latest_row_.version != in_force_)
         fetch(now, actions);
 }
 
 void configuration_reader::fetch(time_point now, action_list& actions)
 {
     next_fetch_ = never;
-    if (kept_text_ && kept_digest_ == seen_.digest)
+    if (cached_text_ && cached_digest_ == latest_row_.digest)
     {
-        auto const text = std::exchange(kept_text_, nullptr);
-        load(seen_, *text, now, actions);
+        auto const text = std::exchange(cached_text_, nullptr);
+        load(latest_row_, *text, now, actions);
         return;
     }
     operation_id const operation = ids_.next_operation();
-    fetches_[operation] = seen_;
-    actions.emplace_back(
-        fetch_object{operation, seen_.object, now + settings_.table_timeout});
+    fetches_[operation] = latest_row_;
+    actions.emplace_back(fetch_object{operation, latest_row_.object,
+                                      now + settings_.table_timeout});
     // Also should no reply come.
     next_fetch_ = now + 2 * settings_.table_timeout;
 }
@@ -196,114 +198,118 @@
         retry_fetch(row, "its object is no declaration", now, actions);
         return;
     }
-    bool const newest = row.version == seen_.version;
+    bool const newest = row.version == latest_row_.version;
     in_force_ = row.version;
-    value_ = std::make_shared<declaration const>(
+    declaration_ = std::make_shared<declaration const>(
         std::move(std::get<declaration>(parsed)));
-    agreed_ = newest ? std::optional(seen_at_) : std::nullopt;
+    last_agreeing_read_at_ =
+        newest ? std::optional(latest_row_read_at_) : std::nullopt;
     if (newest)
         next_fetch_ = never;
-    events_.push_back({in_force_, value_});
+    activated_.push_back({in_force_, declaration_});
     actions.emplace_back(
-        note("configuration-in-force", version_text(in_force_)));
+        log_entry("configuration-in-force", version_text(in_force_)));
 }
 
 void configuration_reader::retry_fetch(configuration_row const& row,
                                        std::string const& why, time_point now,
                                        action_list& actions)
 {
-    note_fault(version_text(row.version) + " cannot be loaded: " + why,
-               actions);
-    if (seen_.version != in_force_)
-        next_fetch_ = now + jitter_.about(fetch_retry);
+    log_fault(version_text(row.version) + " cannot be loaded: " + why, actions);
+    if (latest_row_.version != in_force_)
+        next_fetch_ = now + jitter_.about(fetch_retry_delay);
 }
 
-void configuration_reader::note_fault(std::string const& text,
-                                      action_list& actions)
+void configuration_reader::log_fault(std::string const& text,
+                                     action_list& actions)
 {
     // Once for each fault, not for each retry.
-    if (noted_fault_ == text)
+    if (logged_fault_ == text)
         return;
-    noted_fault_ = text;
-    actions.emplace_back(note("configuration-unreadable", text));
+    logged_fault_ = text;
+    actions.emplace_back(log_entry("configuration-unreadable", text));
 }
 
-void configuration_reader::hear_of(config_version version, time_point now,
-                                   action_list& actions)
+void configuration_reader::on_version_reported(config_version version,
+                                               time_point now,
+                                               action_list& actions)
 {
     if (version <= highest())
         return;
-    heard_of_ = version;
-    heard_of_at_ = now;
+    reported_version_ = version;
+    reported_at_ = now;
     read_now(now, actions);
 }
 
-void configuration_reader::table_heard(time_point asked_at)
+void configuration_reader::on_table_answer(time_point asked_at)
 {
-    if (asked_at <= last_answer_)
+    if (asked_at <= last_answer_asked_at_)
         return;
-    last_answer_ = asked_at;
+    last_answer_asked_at_ = asked_at;
     failures_ = 0;
 }
 
-void configuration_reader::keep_text(std::string digest,
-                                     std::shared_ptr<std::string const> text)
+void configuration_reader::cache_text(std::string digest,
+                                      std::shared_ptr<std::string const> text)
 {
-    kept_digest_ = std::move(digest);
-    kept_text_ = std::move(text);
+    cached_digest_ = std::move(digest);
+    cached_text_ = std::move(text);
 }
 
 config_version configuration_reader::highest() const
 {
-    return std::max({in_force_, seen_.version, heard_of_});
+    return std::max({in_force_, latest_row_.version, reported_version_});
 }
 
-bool configuration_reader::fresh(time_point now) const
+bool configuration_reader::is_fresh(time_point now) const
 {
-    return agreed_ && now < *agreed_ + settings_.bound;
+    return last_agreeing_read_at_ &&
+           now < *last_agreeing_read_at_ + settings_.staleness_bound;
 }
 
-bool configuration_reader::heard(time_point now) const
+bool configuration_reader::is_table_reachable(time_point now) const
 {
     // At a slow poll the last answer is old also while all is well.
-    duration const recent = std::max(
-        settings_.outage_after, settings_.poll + settings_.table_timeout / 2);
-    return last_answer_ && now < *last_answer_ + recent;
+    duration const recent =
+        std::max(settings_.outage_after,
+                 settings_.poll_interval + settings_.table_timeout / 2);
+    return last_answer_asked_at_ && now < *last_answer_asked_at_ + recent;
 }
 
-bool configuration_reader::lost(time_point now) const
+bool configuration_reader::is_table_unreachable(time_point now) const
 {
-    if (!last_answer_ || now < *last_answer_ + settings_.outage_after)
+    if (!last_answer_asked_at_ ||
+        now < *last_answer_asked_at_ + settings_.outage_after)
         return false;
     auto const unanswered = static_cast<std::size_t>(std::count_if(
         reads_.begin(), reads_.end(),
-        [&](auto const& read) { return overdue(read.second, now); }));
+        [&](auto const& read) { return is_overdue(read.second, now); }));
     return failures_ + unanswered >= 2;
 }
 
 // A shell that never replies is as a table that never answers.
 void configuration_reader::drop_overdue_reads(time_point now)
 {
-    auto const given_up = [&](auto const& read)
+    auto const is_expired = [&](auto const& read)
     {
-        bool const over = read.second.give_up_at <= now;
-        if (over)
-            note_unanswered(read.second);
-        return over;
+        bool const expired = read.second.expires_at <= now;
+        if (expired)
+            count_failure(read.second);
+        return expired;
     };
-    std::erase_if(reads_, given_up);
+    std::erase_if(reads_, is_expired);
 }
 
-void configuration_reader::note_unanswered(pending_read const& read)
+void configuration_reader::count_failure(pending_read const& read)
 {
-    if (read.asked_at > last_answer_)
+    if (read.asked_at > last_answer_asked_at_)
         ++failures_;
 }
 
-bool configuration_reader::overdue(pending_read const& read,
-                                   time_point now) const
+bool configuration_reader::is_overdue(pending_read const& read,
+                                      time_point now) const
 {
-    return read.asked_at > last_answer_ &&
+    return read.asked_at > last_answer_asked_at_ &&
            read.asked_at + overdue_after() <= now;
 }
 
@@ -314,7 +320,7 @@
 
 std::vector<configuration_in_force> configuration_reader::take_in_force()
 {
-    return std::exchange(events_, {});
+    return std::exchange(activated_, {});
 }
 
 } // namespace mulberry
--- a/src/configuration_reader.hpp
+++ b/src/configuration_reader.hpp
@@ -37,51 +37,56 @@
     /// Reads the row without waiting for the next poll.
     void read_now(time_point now, action_list& actions);
     /// The same, asked again soon unless it is answered.
-    void read_surely(time_point now, action_list& actions);
+    void read_with_retry(time_point now, action_list& actions);
     /// A peer spoke of that version. It is never put in force for that; the
     /// row is read, once for each version that is news.
-    void hear_of(config_version version, time_point now, action_list& actions);
+    void on_version_reported(config_version version, time_point now,
+                             action_list& actions);
     /// The table answered something that was asked then.
-    void table_heard(time_point asked_at);
+    void on_table_answer(time_point asked_at);
     /// Spares fetching a text that this VM has at hand.
-    void keep_text(std::string digest, std::shared_ptr<std::string const> text);
+    void cache_text(std::string digest,
+                    std::shared_ptr<std::string const> text);
 
     config_version version() const { return in_force_; }
-    std::shared_ptr<declaration const> current() const { return value_; }
+    std::shared_ptr<declaration const> current() const { return declaration_; }
     /// The highest version that this VM read or heard of. A version heard of
     /// counts until a read that was asked later shows what the row says.
     config_version highest() const;
     /// Whether the last read that agreed with the version in force is recent.
-    bool fresh(time_point now) const;
-    bool heard(time_point now) const;
+    bool is_fresh(time_point now) const;
+    bool is_table_reachable(time_point now) const;
     /// Whether the table left at least two questions unanswered, and none was
     /// answered for a while.
-    bool lost(time_point now) const;
+    bool is_table_unreachable(time_point now) const;
     /// When the newest answered read of the row was asked, if any was.
-    std::optional<time_point> last_read() const { return last_read_; }
+    std::optional<time_point> last_read_asked_at() const
+    {
+        return last_read_asked_at_;
+    }
     std::vector<configuration_in_force> take_in_force();
 
 private:
     struct pending_read
     {
         time_point asked_at;
-        time_point give_up_at;
+        time_point expires_at;
     };
 
     duration overdue_after() const;
-    bool overdue(pending_read const& read, time_point now) const;
+    bool is_overdue(pending_read const& read, time_point now) const;
     void drop_overdue_reads(time_point now);
-    void note_unanswered(pending_read const& read);
+    void count_failure(pending_read const& read);
     void finish_read(pending_read const& read, table_reply const& reply,
                      time_point now, action_list& actions);
-    void see_row(configuration_row const& row, time_point asked_at,
-                 time_point now, action_list& actions);
+    void on_row(configuration_row const& row, time_point asked_at,
+                time_point now, action_list& actions);
     void fetch(time_point now, action_list& actions);
     void load(configuration_row const& row, std::string const& text,
               time_point now, action_list& actions);
     void retry_fetch(configuration_row const& row, std::string const& why,
                      time_point now, action_list& actions);
-    void note_fault(std::string const& text, action_list& actions);
+    void log_fault(std::string const& text, action_list& actions);
 
     configuration_settings const& settings_;
     safeguards const& checks_;
@@ -92,28 +97,28 @@
     std::map<operation_id, pending_read> reads_;
     time_point next_poll_ = never;
     /// When the last poll is asked again unless it is answered.
-    time_point ask_again_ = never;
-    std::optional<time_point> last_read_;
-    std::optional<time_point> last_answer_;
+    time_point retry_read_at_ = never;
+    std::optional<time_point> last_read_asked_at_;
+    std::optional<time_point> last_answer_asked_at_;
     /// Reads asked since then that failed.
     std::size_t failures_ = 0;
     /// When the newest read that agreed with the version in force was asked.
-    std::optional<time_point> agreed_;
+    std::optional<time_point> last_agreeing_read_at_;
 
     config_version in_force_;
-    std::shared_ptr<declaration const> value_;
+    std::shared_ptr<declaration const> declaration_;
     /// The highest row seen, and when the newest read of it was asked.
-    configuration_row seen_;
-    time_point seen_at_{};
-    config_version heard_of_;
-    time_point heard_of_at_{};
+    configuration_row latest_row_;
+    time_point latest_row_read_at_{};
+    config_version reported_version_;
+    time_point reported_at_{};
 
     std::map<operation_id, configuration_row> fetches_;
     time_point next_fetch_ = never;
-    std::string noted_fault_;
-    std::string kept_digest_;
-    std::shared_ptr<std::string const> kept_text_;
-    std::vector<configuration_in_force> events_;
+    std::string logged_fault_;
+    std::string cached_digest_;
+    std::shared_ptr<std::string const> cached_text_;
+    std::vector<configuration_in_force> activated_;
 };
 
 } // namespace mulberry
--- a/src/configuration_row.cpp
+++ b/src/configuration_row.cpp
@@ -70,7 +70,7 @@
     return Json::writeString(builder, root);
 }
 
-table_transaction current_read(std::vector<std::string> const& keys)
+table_transaction linearizable_read(std::vector<std::string> const& keys)
 {
     table_transaction read;
     for (std::string const& key : keys)
--- a/src/configuration_row.hpp
+++ b/src/configuration_row.hpp
@@ -41,7 +41,7 @@
 
 /// A transaction without writes, whose condition fails for each row that
 /// exists and so returns it: a read that does not lag.
-table_transaction current_read(std::vector<std::string> const& keys);
+table_transaction linearizable_read(std::vector<std::string> const& keys);
 
 } // namespace mulberry
 
--- a/src/confirm_run.cpp
+++ b/src/confirm_run.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-constexpr duration retry_pause = std::chrono::milliseconds(200);
+constexpr duration retry_delay = std::chrono::milliseconds(200);
 
-note_event note(std::string kind, std::string text)
+note_event log_entry(std::string kind, std::string text)
 {
     return {"configuration", std::move(kind), std::move(text)};
 }
@@ -22,27 +22,27 @@
 
 } // namespace
 
-confirm_run::confirm_run(confirm_order order, confirm_surroundings around)
-    : order_(std::move(order)), around_(around), promises_(around.rules)
+confirm_run::confirm_run(confirm_request request, confirm_context context)
+    : request_(std::move(request)), context_(context), promises_(context.rules)
 {
 }
 
-config_version confirm_run::wanted() const
+config_version confirm_run::target_version() const
 {
-    return config_version(order_.base.value() + 1);
+    return config_version(request_.base.value() + 1);
 }
 
-time_point confirm_run::promises_end() const
+time_point confirm_run::majority_end() const
 {
-    return promises_.majority_until(around_.peers.members());
+    return promises_.majority_until(context_.peers.members());
 }
 
 void confirm_run::begin(time_point now, action_list& actions)
 {
-    deadline_ = now + around_.settings.confirm_timeout;
-    actions.emplace_back(
-        note("confirm-started", version_text(wanted()) + " on " +
-                                    std::to_string(order_.base.value())));
+    deadline_ = now + context_.settings.confirm_timeout;
+    actions.emplace_back(log_entry("confirm-started",
+                                   version_text(target_version()) + " on " +
+                                       std::to_string(request_.base.value())));
     read(now, actions);
 }
 
@@ -52,28 +52,29 @@
 {
     step_ = next;
     retry_at_ = never;
-    operation_ = around_.ids.next_operation();
-    operation_overdue_ =
-        std::max(deadline, now) + around_.settings.table_timeout;
+    operation_ = context_.ids.next_operation();
+    operation_expires_at_ =
+        std::max(deadline, now) + context_.settings.table_timeout;
     actions.emplace_back(
         transact{operation_, std::move(transaction), deadline});
 }
 
 void confirm_run::retry_later(time_point now)
 {
-    retry_at_ = now + around_.random.about(retry_pause);
+    retry_at_ = now + context_.random.about(retry_delay);
 }
 
 void confirm_run::read(time_point now, action_list& actions)
 {
     send(step::reading,
-         current_read({configuration_key(), confirmed_key(wanted())}),
-         now + around_.settings.table_timeout, now, actions);
+         linearizable_read(
+             {configuration_key(), confirmed_key(target_version())}),
+         now + context_.settings.table_timeout, now, actions);
 }
 
 bool confirm_run::knows(operation_id operation) const
 {
-    return !over() && !operation.none() && operation == operation_;
+    return !is_finished() && !operation.none() && operation == operation_;
 }
 
 void confirm_run::on_table(table_reply const& reply, time_point now,
@@ -84,11 +85,11 @@
     operation_ = operation_id();
     if (step_ == step::writing)
         on_write(reply, now, actions);
-    else if (step_ == step::fencing)
-        on_fence(reply, now, actions);
+    else if (step_ == step::invalidating)
+        on_invalidated(reply, now, actions);
     else if (reply.outcome == table_outcome::done ||
              reply.outcome == table_outcome::conflict)
-        decide(reply.rows, now, actions);
+        on_row_read(reply.rows, now, actions);
     else
         retry_later(now);
 }
@@ -99,16 +100,16 @@
     switch (reply.outcome)
     {
     case table_outcome::done:
-        landed(now, actions);
+        on_written(now, actions);
         break;
     case table_outcome::conflict:
         // Not this try, but perhaps the same one sent twice on the way: the
         // rows tell.
-        written_under_.reset();
-        decide(reply.rows, now, actions);
+        pending_write_version_.reset();
+        on_row_read(reply.rows, now, actions);
         break;
     case table_outcome::refused:
-        written_under_.reset();
+        pending_write_version_.reset();
         step_ = step::reading;
         retry_later(now);
         break;
@@ -118,26 +119,27 @@
     }
 }
 
-void confirm_run::on_fence(table_reply const& reply, time_point now,
-                           action_list& actions)
+void confirm_run::on_invalidated(table_reply const& reply, time_point now,
+                                 action_list& actions)
 {
     if (reply.outcome == table_outcome::conflict)
     {
-        decide(reply.rows, now, actions);
+        on_row_read(reply.rows, now, actions);
         return;
     }
     if (reply.outcome == table_outcome::done)
-        written_under_.reset();
+        pending_write_version_.reset();
     step_ = step::reading;
     retry_later(now);
 }
 
-void confirm_run::decide(std::vector<table_row> const& rows, time_point now,
-                         action_list& actions)
+void confirm_run::on_row_read(std::vector<table_row> const& rows,
+                              time_point now, action_list& actions)
 {
     auto const row = find_configuration_row(rows, configuration_key());
-    auto const mine = find_configuration_row(rows, confirmed_key(wanted()));
-    if (!row || !mine)
+    auto const confirmed_row =
+        find_configuration_row(rows, confirmed_key(target_version()));
+    if (!row || !confirmed_row)
     {
         step_ = step::reading;
         retry_later(now);
@@ -145,39 +147,39 @@
     }
     row_ = *row;
     // The row moved on: the write's condition can never hold again.
-    if (written_under_ &&
-        (*written_under_ != row_.at || !around_.rules.may_land_yet()))
-        written_under_.reset();
-    if (mine->token == order_.token)
-        landed(now, actions);
-    else if (written_under_)
-        fence(now, actions);
-    else if (row_.version != order_.base)
+    if (pending_write_version_ && (*pending_write_version_ != row_.at ||
+                                   !context_.rules.may_apply_later()))
+        pending_write_version_.reset();
+    if (confirmed_row->token == request_.token)
+        on_written(now, actions);
+    else if (pending_write_version_)
+        invalidate_write(now, actions);
+    else if (row_.version != request_.base)
         refuse(error(error_kind::plan_outdated,
                      "the configuration changed since the plan was made: " +
                          version_text(row_.version) + " is confirmed",
                      ran::no),
                actions);
-    else if (told_)
+    else if (answered_)
         refuse(error(error_kind::platform_unavailable,
                      "the write did not take effect and cannot any more",
                      ran::no),
                actions);
-    else if (!stored_)
+    else if (!object_stored_)
         store(now, actions);
     else
-        gather(now, actions);
+        gather_promises(now, actions);
 }
 
 void confirm_run::store(time_point now, action_list& actions)
 {
     step_ = step::storing;
     retry_at_ = never;
-    operation_ = around_.ids.next_operation();
-    time_point const deadline = now + around_.settings.table_timeout;
-    operation_overdue_ = deadline + around_.settings.table_timeout;
+    operation_ = context_.ids.next_operation();
+    time_point const deadline = now + context_.settings.table_timeout;
+    operation_expires_at_ = deadline + context_.settings.table_timeout;
     actions.emplace_back(store_object{
-        operation_, declaration_key(order_.digest), order_.text, deadline});
+        operation_, declaration_key(request_.digest), request_.text, deadline});
 }
 
 void confirm_run::on_object(object_reply const& reply, time_point now,
@@ -191,111 +193,115 @@
         retry_later(now);
         return;
     }
-    stored_ = true;
-    gather(now, actions);
+    object_stored_ = true;
+    gather_promises(now, actions);
 }
 
-void confirm_run::gather(time_point now, action_list& actions)
+void confirm_run::gather_promises(time_point now, action_list& actions)
 {
     step_ = step::gathering;
     retry_at_ = never;
-    gather_until_ = now + around_.settings.promise;
-    ask(now, actions);
-    use_majority(now, actions);
+    gather_deadline_ = now + context_.settings.promise_duration;
+    request_promises(now, actions);
+    proceed_with_majority(now, actions);
 }
 
-void confirm_run::ask(time_point now, action_list& actions)
+void confirm_run::request_promises(time_point now, action_list& actions)
 {
-    ask_again_ = now + around_.random.about(around_.settings.promise / 4);
-    if (!around_.peers.joined())
+    next_request_at_ =
+        now + context_.random.about(context_.settings.promise_duration / 4);
+    if (!context_.peers.is_registered())
         return;
-    std::uint64_t const number = around_.peers.next_question();
-    promises_.ask(number, now);
-    given_promises::facts const own{around_.reader.heard(now),
-                                    around_.reader.lost(now),
-                                    around_.reader.highest()};
-    if (around_.given.promise_confirm(own, order_.base, now))
-        promises_.add_own(around_.peers.self(), now + around_.settings.promise);
-    around_.peers.tell_all(confirm_question{number, order_.base}, actions);
+    std::uint64_t const number = context_.peers.next_question_number();
+    promises_.record_question(number, now);
+    given_promises::observed_state const own{
+        context_.reader.is_table_reachable(now),
+        context_.reader.is_table_unreachable(now), context_.reader.highest()};
+    if (context_.given.promise_confirm(own, request_.base, now))
+        promises_.add_own(context_.peers.self(),
+                          now + context_.settings.promise_duration);
+    context_.peers.broadcast(confirm_question{number, request_.base}, actions);
 }
 
 void confirm_run::on_answer(vm_id const& from, confirm_answer const& answer,
                             time_point now, action_list& actions)
 {
-    if (over() || !answer.promised ||
-        !around_.peers.is_member(from, answer.life))
+    if (is_finished() || !answer.promised ||
+        !context_.peers.is_member(from, answer.life))
         return;
     promises_.add(from, answer.number, answer.holds_for, now);
     if (step_ == step::gathering)
-        use_majority(now, actions);
+        proceed_with_majority(now, actions);
 }
 
-void confirm_run::use_majority(time_point now, action_list& actions)
+void confirm_run::proceed_with_majority(time_point now, action_list& actions)
 {
-    time_point const end = promises_end();
-    if (landed_)
+    time_point const end = majority_end();
+    if (written_)
     {
-        if (around_.rules.promises_cover(now, end))
+        if (context_.rules.promises_cover(now, end))
             succeed();
         return;
     }
     // Some of the time is kept for the write itself.
-    if (now + around_.settings.promise / 4 < end)
+    if (now + context_.settings.promise_duration / 4 < end)
         write(now, actions);
 }
 
 void confirm_run::write(time_point now, action_list& actions)
 {
-    configuration_row const next{row_version(), order_.token, wanted(),
-                                 order_.digest, declaration_key(order_.digest)};
+    configuration_row const next{row_version(), request_.token,
+                                 target_version(), request_.digest,
+                                 declaration_key(request_.digest)};
     std::string const text = write_configuration_row(next);
     table_transaction transaction;
     transaction.conditions = {{configuration_key(), row_.at},
-                              {confirmed_key(wanted()), row_version()}};
+                              {confirmed_key(target_version()), row_version()}};
     transaction.writes = {{configuration_key(), text},
-                          {confirmed_key(wanted()), text}};
-    written_under_ = row_.at;
+                          {confirmed_key(target_version()), text}};
+    pending_write_version_ = row_.at;
     time_point const deadline =
-        std::min(promises_end(), now + around_.settings.table_timeout);
+        std::min(majority_end(), now + context_.settings.table_timeout);
     send(step::writing, std::move(transaction), deadline, now, actions);
 }
 
 // A write whose answer is lost may land at any later time, long after its
 // promises. The same text under a new row version makes it conflict for good;
 // the token inside stays, for whoever reads back under it.
-void confirm_run::fence(time_point now, action_list& actions)
+void confirm_run::invalidate_write(time_point now, action_list& actions)
 {
     table_transaction transaction;
     transaction.conditions = {{configuration_key(), row_.at},
-                              {confirmed_key(wanted()), row_version()}};
+                              {confirmed_key(target_version()), row_version()}};
     transaction.writes = {{configuration_key(), write_configuration_row(row_)}};
-    send(step::fencing, std::move(transaction),
-         now + around_.settings.table_timeout, now, actions);
+    send(step::invalidating, std::move(transaction),
+         now + context_.settings.table_timeout, now, actions);
 }
 
-void confirm_run::landed(time_point now, action_list& actions)
-{
-    landed_ = true;
-    written_under_.reset();
-    actions.emplace_back(note("confirm-written", version_text(wanted())));
-    around_.peers.tell_all(configuration_hint{wanted()}, actions);
-    around_.reader.keep_text(order_.digest, order_.text);
-    around_.reader.read_now(now, actions);
-    if (told_)
-        step_ = step::over;
-    else if (around_.rules.promises_cover(now, promises_end()))
+void confirm_run::on_written(time_point now, action_list& actions)
+{
+    written_ = true;
+    pending_write_version_.reset();
+    actions.emplace_back(
+        log_entry("confirm-written", version_text(target_version())));
+    context_.peers.broadcast(configuration_hint{target_version()}, actions);
+    context_.reader.cache_text(request_.digest, request_.text);
+    context_.reader.read_now(now, actions);
+    if (answered_)
+        step_ = step::finished;
+    else if (context_.rules.promises_cover(now, majority_end()))
         succeed();
     else
-        gather(now, actions);
+        gather_promises(now, actions);
 }
 
 void confirm_run::tick(time_point now, action_list& actions)
 {
-    if (!over() && !told_ && now >= deadline_)
-        time_out(actions);
-    if (over())
+    if (!is_finished() && !answered_ && now >= deadline_)
+        on_deadline(actions);
+    if (is_finished())
         return;
-    if (!operation_.none() && now >= operation_overdue_)
+    if (!operation_.none() && now >= operation_expires_at_)
     {
         // No reply came at all: the same as one that says unreachable.
         operation_ = operation_id();
@@ -303,12 +309,12 @@
             step_ = step::reading;
         retry_later(now);
     }
-    if (step_ == step::gathering && now >= gather_until_)
-        gathered_too_few(now, actions);
-    else if (step_ == step::gathering && now >= ask_again_)
+    if (step_ == step::gathering && now >= gather_deadline_)
+        on_gather_timeout(now, actions);
+    else if (step_ == step::gathering && now >= next_request_at_)
     {
-        ask(now, actions);
-        use_majority(now, actions);
+        request_promises(now, actions);
+        proceed_with_majority(now, actions);
     }
     if (now >= retry_at_ && step_ == step::storing)
         store(now, actions);
@@ -316,71 +322,72 @@
         read(now, actions);
 }
 
-void confirm_run::gathered_too_few(time_point now, action_list& actions)
+void confirm_run::on_gather_timeout(time_point now, action_list& actions)
 {
-    if (landed_)
+    if (written_)
     {
-        gather(now, actions);
+        gather_promises(now, actions);
         return;
     }
-    std::size_t const members = around_.peers.members().size();
-    std::size_t const reached = promises_.running(around_.peers.members(), now);
+    std::size_t const members = context_.peers.members().size();
+    std::size_t const reached =
+        promises_.count_valid(context_.peers.members(), now);
     refuse(error(error_kind::platform_unavailable,
                  "only " + std::to_string(reached) + " of " +
                      std::to_string(members) +
                      " VMs can be reached and read the table; a change needs "
                      "more than half. Nothing was changed",
-                 ran::no, around_.settings.promise),
+                 ran::no, context_.settings.promise_duration),
            actions);
 }
 
-void confirm_run::time_out(action_list& actions)
+void confirm_run::on_deadline(action_list& actions)
 {
-    if (landed_)
+    if (written_)
     {
-        settle(error(error_kind::outcome_unknown,
-                     version_text(wanted()) +
-                         " was written, but too few VMs have promised to "
-                         "follow it yet",
-                     ran::unknown, around_.settings.promise));
-        step_ = step::over;
+        set_result(error(error_kind::outcome_unknown,
+                         version_text(target_version()) +
+                             " was written, but too few VMs have promised to "
+                             "follow it yet",
+                         ran::unknown, context_.settings.promise_duration));
+        step_ = step::finished;
         return;
     }
-    if (written_under_)
+    if (pending_write_version_)
     {
-        settle(error(error_kind::outcome_unknown,
-                     "the table did not answer: the change may have taken "
-                     "effect or may yet",
-                     ran::unknown, around_.settings.promise));
+        set_result(error(error_kind::outcome_unknown,
+                         "the table did not answer: the change may have taken "
+                         "effect or may yet",
+                         ran::unknown, context_.settings.promise_duration));
         return;
     }
     std::string const where = step_ == step::storing ? "object store" : "table";
     refuse(error(error_kind::platform_unavailable,
                  "the " + where + " cannot be reached. Nothing was changed",
-                 ran::no, around_.settings.promise),
+                 ran::no, context_.settings.promise_duration),
            actions);
 }
 
 void confirm_run::succeed()
 {
-    settle(wanted());
-    step_ = step::over;
+    set_result(target_version());
+    step_ = step::finished;
 }
 
 void confirm_run::refuse(error why, action_list& actions)
 {
-    actions.emplace_back(
-        note("confirm-refused", version_text(wanted()) + ": " + why.text()));
-    settle(std::move(why));
-    step_ = step::over;
+    actions.emplace_back(log_entry(
+        "confirm-refused", version_text(target_version()) + ": " + why.text()));
+    set_result(std::move(why));
+    step_ = step::finished;
 }
 
-void confirm_run::settle(std::variant<config_version, error> result)
+void confirm_run::set_result(std::variant<config_version, error> result)
 {
-    if (told_)
+    if (answered_)
         return;
-    told_ = true;
-    settled_ = confirm_settled{order_.ticket, std::move(result), nullptr};
+    answered_ = true;
+    settled_ = confirm_settled{request_.ticket, std::move(result), nullptr};
 }
 
 std::optional<confirm_settled> confirm_run::take_settled()
--- a/src/confirm_run.hpp
+++ b/src/confirm_run.hpp
@@ -19,7 +19,7 @@
 {
 
 /// What a confirm uses of its VM's keeper; outlives the run.
-struct confirm_surroundings
+struct confirm_context
 {
     configuration_settings const& settings;
     promise_rules const& rules;
@@ -31,7 +31,7 @@
 };
 
 /// What an operator wants confirmed.
-struct confirm_order
+struct confirm_request
 {
     std::uint64_t ticket = 0;
     config_version base;
@@ -56,7 +56,7 @@
 class confirm_run
 {
 public:
-    confirm_run(confirm_order order, confirm_surroundings around);
+    confirm_run(confirm_request request, confirm_context context);
 
     void begin(time_point now, action_list& actions);
     void tick(time_point now, action_list& actions);
@@ -72,9 +72,9 @@
     /// The operator's answer, once. `plan_outdated` leaves `current` open.
     std::optional<confirm_settled> take_settled();
     /// For plan_outdated: the version found in the row.
-    config_version found() const { return row_.version; }
+    config_version found_version() const { return row_.version; }
     /// Whether nothing is left to do or to find out.
-    bool over() const { return step_ == step::over; }
+    bool is_finished() const { return step_ == step::finished; }
 
 private:
     enum class step
@@ -83,52 +83,52 @@
         storing,
         gathering,
         writing,
-        fencing,
-        over
+        invalidating,
+        finished
     };
 
     void send(step next, table_transaction transaction, time_point deadline,
               time_point now, action_list& actions);
     void retry_later(time_point now);
     void read(time_point now, action_list& actions);
-    void decide(std::vector<table_row> const& rows, time_point now,
-                action_list& actions);
+    void on_row_read(std::vector<table_row> const& rows, time_point now,
+                     action_list& actions);
     void store(time_point now, action_list& actions);
-    void gather(time_point now, action_list& actions);
-    void ask(time_point now, action_list& actions);
-    void use_majority(time_point now, action_list& actions);
-    void gathered_too_few(time_point now, action_list& actions);
+    void gather_promises(time_point now, action_list& actions);
+    void request_promises(time_point now, action_list& actions);
+    void proceed_with_majority(time_point now, action_list& actions);
+    void on_gather_timeout(time_point now, action_list& actions);
     void write(time_point now, action_list& actions);
-    void fence(time_point now, action_list& actions);
+    void invalidate_write(time_point now, action_list& actions);
     void on_write(table_reply const& reply, time_point now,
                   action_list& actions);
-    void on_fence(table_reply const& reply, time_point now,
-                  action_list& actions);
-    void landed(time_point now, action_list& actions);
-    void time_out(action_list& actions);
+    void on_invalidated(table_reply const& reply, time_point now,
+                        action_list& actions);
+    void on_written(time_point now, action_list& actions);
+    void on_deadline(action_list& actions);
     void succeed();
     void refuse(error why, action_list& actions);
-    void settle(std::variant<config_version, error> result);
-    config_version wanted() const;
-    time_point promises_end() const;
+    void set_result(std::variant<config_version, error> result);
+    config_version target_version() const;
+    time_point majority_end() const;
 
-    confirm_order order_;
-    confirm_surroundings around_;
+    confirm_request request_;
+    confirm_context context_;
     collected_promises promises_;
     step step_ = step::reading;
     time_point deadline_{};
     operation_id operation_;
-    time_point operation_overdue_ = never;
+    time_point operation_expires_at_ = never;
     time_point retry_at_ = never;
-    time_point ask_again_ = never;
-    time_point gather_until_ = never;
+    time_point next_request_at_ = never;
+    time_point gather_deadline_ = never;
     /// The row as last read.
     configuration_row row_;
-    bool stored_ = false;
+    bool object_stored_ = false;
     /// The row's version under which a write of unknown outcome was sent.
-    std::optional<row_version> written_under_;
-    bool landed_ = false;
-    bool told_ = false;
+    std::optional<row_version> pending_write_version_;
+    bool written_ = false;
+    bool answered_ = false;
     std::optional<confirm_settled> settled_;
 };
 
--- a/src/daemon.cpp
+++ b/src/daemon.cpp
@@ -58,8 +58,8 @@
     core.ownership.heartbeat = value.heartbeat;
     core.ownership.seed = value.seed;
     core.configuration.vm = value.vm;
-    core.configuration.poll = value.configuration_poll;
-    core.configuration.bound = value.configuration_bound;
+    core.configuration.poll_interval = value.configuration_poll;
+    core.configuration.staleness_bound = value.configuration_bound;
     core.configuration.seed = value.seed;
     core.services.vm = value.vm;
     core.services.seed = value.seed;
--- a/src/promise_rules.cpp
+++ b/src/promise_rules.cpp
@@ -3,15 +3,17 @@
 namespace mulberry
 {
 
-bool promise_rules::may_promise_outage(giver_state const& giver) const
+bool promise_rules::may_promise_outage(
+    promise_conditions const& conditions) const
 {
-    return giver.table_lost && giver.version_certain &&
-           !giver.confirm_promise_running;
+    return conditions.table_unreachable && conditions.version_certain &&
+           !conditions.confirm_promise_running;
 }
 
-bool promise_rules::may_promise_confirm(giver_state const& giver) const
+bool promise_rules::may_promise_confirm(
+    promise_conditions const& conditions) const
 {
-    return giver.table_heard && !giver.outage_promise_running;
+    return conditions.table_reachable && !conditions.outage_promise_running;
 }
 
 bool promise_rules::is_majority(std::size_t promises, std::size_t members) const
@@ -19,19 +21,19 @@
     return promises > members / 2;
 }
 
-time_point promise_rules::counts_from(time_point asked,
-                                      time_point /*answered*/) const
+time_point promise_rules::valid_from(time_point asked,
+                                     time_point /*answered*/) const
 {
     return asked;
 }
 
-time_point promise_rules::former_promises_end(time_point started,
-                                              duration promise) const
+time_point promise_rules::previous_promises_end(time_point started,
+                                                duration promise) const
 {
     return started + promise;
 }
 
-bool promise_rules::reads_may_lag() const
+bool promise_rules::allows_stale_reads() const
 {
     return false;
 }
@@ -41,7 +43,7 @@
     return now < end;
 }
 
-bool promise_rules::may_land_yet() const
+bool promise_rules::may_apply_later() const
 {
     return true;
 }
--- a/src/promise_store.cpp
+++ b/src/promise_store.cpp
@@ -9,53 +9,55 @@
 {
 
 /// Questions whose answers still count; older ones are long past.
-constexpr std::size_t remembered_questions = 64;
+constexpr std::size_t max_recorded_questions = 64;
 
 } // namespace
 
 given_promises::given_promises(promise_rules const& rules, duration promise)
-    : rules_(rules), promise_(promise)
+    : rules_(rules), promise_duration_(promise)
 {
 }
 
 void given_promises::start(time_point now)
 {
     time_point const end =
-        rules_.former_promises_end(now, record_end(now) - now);
-    outage_until_ = end;
-    confirm_until_ = end;
-    former_until_ = end;
-    former_doubted_ = end > now;
+        rules_.previous_promises_end(now, recorded_promise_end(now) - now);
+    outage_promise_until_ = end;
+    confirm_promise_until_ = end;
+    previous_promises_until_ = end;
+    any_possibly_replaced_ = end > now;
 }
 
 // Failure: the table is lost after a peer's confirm and before this VM could
 // read the row again. Symptom: it stops at the bound and serves none of its
 // workers, although it has the newest version and its peers go on. What it
 // doubts is what a former life may have helped; without one nothing was.
-void given_promises::begin_first_life()
+void given_promises::set_first_incarnation()
 {
-    former_doubted_ = false;
+    any_possibly_replaced_ = false;
 }
 
-bool given_promises::promise_outage(facts const& own, config_version with,
-                                    time_point now)
+bool given_promises::promise_outage(observed_state const& own,
+                                    config_version with, time_point now)
 {
-    if (!rules_.may_promise_outage(state(own, with, now)))
+    if (!rules_.may_promise_outage(conditions_for(own, with, now)))
         return false;
-    outage_until_ = std::max(outage_until_, record_end(now));
+    outage_promise_until_ =
+        std::max(outage_promise_until_, recorded_promise_end(now));
     return true;
 }
 
-bool given_promises::promise_confirm(facts const& own, config_version base,
-                                     time_point now)
+bool given_promises::promise_confirm(observed_state const& own,
+                                     config_version base, time_point now)
 {
-    if (!rules_.may_promise_confirm(state(own, base, now)))
+    if (!rules_.may_promise_confirm(conditions_for(own, base, now)))
         return false;
-    confirm_until_ = std::max(confirm_until_, record_end(now));
+    confirm_promise_until_ =
+        std::max(confirm_promise_until_, recorded_promise_end(now));
     // Before the first confirm there is nothing to doubt: nobody goes on
     // without a version. To doubt version 1 as well would stop every VM if the
     // table were lost right after the first confirm.
-    doubted_ = std::max(doubted_, base);
+    possibly_replaced_ = std::max(possibly_replaced_, base);
     return true;
 }
 
@@ -67,31 +69,33 @@
 // later rests on later promises, and those are this life's, which it remembers.
 void given_promises::read_answered(time_point asked_at)
 {
-    if (asked_at >= former_until_)
-        former_doubted_ = false;
-    if (asked_at >= confirm_until_)
-        doubted_ = config_version();
+    if (asked_at >= previous_promises_until_)
+        any_possibly_replaced_ = false;
+    if (asked_at >= confirm_promise_until_)
+        possibly_replaced_ = config_version();
 }
 
-giver_state given_promises::state(facts const& own, config_version with,
-                                  time_point now) const
+promise_conditions given_promises::conditions_for(observed_state const& own,
+                                                  config_version with,
+                                                  time_point now) const
 {
-    giver_state result;
-    result.table_heard = own.table_heard;
-    result.table_lost = own.table_lost;
-    result.outage_promise_running = now < outage_until_;
-    result.confirm_promise_running = now < confirm_until_;
+    promise_conditions result;
+    result.table_reachable = own.table_reachable;
+    result.table_unreachable = own.table_unreachable;
+    result.outage_promise_running = now < outage_promise_until_;
+    result.confirm_promise_running = now < confirm_promise_until_;
     result.version_certain = !with.none() && with >= own.highest &&
-                             with > doubted_ && !former_doubted_;
+                             with > possibly_replaced_ &&
+                             !any_possibly_replaced_;
     return result;
 }
 
-time_point given_promises::record_end(time_point now) const
+time_point given_promises::recorded_promise_end(time_point now) const
 {
     // Two VMs' clocks run at slightly different rates: by this margin the
     // record outlives the response writer's belief even when no time was spent
     // on the way.
-    return now + promise_ + promise_ / 16;
+    return now + promise_duration_ + promise_duration_ / 16;
 }
 
 collected_promises::collected_promises(promise_rules const& rules)
@@ -99,10 +103,10 @@
 {
 }
 
-void collected_promises::ask(std::uint64_t number, time_point now)
+void collected_promises::record_question(std::uint64_t number, time_point now)
 {
     asked_at_[number] = now;
-    if (asked_at_.size() > remembered_questions)
+    if (asked_at_.size() > max_recorded_questions)
         asked_at_.erase(asked_at_.begin());
 }
 
@@ -118,7 +122,7 @@
     auto const question = asked_at_.find(number);
     if (question == asked_at_.end())
         return false;
-    add_own(from, rules_.counts_from(question->second, now) + holds_for);
+    add_own(from, rules_.valid_from(question->second, now) + holds_for);
     return true;
 }
 
@@ -134,8 +138,8 @@
     until_.clear();
 }
 
-std::size_t collected_promises::running(std::vector<vm_id> const& members,
-                                        time_point now) const
+std::size_t collected_promises::count_valid(std::vector<vm_id> const& members,
+                                            time_point now) const
 {
     auto const holds = [&](vm_id const& member) { return now < until(member); };
     return static_cast<std::size_t>(
--- a/src/vm_core.cpp
+++ b/src/vm_core.cpp
@@ -219,7 +219,7 @@
     admission_facts facts;
     facts.leaving =
         leaving_since_ && now >= *leaving_since_ + settings_.drain_grace;
-    facts.configuration_known = configuration_.known(now);
+    facts.configuration_known = configuration_.is_known(now);
     return checks_->takes_new_work(facts) && ownership_.registered();
 }
 
@@ -363,7 +363,7 @@
 void vm_core::on(clock_ticked const&, time_point now, action_list& actions)
 {
     ownership_.tick(now, actions);
-    configuration_.table_heard(ownership_.table_heard_at());
+    configuration_.on_table_answer(ownership_.table_heard_at());
     refresh_voters(now);
     configuration_.tick(now, actions);
     std::size_t loads_wanted = 0;
--- a/src/vm_core_counts.cpp
+++ b/src/vm_core_counts.cpp
@@ -75,7 +75,7 @@
     result.takes_new_work = takes_new_work(now);
     result.lease_holds = ownership_.lease_holds(now);
     result.going_on_without_table = configuration_.going_on_without_table(now);
-    result.configuration_known = configuration_.known(now);
+    result.configuration_known = configuration_.is_known(now);
     result.configuration = configuration_.version();
     result.declared = declared_;
     result.members = ownership_.members();
--- a/tests/configuration_cluster.cpp
+++ b/tests/configuration_cluster.cpp
@@ -12,12 +12,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr duration tick_pace = 100ms;
-constexpr duration registration_pace = 500ms;
+constexpr duration tick_interval = 100ms;
+constexpr duration registration_interval = 500ms;
 /// From the deadline of a confirm to its answer, at the latest.
-constexpr duration settle_grace = 5s;
+constexpr duration answer_grace = 5s;
 
-std::string declaration_named(std::uint64_t ticket)
+std::string make_declaration(std::uint64_t ticket)
 {
     declaration value;
     value.deployment = "deployment-" + std::to_string(ticket);
@@ -35,7 +35,7 @@
       checks_(checks), vms_(vms)
 {
     // Version 1 is there before the VMs start.
-    std::string const text = declaration_named(0);
+    std::string const text = make_declaration(0);
     std::string const digest = digest_of(text);
     objects_[declaration_key(digest)] = text;
     transact first;
@@ -48,7 +48,7 @@
     for (std::size_t vm = 0; vm < vms; ++vm)
     {
         vms_[vm].id = vm_id("vm-" + std::to_string(vm));
-        at(now_ + within(0ms, 1s), [this, vm] { start_vm(vm); });
+        at(now_ + random_duration(0ms, 1s), [this, vm] { start_vm(vm); });
     }
 }
 
@@ -74,28 +74,28 @@
     return random_() % 100 < percent;
 }
 
-duration configuration_cluster::within(duration least, duration most)
+duration configuration_cluster::random_duration(duration min, duration max)
 {
-    auto const range = static_cast<std::uint64_t>((most - least).count()) + 1;
-    return least + duration(static_cast<duration::rep>(random_() % range));
+    auto const range = static_cast<std::uint64_t>((max - min).count()) + 1;
+    return min + duration(static_cast<duration::rep>(random_() % range));
 }
 
-void configuration_cluster::violate(std::string const& what)
+void configuration_cluster::add_violation(std::string const& what)
 {
     if (std::find(violations_.begin(), violations_.end(), what) ==
         violations_.end())
         violations_.push_back(what);
 }
 
-std::size_t configuration_cluster::knowing()
+std::size_t configuration_cluster::count_knowing()
 {
     return static_cast<std::size_t>(
         std::count_if(vms_.begin(), vms_.end(),
                       [this](virtual_vm const& vm)
-                      { return vm.keeper && vm.keeper->known(now_); }));
+                      { return vm.keeper && vm.keeper->is_known(now_); }));
 }
 
-std::size_t configuration_cluster::at_version(config_version version)
+std::size_t configuration_cluster::count_at_version(config_version version)
 {
     return static_cast<std::size_t>(std::count_if(
         vms_.begin(), vms_.end(),
@@ -105,16 +105,17 @@
 
 // What reaches a paused VM waits in its sockets; what reaches a dead one is
 // lost.
-void configuration_cluster::in_vm(std::size_t index, incarnation life,
-                                  act const& what)
+void configuration_cluster::run_in_vm(std::size_t index,
+                                      incarnation incarnation_number,
+                                      vm_action const& what)
 {
     virtual_vm& vm = vms_[index];
-    if (vm.life != life)
+    if (vm.incarnation_number != incarnation_number)
         return;
     if (now_ < vm.paused_until)
     {
-        at(vm.paused_until,
-           [this, index, life, what] { in_vm(index, life, what); });
+        at(vm.paused_until, [this, index, incarnation_number, what]
+           { run_in_vm(index, incarnation_number, what); });
         return;
     }
     action_list actions;
@@ -122,15 +123,15 @@
     perform(index, actions);
     for (configuration_event const& said : vm.keeper->take_events())
         if (auto const* settled = std::get_if<confirm_settled>(&said))
-            settle(index, *settled);
-    observe(index);
+            on_settled(index, *settled);
+    check_vm(index);
 }
 
 void configuration_cluster::start_vm(std::size_t index)
 {
     virtual_vm& vm = vms_[index];
-    incarnation const life(vm.life.value() + 1);
-    vm.life = life;
+    incarnation const incarnation_number(vm.incarnation_number.value() + 1);
+    vm.incarnation_number = incarnation_number;
     vm.registered = false;
     configuration_settings settings = settings_;
     settings.vm = vm.id;
@@ -138,42 +139,47 @@
     vm.ids = std::make_unique<id_source>();
     vm.keeper = std::make_unique<configuration_keeper>(settings, checks_,
                                                        *vm.ids, rules_);
-    in_vm(index, life,
-          [this](virtual_vm& self, action_list& actions)
-          { self.keeper->start(now_, actions); });
-    tick_vm(index, life);
-    register_vm(index, life);
+    run_in_vm(index, incarnation_number,
+              [this](virtual_vm& self, action_list& actions)
+              { self.keeper->start(now_, actions); });
+    tick_vm(index, incarnation_number);
+    register_vm(index, incarnation_number);
 }
 
-void configuration_cluster::tick_vm(std::size_t index, incarnation life)
-{
-    in_vm(index, life,
-          [this, index, life](virtual_vm& self, action_list& actions)
-          {
-              self.keeper->tick(now_, actions);
-              at(now_ + tick_pace,
-                 [this, index, life] { tick_vm(index, life); });
-          });
+void configuration_cluster::tick_vm(std::size_t index,
+                                    incarnation incarnation_number)
+{
+    run_in_vm(index, incarnation_number,
+              [this, index, incarnation_number](virtual_vm& self,
+                                                action_list& actions)
+              {
+                  self.keeper->tick(now_, actions);
+                  at(now_ + tick_interval, [this, index, incarnation_number]
+                     { tick_vm(index, incarnation_number); });
+              });
 }
 
 // Members are known by rows: a VM joins, and hears of others' new lives, only
 // while it reaches the table.
-void configuration_cluster::register_vm(std::size_t index, incarnation life)
+void configuration_cluster::register_vm(std::size_t index,
+                                        incarnation incarnation_number)
 {
-    if (vms_[index].life != life)
+    if (vms_[index].incarnation_number != incarnation_number)
         return;
-    at(now_ + registration_pace,
-       [this, index, life] { register_vm(index, life); });
+    at(now_ + registration_interval, [this, index, incarnation_number]
+       { register_vm(index, incarnation_number); });
     if (!reaches_table(index) || now_ < vms_[index].paused_until)
         return;
     vms_[index].registered = true;
     std::vector<std::pair<vm_id, incarnation>> members;
     for (virtual_vm const& vm : vms_)
         members.emplace_back(
-            vm.id, vm.registered ? vm.life : incarnation(vm.life.value() - 1));
-    in_vm(index, life,
-          [&](virtual_vm& self, action_list&)
-          { self.keeper->set_members(members, life, now_); });
+            vm.id, vm.registered
+                       ? vm.incarnation_number
+                       : incarnation(vm.incarnation_number.value() - 1));
+    run_in_vm(index, incarnation_number,
+              [&](virtual_vm& self, action_list&)
+              { self.keeper->set_members(members, incarnation_number, now_); });
 }
 
 bool configuration_cluster::reaches_table(std::size_t vm) const
@@ -216,13 +222,13 @@
         vm.slow_until = end;
         break;
     case fault_kind::lose_answers:
-        vm.losing_until = end;
+        vm.losing_answers_until = end;
         break;
-    case fault_kind::late_writes:
-        vm.late_until = end;
+    case fault_kind::delay_writes:
+        vm.delaying_writes_until = end;
         break;
-    case fault_kind::spoil_objects:
-        objects_spoilt_until_ = end;
+    case fault_kind::corrupt_objects:
+        objects_corrupt_until_ = end;
         break;
     }
 }
@@ -233,16 +239,16 @@
     if (vm.keeper == nullptr || now_ < vm.paused_until)
         return;
     std::uint64_t const ticket = ++tickets_;
-    std::string const text = declaration_named(ticket);
+    std::string const text = make_declaration(ticket);
     std::string const digest = digest_of(text);
-    confirms_[ticket] = {digest, vm.life, index,
-                         now_ + settings_.confirm_timeout + settle_grace};
-    in_vm(index, vm.life,
-          [&](virtual_vm& self, action_list& actions)
-          {
-              self.keeper->confirm(ticket, self.keeper->version(), digest, text,
-                                   now_, actions);
-          });
+    confirms_[ticket] = {digest, vm.incarnation_number, index,
+                         now_ + settings_.confirm_timeout + answer_grace};
+    run_in_vm(index, vm.incarnation_number,
+              [&](virtual_vm& self, action_list& actions)
+              {
+                  self.keeper->confirm(ticket, self.keeper->version(), digest,
+                                       text, now_, actions);
+              });
 }
 
 void configuration_cluster::perform(std::size_t vm, action_list const& actions)
@@ -258,59 +264,63 @@
         else if (auto const* object = std::get_if<store_object>(&each))
             perform_store(vm, *object);
         else if (auto const* message = std::get_if<tell_peer>(&each))
-            perform_tell(vm, *message);
+            perform_send(vm, *message);
     }
 }
 
-void configuration_cluster::answer(std::size_t vm, incarnation life,
+void configuration_cluster::answer(std::size_t vm,
+                                   incarnation incarnation_number,
                                    table_reply reply, time_point when)
 {
     at(when,
-       [this, vm, life, reply = std::move(reply)]
+       [this, vm, incarnation_number, reply = std::move(reply)]
        {
            // A call has one reply: its answer, or its deadline.
            bool const first =
-               answered_.emplace(vm, life, reply.operation).second;
+               answered_.emplace(vm, incarnation_number, reply.operation)
+                   .second;
            if (!first)
                return;
-           in_vm(vm, life,
-                 [this, reply](virtual_vm& self, action_list& actions)
-                 { self.keeper->on_table(reply, now_, actions); });
+           run_in_vm(vm, incarnation_number,
+                     [this, reply](virtual_vm& self, action_list& actions)
+                     { self.keeper->on_table(reply, now_, actions); });
        });
 }
 
-void configuration_cluster::answer(std::size_t vm, incarnation life,
+void configuration_cluster::answer(std::size_t vm,
+                                   incarnation incarnation_number,
                                    object_reply reply, time_point when)
 {
     at(when,
-       [this, vm, life, reply = std::move(reply)]
+       [this, vm, incarnation_number, reply = std::move(reply)]
        {
-           in_vm(vm, life,
-                 [this, reply](virtual_vm& self, action_list& actions)
-                 { self.keeper->on_object(reply, now_, actions); });
+           run_in_vm(vm, incarnation_number,
+                     [this, reply](virtual_vm& self, action_list& actions)
+                     { self.keeper->on_object(reply, now_, actions); });
        });
 }
 
 void configuration_cluster::perform_transact(std::size_t vm,
                                              transact const& order)
 {
-    incarnation const life = vms_[vm].life;
+    incarnation const incarnation_number = vms_[vm].incarnation_number;
     bool const writes = !order.transaction.writes.empty();
     counts_.reads += writes ? 0 : 1;
-    answer(vm, life, {order.operation, table_outcome::unreachable, {}},
-           order.deadline);
+    answer(vm, incarnation_number,
+           {order.operation, table_outcome::unreachable, {}}, order.deadline);
     if (!reaches_table(vm) || chance(1))
         return;
-    duration delay = within(1ms, 30ms);
-    if (writes && now_ < vms_[vm].late_until)
-        delay += within(0ms, 9s);
+    duration delay = random_duration(1ms, 30ms);
+    if (writes && now_ < vms_[vm].delaying_writes_until)
+        delay += random_duration(0ms, 9s);
     at(now_ + delay,
-       [this, vm, life, order, writes]
+       [this, vm, incarnation_number, order, writes]
        {
            table_reply const reply = apply(order);
-           bool const loses = writes && now_ < vms_[vm].losing_until;
+           bool const loses = writes && now_ < vms_[vm].losing_answers_until;
            if (reaches_table(vm) && !loses)
-               answer(vm, life, reply, now_ + within(1ms, 30ms));
+               answer(vm, incarnation_number, reply,
+                      now_ + random_duration(1ms, 30ms));
        });
 }
 
@@ -321,13 +331,14 @@
     table_reply reply{order.operation, table_outcome::unreachable, {}};
     if (reaches_table(vm))
     {
-        time_point const seen = now_ - within(0ms, 5s);
+        time_point const seen = now_ - random_duration(0ms, 5s);
         reply.outcome = table_outcome::done;
         for (auto const& [since, state] : rows_[order.key])
             if (since <= seen || reply.rows.empty())
                 reply.rows = {{order.key, state.version, state.value}};
     }
-    answer(vm, vms_[vm].life, reply, now_ + within(1ms, 60ms));
+    answer(vm, vms_[vm].incarnation_number, reply,
+           now_ + random_duration(1ms, 60ms));
 }
 
 table_reply configuration_cluster::apply(transact const& order)
@@ -357,9 +368,9 @@
             history_.push_back(row->digest);
         else if (row->version.value() != history_.size() ||
                  row->digest != history_.back())
-            violate("the row went from version " +
-                    std::to_string(history_.size()) + " to " +
-                    std::to_string(row->version.value()));
+            add_violation("the row went from version " +
+                          std::to_string(history_.size()) + " to " +
+                          std::to_string(row->version.value()));
     }
     return reply;
 }
@@ -371,25 +382,26 @@
     auto const found = objects_.find(order.key);
     if (found != objects_.end())
         reply = {order.operation, object_outcome::done, found->second};
-    if (now_ < objects_spoilt_until_)
+    if (now_ < objects_corrupt_until_)
         reply = chance(50)
                     ? object_reply{order.operation, object_outcome::done, "{"}
                     : object_reply{order.operation, object_outcome::absent, {}};
     // Objects are slow at times, so that a later version's comes first.
-    duration const most = chance(20) ? duration(1s) : duration(30ms);
-    answer(vm, vms_[vm].life, reply, now_ + within(1ms, most));
+    duration const max_delay = chance(20) ? duration(1s) : duration(30ms);
+    answer(vm, vms_[vm].incarnation_number, reply,
+           now_ + random_duration(1ms, max_delay));
 }
 
 void configuration_cluster::perform_store(std::size_t vm,
                                           store_object const& order)
 {
     objects_[order.key] = *order.bytes;
-    answer(vm, vms_[vm].life,
+    answer(vm, vms_[vm].incarnation_number,
            object_reply{order.operation, object_outcome::done, {}},
-           now_ + within(1ms, 30ms));
+           now_ + random_duration(1ms, 30ms));
 }
 
-void configuration_cluster::perform_tell(std::size_t from,
+void configuration_cluster::perform_send(std::size_t from,
                                          tell_peer const& order)
 {
     ++counts_.messages;
@@ -400,94 +412,97 @@
     bool const isolated =
         now_ < vms_[from].isolated_until || now_ < found->isolated_until;
     bool const hint = std::holds_alternative<configuration_hint>(order.message);
-    if (isolated || chance(3) || (hint && hints_lost_))
+    if (isolated || chance(3) || (hint && drops_hints_))
         return;
     std::size_t const copies = chance(5) ? 2 : 1;
     for (std::size_t copy = 0; copy < copies; ++copy)
     {
         bool const slow = copy > 0 || now_ < vms_[from].slow_until;
-        duration const delay = within(1ms, slow ? 3s : 10ms);
+        duration const delay = random_duration(1ms, slow ? 3s : 10ms);
         at(now_ + delay,
            [this, from, to, message = order.message]
            {
-               in_vm(to, vms_[to].life,
-                     [this, from, message](virtual_vm& self,
-                                           action_list& actions) {
-                         self.keeper->on_peer(vms_[from].id, message, now_,
-                                              actions);
-                     });
+               run_in_vm(to, vms_[to].incarnation_number,
+                         [this, from, message](virtual_vm& self,
+                                               action_list& actions) {
+                             self.keeper->on_peer(vms_[from].id, message, now_,
+                                                  actions);
+                         });
            });
     }
 }
 
-void configuration_cluster::settle(std::size_t vm,
-                                   confirm_settled const& settled)
+void configuration_cluster::on_settled(std::size_t vm,
+                                       confirm_settled const& settled)
 {
     answers_.push_back(settled);
-    asked_confirm& asked = confirms_.at(settled.ticket);
+    requested_confirm& asked = confirms_.at(settled.ticket);
     if (std::exchange(asked.settled, true))
-        violate("a confirm was answered twice");
+        add_violation("a confirm was answered twice");
     if (auto const* version = std::get_if<config_version>(&settled.result))
     {
-        ++counts_.told;
-        if (!told_.emplace(*version, now_).second)
-            violate("one version was told to two operators");
+        ++counts_.confirmed;
+        if (!acknowledged_.emplace(*version, now_).second)
+            add_violation("one version was told to two operators");
         if (version->value() > history_.size() ||
             history_[version->value() - 1] != asked.digest)
-            violate("a version was told that was not written");
+            add_violation("a version was told that was not written");
         return;
     }
     auto const& why = std::get<error>(settled.result);
     asked.refused = why.request_ran() == ran::no;
     ++(asked.refused ? counts_.refused : counts_.unknown);
-    bool const late = now_ > asked.overdue && now_ >= vms_[vm].paused_until;
-    if (late && vms_[vm].paused_until + settle_grace < now_)
-        violate("a confirm was answered late");
+    bool const late =
+        now_ > asked.answer_deadline && now_ >= vms_[vm].paused_until;
+    if (late && vms_[vm].paused_until + answer_grace < now_)
+        add_violation("a confirm was answered late");
 }
 
-void configuration_cluster::observe(std::size_t index)
+void configuration_cluster::check_vm(std::size_t index)
 {
     virtual_vm& vm = vms_[index];
     config_version const version = vm.keeper->version();
     if (!version.none())
     {
         if (version < vm.highest)
-            violate("a VM went back to an older version");
+            add_violation("a VM went back to an older version");
         vm.highest = std::max(vm.highest, version);
     }
-    if (!vm.keeper->known(now_))
+    if (!vm.keeper->is_known(now_))
         return;
     bool const going_on = vm.keeper->going_on_without_table(now_);
-    if (going_on && !told_.empty() && version < told_.rbegin()->first)
-        violate("a VM goes on without the table with a replaced version");
-    for (auto const& [told, when] : told_)
-        if (version < told && when + settings_.bound < now_)
-            violate("a VM holds to a version that was replaced");
+    if (going_on && !acknowledged_.empty() &&
+        version < acknowledged_.rbegin()->first)
+        add_violation("a VM goes on without the table with a replaced version");
+    for (auto const& [told, when] : acknowledged_)
+        if (version < told && when + settings_.staleness_bound < now_)
+            add_violation("a VM holds to a version that was replaced");
 }
 
-void configuration_cluster::judge_history()
+void configuration_cluster::check_history()
 {
     for (auto const& [ticket, asked] : confirms_)
     {
         bool const written = std::find(history_.begin(), history_.end(),
                                        asked.digest) != history_.end();
         if (asked.refused && written)
-            violate("a refused change took effect");
-        bool const alive = vms_[asked.vm].life == asked.life;
-        if (alive && !asked.settled && asked.overdue < now_ &&
-            vms_[asked.vm].paused_until + settle_grace < now_)
-            violate("a confirm was never answered");
+            add_violation("a refused change took effect");
+        bool const alive =
+            vms_[asked.vm].incarnation_number == asked.incarnation_number;
+        if (alive && !asked.settled && asked.answer_deadline < now_ &&
+            vms_[asked.vm].paused_until + answer_grace < now_)
+            add_violation("a confirm was never answered");
     }
 }
 
-void configuration_cluster::judge_recovery()
+void configuration_cluster::check_recovery()
 {
     for (std::size_t index = 0; index < vms_.size(); ++index)
     {
         if (vms_[index].keeper->version() != written())
-            violate("a VM has not learnt the newest version");
-        if (!vms_[index].keeper->known(now_))
-            violate("a VM does not know its version to hold");
+            add_violation("a VM has not learnt the newest version");
+        if (!vms_[index].keeper->is_known(now_))
+            add_violation("a VM does not know its version to hold");
     }
 }
 
--- a/tests/configuration_cluster.hpp
+++ b/tests/configuration_cluster.hpp
@@ -30,8 +30,8 @@
     isolate,
     slow_messages,
     lose_answers,
-    late_writes,
-    spoil_objects
+    delay_writes,
+    corrupt_objects
 };
 
 struct fault
@@ -47,7 +47,7 @@
 {
     std::size_t reads = 0;
     std::size_t messages = 0;
-    std::size_t told = 0;
+    std::size_t confirmed = 0;
     std::size_t refused = 0;
     std::size_t unknown = 0;
 };
@@ -64,10 +64,10 @@
     /// Empty while nothing that must hold was broken.
     std::vector<std::string> const& violations() const { return violations_; }
     /// Adds what can be judged only when the run is over.
-    void judge_history();
+    void check_history();
     /// Adds a violation for each VM that is not well some time after all
     /// faults ended.
-    void judge_recovery();
+    void check_recovery();
 
     configuration_keeper& keeper(std::size_t vm) { return *vms_[vm].keeper; }
     time_point now() const { return now_; }
@@ -76,16 +76,16 @@
     std::vector<confirm_settled> const& answers() const { return answers_; }
     config_version written() const { return config_version(history_.size()); }
     /// How many VMs know, and how many have a version in force.
-    std::size_t knowing();
-    std::size_t at_version(config_version version);
+    std::size_t count_knowing();
+    std::size_t count_at_version(config_version version);
     /// From now on no VM is told of a new version by another.
-    void lose_hints() { hints_lost_ = true; }
+    void drop_hints() { drops_hints_ = true; }
 
 private:
     struct virtual_vm
     {
         vm_id id;
-        incarnation life;
+        incarnation incarnation_number;
         bool registered = false;
         std::unique_ptr<id_source> ids;
         std::unique_ptr<configuration_keeper> keeper;
@@ -93,8 +93,8 @@
         time_point table_cut_until{};
         time_point isolated_until{};
         time_point slow_until{};
-        time_point losing_until{};
-        time_point late_until{};
+        time_point losing_answers_until{};
+        time_point delaying_writes_until{};
         /// Over all its lives.
         config_version highest;
     };
@@ -114,22 +114,23 @@
         std::string value;
     };
     /// A confirm that an operator asked for, and what became of it.
-    struct asked_confirm
+    struct requested_confirm
     {
         std::string digest;
-        incarnation life;
+        incarnation incarnation_number;
         std::size_t vm = 0;
-        time_point overdue;
+        time_point answer_deadline;
         bool settled = false;
         bool refused = false;
     };
-    using act = std::function<void(virtual_vm&, action_list&)>;
+    using vm_action = std::function<void(virtual_vm&, action_list&)>;
 
     void at(time_point when, std::function<void()> run);
-    void in_vm(std::size_t vm, incarnation life, act const& what);
+    void run_in_vm(std::size_t vm, incarnation incarnation_number,
+                   vm_action const& what);
     void start_vm(std::size_t vm);
-    void tick_vm(std::size_t vm, incarnation life);
-    void register_vm(std::size_t vm, incarnation life);
+    void tick_vm(std::size_t vm, incarnation incarnation_number);
+    void register_vm(std::size_t vm, incarnation incarnation_number);
     void begin_fault(fault const& what);
     void begin_confirm(std::size_t vm);
     void perform(std::size_t vm, action_list const& actions);
@@ -137,22 +138,22 @@
     void perform_read(std::size_t vm, read_row const& order);
     void perform_fetch(std::size_t vm, fetch_object const& order);
     void perform_store(std::size_t vm, store_object const& order);
-    void perform_tell(std::size_t vm, tell_peer const& order);
-    void answer(std::size_t vm, incarnation life, table_reply reply,
-                time_point when);
-    void answer(std::size_t vm, incarnation life, object_reply reply,
-                time_point when);
+    void perform_send(std::size_t vm, tell_peer const& order);
+    void answer(std::size_t vm, incarnation incarnation_number,
+                table_reply reply, time_point when);
+    void answer(std::size_t vm, incarnation incarnation_number,
+                object_reply reply, time_point when);
     table_reply apply(transact const& order);
-    void settle(std::size_t vm, confirm_settled const& settled);
-    void observe(std::size_t vm);
-    void violate(std::string const& what);
+    void on_settled(std::size_t vm, confirm_settled const& settled);
+    void check_vm(std::size_t vm);
+    void add_violation(std::string const& what);
     bool chance(unsigned percent);
-    duration within(duration least, duration most);
+    duration random_duration(duration min, duration max);
     bool reaches_table(std::size_t vm) const;
 
     std::mt19937_64 random_;
     configuration_settings const settings_;
-    bool hints_lost_ = false;
+    bool drops_hints_ = false;
     promise_rules const& rules_;
     safeguards const& checks_;
     std::vector<virtual_vm> vms_;
@@ -163,14 +164,14 @@
     std::map<std::string, std::vector<std::pair<time_point, row_state>>> rows_;
     std::uint64_t last_row_version_ = 0;
     std::map<std::string, std::string> objects_;
-    time_point objects_spoilt_until_{};
+    time_point objects_corrupt_until_{};
     std::set<std::tuple<std::size_t, incarnation, operation_id>> answered_;
 
     /// Digests in the order of the versions written, from 1.
     std::vector<std::string> history_;
-    std::map<std::uint64_t, asked_confirm> confirms_;
+    std::map<std::uint64_t, requested_confirm> confirms_;
     std::uint64_t tickets_ = 0;
-    std::map<config_version, time_point> told_;
+    std::map<config_version, time_point> acknowledged_;
     std::vector<confirm_settled> answers_;
     std::vector<std::string> violations_;
     cluster_counts counts_;
--- a/tests/configuration_keeper_test.cpp
+++ b/tests/configuration_keeper_test.cpp
@@ -20,9 +20,9 @@
 constexpr auto origin = time_point();
 /// Faults begin until then; all have ended a while after.
 constexpr duration faults_begin = 6s;
-constexpr duration faults_stop = 36s;
-constexpr duration longest_fault = 12s;
-constexpr duration recovery = 12s;
+constexpr duration faults_end = 36s;
+constexpr duration max_fault_length = 12s;
+constexpr duration recovery_time = 12s;
 
 /// One number a fault, so that a failing schedule shrinks by leaving out
 /// faults.
@@ -30,10 +30,10 @@
 {
     using enum fault_kind;
     static constexpr std::array kinds{
-        confirm,         confirm,       confirm,     confirm,
-        cut_table,       cut_table,     cut_table,   pause,
-        pause,           restart,       restart,     isolate,
-        lose_answers,    slow_messages, late_writes, spoil_objects,
+        confirm,         confirm,       confirm,      confirm,
+        cut_table,       cut_table,     cut_table,    pause,
+        pause,           restart,       restart,      isolate,
+        lose_answers,    slow_messages, delay_writes, corrupt_objects,
         cut_table_of_all};
     auto const draw = [&](std::uint64_t range)
     {
@@ -45,8 +45,8 @@
     result.kind = kinds[draw(kinds.size())];
     result.vm = draw(vms);
     result.at = origin + faults_begin +
-                draw((faults_stop - faults_begin) / 50ms) * duration(50ms);
-    result.length = (1 + draw(longest_fault / 200ms)) * duration(200ms);
+                draw((faults_end - faults_begin) / 50ms) * duration(50ms);
+    result.length = (1 + draw(max_fault_length / 200ms)) * duration(200ms);
     return result;
 }
 
@@ -63,20 +63,20 @@
     configuration_cluster cluster(what.vms, what.seed, rules, checks);
     for (fault const& planned : what.faults)
         cluster.add(planned);
-    cluster.run_until(origin + faults_stop + longest_fault + recovery);
-    cluster.judge_history();
+    cluster.run_until(origin + faults_end + max_fault_length + recovery_time);
+    cluster.check_history();
     return cluster;
 }
 
 /// Random draws for schedules that are aimed at one kind of trouble.
-class drawing
+class random_source
 {
 public:
-    explicit drawing(std::uint64_t seed) : random_(seed) {}
+    explicit random_source(std::uint64_t seed) : random_(seed) {}
     std::uint64_t below(std::uint64_t range) { return random_() % range; }
-    time_point between(duration least, duration most)
+    time_point between(duration min, duration max)
     {
-        return origin + least + below((most - least) / 1ms) * duration(1ms);
+        return origin + min + below((max - min) / 1ms) * duration(1ms);
     }
     std::uint64_t next() { return random_(); }
 
@@ -87,9 +87,9 @@
 using schedule_source = schedule (*)(std::uint64_t number);
 
 /// Anything at any time.
-schedule any_trouble(std::uint64_t number)
+schedule random_faults(std::uint64_t number)
 {
-    drawing draw(number);
+    random_source draw(number);
     schedule result{draw.next(), 1 + draw.below(6), {}};
     for (std::uint64_t left = 4 + draw.below(20); left > 0; --left)
         result.faults.push_back(decode(draw.next(), result.vms));
@@ -98,10 +98,10 @@
 
 /// A majority loses the table. One of it finds it again, perhaps by a restart,
 /// while the last VM, which has it all the time, confirms.
-schedule one_changes_sides(std::uint64_t number)
+schedule majority_member_reconnects(std::uint64_t number)
 {
     using enum fault_kind;
-    drawing draw(number);
+    random_source draw(number);
     schedule result{draw.next(), 3, {}};
     time_point const cut = draw.between(6s, 7s);
     time_point const back = cut + 4s + draw.below(3000) * duration(1ms);
@@ -116,10 +116,10 @@
 
 /// All but the one that confirms lose the table about when it writes, and hear
 /// nothing of it.
-schedule cut_off_at_confirm(std::uint64_t number)
+schedule table_lost_at_confirm(std::uint64_t number)
 {
     using enum fault_kind;
-    drawing draw(number);
+    random_source draw(number);
     schedule result{draw.next(), 3 + draw.below(4), {}};
     time_point const asked = draw.between(6s, 9s);
     time_point const cut = asked + draw.below(300) * duration(1ms);
@@ -130,14 +130,14 @@
 }
 
 /// A write lands long after its promises; the others lose the table before.
-schedule late_landing(std::uint64_t number)
+schedule write_applied_late(std::uint64_t number)
 {
     using enum fault_kind;
-    drawing draw(number);
+    random_source draw(number);
     schedule result{draw.next(), 3 + draw.below(4), {}};
     time_point const asked = draw.between(6s, 9s);
     time_point const cut = asked + 3s + draw.below(5000) * duration(1ms);
-    result.faults = {{late_writes, 0, asked, 9s},
+    result.faults = {{delay_writes, 0, asked, 9s},
                      {confirm, 0, asked, {}},
                      {isolate, 0, asked + 1s, 12s}};
     for (std::size_t vm = 1; vm < result.vms; ++vm)
@@ -150,7 +150,7 @@
 schedule paused_reader(std::uint64_t number)
 {
     using enum fault_kind;
-    drawing draw(number);
+    random_source draw(number);
     schedule result{draw.next(), 3 + draw.below(4), {}};
     for (duration at : {6s, 15s, 24s})
     {
@@ -161,16 +161,15 @@
     return result;
 }
 
-constexpr std::uint64_t most_schedules = 1000;
-constexpr std::uint64_t aimed_schedules = 300;
+constexpr std::uint64_t max_schedules = 1000;
+constexpr std::uint64_t schedules_per_source = 300;
 
 /// The number of the first schedule on which the checker names `violation`.
-std::optional<std::uint64_t> first_found(std::string const& violation,
-                                         schedule_source source,
-                                         promise_rules const& rules,
-                                         safeguards const& checks)
+std::optional<std::uint64_t>
+find_violating_schedule(std::string const& violation, schedule_source source,
+                        promise_rules const& rules, safeguards const& checks)
 {
-    for (std::uint64_t number = 1; number <= most_schedules; ++number)
+    for (std::uint64_t number = 1; number <= max_schedules; ++number)
     {
         auto const cluster = run(source(number), rules, checks);
         auto const& found = cluster.violations();
@@ -183,39 +182,41 @@
     return std::nullopt;
 }
 
-std::string const old_held = "a VM holds to a version that was replaced";
-std::string const went_on =
+std::string const stale_version_known =
+    "a VM holds to a version that was replaced";
+std::string const continues_with_replaced =
     "a VM goes on without the table with a replaced version";
-std::string const went_back = "a VM went back to an older version";
-std::string const refused_ran = "a refused change took effect";
+std::string const version_reverted = "a VM went back to an older version";
+std::string const refused_change_applied = "a refused change took effect";
 
-struct both_promises : promise_rules
+struct without_promise_exclusion : promise_rules
 {
-    bool may_promise_outage(giver_state const& giver) const override
+    bool may_promise_outage(promise_conditions const& conditions) const override
     {
-        giver_state free = giver;
-        free.confirm_promise_running = false;
-        return promise_rules::may_promise_outage(free);
+        promise_conditions relaxed = conditions;
+        relaxed.confirm_promise_running = false;
+        return promise_rules::may_promise_outage(relaxed);
     }
-    bool may_promise_confirm(giver_state const& giver) const override
+    bool
+    may_promise_confirm(promise_conditions const& conditions) const override
     {
-        giver_state free = giver;
-        free.outage_promise_running = false;
-        return promise_rules::may_promise_confirm(free);
+        promise_conditions relaxed = conditions;
+        relaxed.outage_promise_running = false;
+        return promise_rules::may_promise_confirm(relaxed);
     }
 };
 
-struct no_doubt : promise_rules
+struct without_version_check : promise_rules
 {
-    bool may_promise_outage(giver_state const& giver) const override
+    bool may_promise_outage(promise_conditions const& conditions) const override
     {
-        giver_state sure = giver;
-        sure.version_certain = true;
-        return promise_rules::may_promise_outage(sure);
+        promise_conditions relaxed = conditions;
+        relaxed.version_certain = true;
+        return promise_rules::may_promise_outage(relaxed);
     }
 };
 
-struct one_is_enough : promise_rules
+struct without_majority : promise_rules
 {
     bool is_majority(std::size_t promises, std::size_t) const override
     {
@@ -223,38 +224,39 @@
     }
 };
 
-struct forgotten_promises : promise_rules
+struct without_restart_wait : promise_rules
 {
-    time_point former_promises_end(time_point started, duration) const override
+    time_point previous_promises_end(time_point started,
+                                     duration) const override
     {
         return started;
     }
 };
 
-struct counted_from_answer : promise_rules
+struct valid_from_answer : promise_rules
 {
-    time_point counts_from(time_point, time_point answered) const override
+    time_point valid_from(time_point, time_point answered) const override
     {
         return answered;
     }
 };
 
-struct lagging_reads : promise_rules
+struct with_stale_reads : promise_rules
 {
-    bool reads_may_lag() const override { return true; }
+    bool allows_stale_reads() const override { return true; }
 };
 
-struct told_whenever : promise_rules
+struct without_promise_cover : promise_rules
 {
     bool promises_cover(time_point, time_point) const override { return true; }
 };
 
-struct unseen_is_void : promise_rules
+struct without_write_invalidation : promise_rules
 {
-    bool may_land_yet() const override { return false; }
+    bool may_apply_later() const override { return false; }
 };
 
-struct any_replaces : safeguards
+struct without_version_order : safeguards
 {
     bool replaces(config_version, config_version) const override
     {
@@ -285,18 +287,18 @@
             for (std::uint64_t const code : codes)
                 what.faults.push_back(decode(code, what.vms));
             auto cluster = run(what, default_promise_rules(), checks);
-            cluster.judge_recovery();
+            cluster.check_recovery();
             ++schedules;
-            sum.told += cluster.counts().told;
+            sum.confirmed += cluster.counts().confirmed;
             sum.refused += cluster.counts().refused;
             sum.unknown += cluster.counts().unknown;
             for (auto const& text : cluster.violations())
                 RC_FAIL(text);
         }));
-    std::cout << schedules << " schedules; confirms told " << sum.told
+    std::cout << schedules << " schedules; confirms told " << sum.confirmed
               << ", refused " << sum.refused << ", unknown " << sum.unknown
               << '\n';
-    CHECK(sum.told > 0);
+    CHECK(sum.confirmed > 0);
     CHECK(sum.refused > 0);
     CHECK(sum.unknown > 0);
 }
@@ -309,22 +311,23 @@
     // written, or a write lands after its promises.
     safeguards const checks;
     for (schedule_source const source :
-         {one_changes_sides, cut_off_at_confirm, late_landing, paused_reader})
+         {majority_member_reconnects, table_lost_at_confirm, write_applied_late,
+          paused_reader})
     {
         cluster_counts sum;
-        for (std::uint64_t number = 1; number <= aimed_schedules; ++number)
+        for (std::uint64_t number = 1; number <= schedules_per_source; ++number)
         {
             auto cluster = run(source(number), default_promise_rules(), checks);
-            cluster.judge_recovery();
+            cluster.check_recovery();
             for (auto const& text : cluster.violations())
                 FAIL_CHECK("schedule " << number << ": " << text);
-            sum.told += cluster.counts().told;
+            sum.confirmed += cluster.counts().confirmed;
             sum.refused += cluster.counts().refused;
             sum.unknown += cluster.counts().unknown;
         }
-        std::cout << "told " << sum.told << ", refused " << sum.refused
+        std::cout << "told " << sum.confirmed << ", refused " << sum.refused
                   << ", unknown " << sum.unknown << '\n';
-        CHECK(sum.told + sum.refused + sum.unknown > 0);
+        CHECK(sum.confirmed + sum.refused + sum.unknown > 0);
     }
 }
 
@@ -334,42 +337,53 @@
     safeguards const checks;
     SECTION("a VM gives both promises at once")
     {
-        CHECK(first_found(went_on, one_changes_sides, both_promises(), checks));
+        CHECK(find_violating_schedule(continues_with_replaced,
+                                      majority_member_reconnects,
+                                      without_promise_exclusion(), checks));
     }
     SECTION("a VM votes for a version whose confirm it helped")
     {
-        CHECK(first_found(old_held, cut_off_at_confirm, no_doubt(), checks));
+        CHECK(find_violating_schedule(stale_version_known,
+                                      table_lost_at_confirm,
+                                      without_version_check(), checks));
     }
     SECTION("one VM's own promise is taken for a majority")
     {
-        CHECK(first_found(old_held, any_trouble, one_is_enough(), checks));
+        CHECK(find_violating_schedule(stale_version_known, random_faults,
+                                      without_majority(), checks));
     }
     SECTION("a restarted VM forgets its promises")
     {
-        CHECK(first_found(went_on, one_changes_sides, forgotten_promises(),
-                          checks));
+        CHECK(find_violating_schedule(continues_with_replaced,
+                                      majority_member_reconnects,
+                                      without_restart_wait(), checks));
     }
     SECTION("answers count from when they came")
     {
-        CHECK(first_found(old_held, paused_reader, counted_from_answer(),
-                          checks));
+        CHECK(find_violating_schedule(stale_version_known, paused_reader,
+                                      valid_from_answer(), checks));
     }
     SECTION("the row is read by reads that lag")
     {
-        CHECK(first_found(went_back, any_trouble, lagging_reads(), checks));
+        CHECK(find_violating_schedule(version_reverted, random_faults,
+                                      with_stale_reads(), checks));
     }
     SECTION("success is told whenever the write is seen")
     {
-        CHECK(first_found(old_held, late_landing, told_whenever(), checks));
+        CHECK(find_violating_schedule(stale_version_known, write_applied_late,
+                                      without_promise_cover(), checks));
     }
     SECTION("a write that is not seen is taken for void")
     {
-        CHECK(first_found(refused_ran, late_landing, unseen_is_void(), checks));
+        CHECK(find_violating_schedule(refused_change_applied,
+                                      write_applied_late,
+                                      without_write_invalidation(), checks));
     }
     SECTION("any version replaces the one in force")
     {
-        CHECK(first_found(went_back, any_trouble, default_promise_rules(),
-                          any_replaces()));
+        CHECK(find_violating_schedule(version_reverted, random_faults,
+                                      default_promise_rules(),
+                                      without_version_order()));
     }
 }
 
@@ -387,15 +401,15 @@
         time_point const cut = origin + 6s + seed * duration(25ms);
         cluster.add({fault_kind::cut_table, 0, cut, 20s});
         cluster.run_until(cut + 2900ms);
-        CHECK(cluster.keeper(0).known(cluster.now()));
+        CHECK(cluster.keeper(0).is_known(cluster.now()));
         for (duration after = 4s; after < 20s; after += 100ms)
         {
             cluster.run_until(cut + after);
-            CHECK_FALSE(cluster.keeper(0).known(cluster.now()));
-            CHECK(cluster.keeper(1).known(cluster.now()));
+            CHECK_FALSE(cluster.keeper(0).is_known(cluster.now()));
+            CHECK(cluster.keeper(1).is_known(cluster.now()));
         }
         cluster.run_until(cut + 22s);
-        CHECK(cluster.keeper(0).known(cluster.now()));
+        CHECK(cluster.keeper(0).is_known(cluster.now()));
     }
 }
 
@@ -415,23 +429,24 @@
         cluster.add({fault_kind::cut_table_of_all, 0, cut, 60s});
         for (std::size_t vm = 0; vm < apart; ++vm)
             cluster.add({fault_kind::isolate, vm, cut, 60s});
-        std::size_t most = vms;
-        std::size_t least = vms;
+        std::size_t min_known_past_bound = vms;
+        std::size_t min_known = vms;
         for (duration after = 0s; after < 60s; after += 50ms)
         {
             cluster.run_until(cut + after);
-            least = std::min(least, cluster.knowing());
+            min_known = std::min(min_known, cluster.count_knowing());
             if (after >= 4s)
-                most = std::min(most, cluster.knowing());
+                min_known_past_bound =
+                    std::min(min_known_past_bound, cluster.count_knowing());
         }
         if (vms == 6)
             std::cout << "6 VMs without the table: messages a second "
                       << static_cast<double>(cluster.counts().messages) / 60
                       << '\n';
-        CHECK(least == vms - apart);
-        CHECK(most == vms - apart);
+        CHECK(min_known == vms - apart);
+        CHECK(min_known_past_bound == vms - apart);
         cluster.run_until(cut + 66s);
-        CHECK(cluster.knowing() == vms);
+        CHECK(cluster.count_knowing() == vms);
     }
 }
 
@@ -443,21 +458,21 @@
 /// sixth second on: a question that comes late is answered with a promise of
 /// somewhat more than 3 s while the table's last answer is less than 1.5 s old;
 /// after that some messages may be lost.
-std::size_t fewest_knowing_in_outage(configuration_cluster& cluster)
+std::size_t min_knowing_in_outage(configuration_cluster& cluster)
 {
-    while (cluster.at_version(config_version(2)) < 3 &&
+    while (cluster.count_at_version(config_version(2)) < 3 &&
            cluster.now() < origin + 20s)
         cluster.run_until(cluster.now() + 1ms);
-    REQUIRE(cluster.at_version(config_version(2)) == 3);
+    REQUIRE(cluster.count_at_version(config_version(2)) == 3);
     time_point const cut = cluster.now();
     cluster.add({fault_kind::cut_table_of_all, 0, cut, 30s});
-    std::size_t least = 3;
+    std::size_t min_known = 3;
     for (duration after = 6s; after < 30s; after += 50ms)
     {
         cluster.run_until(cut + after);
-        least = std::min(least, cluster.knowing());
+        min_known = std::min(min_known, cluster.count_knowing());
     }
-    return least;
+    return min_known;
 }
 
 } // namespace
@@ -477,7 +492,7 @@
         // They keep to a former life's promises for somewhat more than 3 s.
         cluster.add({fault_kind::confirm, 0, origin + 6250ms, {}});
         CAPTURE(seed);
-        CHECK(fewest_knowing_in_outage(cluster) == 3);
+        CHECK(min_knowing_in_outage(cluster) == 3);
     }
 }
 
@@ -496,7 +511,7 @@
         // The first VMs have started at 1 s, all by 2 s.
         cluster.add({fault_kind::confirm, 0, origin + 4200ms, {}});
         CAPTURE(seed);
-        CHECK(fewest_knowing_in_outage(cluster) == 3);
+        CHECK(min_knowing_in_outage(cluster) == 3);
     }
 }
 
@@ -519,17 +534,17 @@
         cluster.add({fault_kind::cut_table_of_all, 0, cut, length});
         cluster.run_until(back);
         REQUIRE(cluster.keeper(0).going_on_without_table(cluster.now()));
-        std::size_t least = vms;
+        std::size_t min_known = vms;
         for (duration after = 1ms; after < 10s; after += 1ms)
         {
             cluster.run_until(back + after);
             std::size_t const heartbeat = after / 1ms % 500;
             if (heartbeat % 20 == 0 && heartbeat / 20 < vms)
-                cluster.keeper(heartbeat / 20).table_heard(cluster.now());
-            least = std::min(least, cluster.knowing());
+                cluster.keeper(heartbeat / 20).on_table_answer(cluster.now());
+            min_known = std::min(min_known, cluster.count_knowing());
         }
         CAPTURE(seed);
-        CHECK(least == vms);
+        CHECK(min_known == vms);
         for (std::size_t vm = 0; vm < vms; ++vm)
             CHECK_FALSE(
                 cluster.keeper(vm).going_on_without_table(cluster.now()));
@@ -551,12 +566,12 @@
           size{320, 4s, true, 11s}, size{320, 4s, false, 11s}})
     {
         configuration_settings settings;
-        settings.poll = each.poll;
-        settings.bound = 3 * each.poll + 1s;
+        settings.poll_interval = each.poll;
+        settings.staleness_bound = 3 * each.poll + 1s;
         configuration_cluster cluster(each.vms, 7, default_promise_rules(),
                                       checks, settings);
         if (!each.hints)
-            cluster.lose_hints();
+            cluster.drop_hints();
         cluster.run_until(origin + 10s);
         cluster_counts const before = cluster.counts();
         cluster.run_until(origin + 30s);
@@ -569,16 +584,16 @@
                                          before.messages) /
                          20;
         cluster.add({fault_kind::confirm, 0, cluster.now(), {}});
-        while (cluster.counts().told == 0 && cluster.now() < origin + 40s)
+        while (cluster.counts().confirmed == 0 && cluster.now() < origin + 40s)
             cluster.run_until(cluster.now() + 1ms);
-        time_point const told = cluster.now();
-        while (cluster.at_version(config_version(2)) < each.vms &&
-               cluster.now() < told + 20s)
+        time_point const confirmed_at = cluster.now();
+        while (cluster.count_at_version(config_version(2)) < each.vms &&
+               cluster.now() < confirmed_at + 20s)
             cluster.run_until(cluster.now() + 1ms);
-        std::cout << "; asked to told " << (told - (origin + 30s)) / 1ms
+        std::cout << "; asked to told " << (confirmed_at - (origin + 30s)) / 1ms
                   << " ms, told to in force on all "
-                  << (cluster.now() - told) / 1ms << " ms\n";
-        CHECK(cluster.now() - told <= each.limit);
+                  << (cluster.now() - confirmed_at) / 1ms << " ms\n";
+        CHECK(cluster.now() - confirmed_at <= each.limit);
     }
 }
 
@@ -594,9 +609,9 @@
         cluster.add({fault_kind::confirm, 0, origin + 8s, {}});
         cluster.add({fault_kind::confirm, 1, origin + 8s, {}});
         cluster.run_until(origin + 16s);
-        cluster.judge_history();
+        cluster.check_history();
         CHECK(cluster.violations().empty());
-        CHECK(cluster.counts().told == 1);
+        CHECK(cluster.counts().confirmed == 1);
         REQUIRE(cluster.answers().size() == 2);
         for (confirm_settled const& answer : cluster.answers())
             if (auto const* why = std::get_if<error>(&answer.result))
@@ -651,14 +666,14 @@
     // go over to the new one when its object is well.
     safeguards const checks;
     configuration_cluster cluster(3, 1, default_promise_rules(), checks);
-    cluster.add({fault_kind::spoil_objects, 0, origin + 8s, 12s});
+    cluster.add({fault_kind::corrupt_objects, 0, origin + 8s, 12s});
     cluster.add({fault_kind::confirm, 0, origin + 9s, {}});
     cluster.run_until(origin + 16s);
-    CHECK(cluster.counts().told == 1);
-    CHECK(cluster.at_version(config_version(1)) == 2);
-    CHECK(cluster.knowing() == 1);
+    CHECK(cluster.counts().confirmed == 1);
+    CHECK(cluster.count_at_version(config_version(1)) == 2);
+    CHECK(cluster.count_knowing() == 1);
     cluster.run_until(origin + 24s);
-    cluster.judge_recovery();
+    cluster.check_recovery();
     CHECK(cluster.violations().empty());
 }
 
@@ -675,7 +690,7 @@
     auto const promises_at = [&](time_point now)
     {
         action_list actions;
-        keeper.table_heard(now);
+        keeper.on_table_answer(now);
         keeper.on_peer(vm_id("vm-1"), confirm_question{1, config_version(1)},
                        now, actions);
         auto const& told = std::get<tell_peer>(actions.back());
--- a/tests/core_world.cpp
+++ b/tests/core_world.cpp
@@ -79,10 +79,10 @@
     made.ownership.table_timeout = 200ms;
     made.ownership.seed = random_();
     made.configuration.vm = id;
-    made.configuration.poll = 200ms;
-    made.configuration.bound = configuration_bound;
+    made.configuration.poll_interval = 200ms;
+    made.configuration.staleness_bound = configuration_bound;
     made.configuration.outage_after = 300ms;
-    made.configuration.promise = 600ms;
+    made.configuration.promise_duration = 600ms;
     made.configuration.table_timeout = 200ms;
     made.configuration.confirm_timeout = 2000ms;
     made.configuration.seed = random_();
