--- a/src/configuration_keeper.cpp
+++ b/src/configuration_keeper.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-/// A VM that never registered before has no row, and rows are never deleted: so
-/// in this life nobody has promised anything under its name before.
+/// The incarnation of a VM that never registered before. VM rows are never
+/// deleted, so no promise was given under this VM's name before.
 constexpr incarnation first_incarnation(1);
 
 note_event log_entry(std::string kind, std::string text)
@@ -24,7 +24,8 @@
     return {"configuration", std::move(kind), std::move(text)};
 }
 
-/// A refused confirm that waits until the declaration it lost to is loaded.
+/// A refused confirm whose result is delayed until the declaration that was
+/// confirmed instead is loaded.
 struct delayed_refusal
 {
     confirm_settled settled;
@@ -97,7 +98,7 @@
     std::vector<configuration_event> events_;
     bool in_outage_ = false;
     time_point outage_since_{};
-    /// The table was found to answer again, and the row is being read.
+    /// The table answers again, and the row is being read.
     bool catching_up_ = false;
     time_point next_request_at_ = never;
     bool was_going_on_ = false;
@@ -253,11 +254,11 @@
         request_promises(now, actions);
 }
 
-// Any answered call shows that the table is back, but only a read of the row
-// says which version holds. Were the outage over with the first answer, a VM
-// whose last read is past the bound would drop its peers' promises and refuse
-// requests until its next read. The promises are no weaker for the table being
-// back: those who gave them keep to them, and they run out by themselves.
+// Any answered call shows that the table is reachable again, but only a read of
+// the row shows which version is current. If the outage ended with the first
+// answer, a VM whose last read is older than the staleness bound would drop its
+// peers' promises and refuse requests until its next read. The promises remain
+// valid: the VMs that gave them keep them until they expire.
 bool configuration_keeper::implementation::is_up_to_date(time_point now) const
 {
     return !reader_.is_table_unreachable(now) &&
@@ -268,8 +269,9 @@
 void configuration_keeper::implementation::request_promises(
     time_point now, action_list& actions)
 {
-    // Each promise is renewed once a poll, and asked for twice as often while
-    // it is due: so that it takes several lost messages to lose it.
+    // Each promise is renewed once per poll interval. A promise that is due is
+    // requested twice as often, so that it expires only if several messages
+    // are lost.
     duration const request_interval =
         std::min(settings_.poll_interval, settings_.promise_duration / 3);
     next_request_at_ = now + request_interval / 2;
@@ -316,9 +318,10 @@
     {
         was_known_ = !was_known_;
         actions.emplace_back(
-            was_known_ ? log_entry("configuration-known", "the version holds")
-                       : log_entry("configuration-stale",
-                                   "whether the version holds cannot be told"));
+            was_known_
+                ? log_entry("configuration-known", "the version is current")
+                : log_entry("configuration-stale",
+                            "it is not known whether the version is current"));
     }
 }
 
--- a/src/configuration_peers.hpp
+++ b/src/configuration_peers.hpp
@@ -1,4 +1,5 @@
-/// The members that promises are asked of, as this VM's rows last told them.
+/// The member VMs that are asked for promises, as of the rows that this VM last
+/// read.
 #ifndef MULBERRY_CONFIGURATION_PEERS_HPP
 #define MULBERRY_CONFIGURATION_PEERS_HPP
 
@@ -36,13 +37,13 @@
     incarnation own_incarnation() const { return own_incarnation_; }
     std::vector<vm_id> const& members() const { return members_; }
 
-    /// Whether this VM is a member; only then does it give or ask promises.
+    /// Whether this VM is a member. Only members give and request promises.
     bool is_registered() const
     {
         return !own_incarnation_.none() && incarnations_.contains(self_);
     }
 
-    /// Whether the answer comes from that member's present life.
+    /// Whether `vm` is a member whose current incarnation is the given one.
     bool is_member(vm_id const& vm, incarnation incarnation_number) const
     {
         auto const found = incarnations_.find(vm);
@@ -50,8 +51,9 @@
                found->second == incarnation_number;
     }
 
-    /// Unique over this VM's lives: else a late answer to a former life's
-    /// question would count from the moment this life asked another.
+    /// Unique over all incarnations of this VM. Otherwise a late answer to a
+    /// question of a previous incarnation would be taken for an answer to a
+    /// later question and count from the time at which that one was sent.
     std::uint64_t next_question_number()
     {
         constexpr unsigned incarnation_shift = 32;
--- a/src/configuration_reader.cpp
+++ b/src/configuration_reader.cpp
@@ -35,7 +35,7 @@
 void configuration_reader::start(time_point now, action_list& actions)
 {
     read_now(now, actions);
-    // VMs that start together do not poll together.
+    // The jitter keeps VMs that start together from polling together.
     next_poll_ = now + jitter_.about(settings_.poll_interval);
 }
 
@@ -50,7 +50,7 @@
     }
     if (retry_read_at_ <= now)
     {
-        // One lost answer, or one connection gone silent, is no outage.
+        // One lost answer or one stalled connection is not an outage.
         retry_read_at_ = never;
         read_now(now, actions);
     }
@@ -58,11 +58,12 @@
         fetch(now, actions);
 }
 
-// The poll is a transaction without writes rather than a read of the row: it
-// costs the table one read as well, but does not lag. A lagging read says
-// only that the version held some unknown time ago; were `fresh` to rest on
-// it, a VM could go on with a replaced version for as long as the lag lasts.
-// 6 VMs at a poll of 1 s make 6 reads a second, 320 VMs at 4 s make 80.
+// The poll is a transaction without writes rather than a plain read: it also
+// costs the table one read, but is linearizable. A stale read shows only that
+// the version was current some unknown time ago. If is_fresh() relied on it, a
+// VM could continue with a replaced version for as long as reads are stale.
+// 6 VMs with a poll interval of 1 s make 6 reads per second, 320 VMs with 4 s
+// make 80.
 void configuration_reader::read_now(time_point now, action_list& actions)
 {
     operation_id const operation = ids_.next_operation();
@@ -159,7 +160,7 @@
     fetches_[operation] = latest_row_;
     actions.emplace_back(fetch_object{operation, latest_row_.object,
                                       now + settings_.table_timeout});
-    // Also should no reply come.
+    // Repeats the fetch if no reply arrives.
     next_fetch_ = now + 2 * settings_.table_timeout;
 }
 
@@ -179,8 +180,9 @@
         retry_fetch(row, "the object store cannot be reached", now, actions);
 }
 
-// The version before stays in force while this one cannot be loaded, but no
-// read agrees with it any more: after the bound it is not known to hold.
+// The previous version stays in force while the new one cannot be loaded, but
+// reads no longer show the previous one: after the staleness bound it is not
+// known to be current.
 void configuration_reader::load(configuration_row const& row,
                                 std::string const& text, time_point now,
                                 action_list& actions)
@@ -195,7 +197,7 @@
     auto parsed = parse_declaration(text, row.object);
     if (!std::holds_alternative<declaration>(parsed))
     {
-        retry_fetch(row, "its object is no declaration", now, actions);
+        retry_fetch(row, "its object is not a valid declaration", now, actions);
         return;
     }
     bool const newest = row.version == latest_row_.version;
@@ -223,7 +225,7 @@
 void configuration_reader::log_fault(std::string const& text,
                                      action_list& actions)
 {
-    // Once for each fault, not for each retry.
+    // Logged once per fault, not once per retry.
     if (logged_fault_ == text)
         return;
     logged_fault_ = text;
@@ -269,7 +271,7 @@
 
 bool configuration_reader::is_table_reachable(time_point now) const
 {
-    // At a slow poll the last answer is old also while all is well.
+    // With a long poll interval the last answer is old even without a fault.
     duration const recent =
         std::max(settings_.outage_after,
                  settings_.poll_interval + settings_.table_timeout / 2);
@@ -287,7 +289,8 @@
     return failures_ + unanswered >= 2;
 }
 
-// A shell that never replies is as a table that never answers.
+// A read that never gets a reply counts like one that the table left
+// unanswered.
 void configuration_reader::drop_overdue_reads(time_point now)
 {
     auto const is_expired = [&](auto const& read)
--- a/src/configuration_reader.hpp
+++ b/src/configuration_reader.hpp
@@ -1,5 +1,6 @@
-/// Learning the confirmed configuration from the table and the object store,
-/// and how long what was learnt counts as known.
+/// Reads the confirmed configuration from the table and the object store, and
+/// decides how long the last read counts as recent and whether the table is
+/// reachable.
 #ifndef MULBERRY_CONFIGURATION_READER_HPP
 #define MULBERRY_CONFIGURATION_READER_HPP
 
@@ -36,30 +37,34 @@
                    action_list& actions);
     /// Reads the row without waiting for the next poll.
     void read_now(time_point now, action_list& actions);
-    /// The same, asked again soon unless it is answered.
+    /// Reads the row, and sends a second read if the first is not answered
+    /// soon.
     void read_with_retry(time_point now, action_list& actions);
-    /// A peer spoke of that version. It is never put in force for that; the
-    /// row is read, once for each version that is news.
+    /// A peer reported this version. The row is read if the version is higher
+    /// than all known ones; the report itself never puts a version in force.
     void on_version_reported(config_version version, time_point now,
                              action_list& actions);
-    /// The table answered something that was asked then.
+    /// The table answered a call that was sent at `asked_at`.
     void on_table_answer(time_point asked_at);
-    /// Spares fetching a text that this VM has at hand.
+    /// Keeps a declaration's text, so that it need not be fetched.
     void cache_text(std::string digest,
                     std::shared_ptr<std::string const> text);
 
     config_version version() const { return in_force_; }
     std::shared_ptr<declaration const> current() const { return declaration_; }
-    /// The highest version that this VM read or heard of. A version heard of
-    /// counts until a read that was asked later shows what the row says.
+    /// The highest version that this VM read or that a peer reported. A
+    /// reported version counts until a read that was sent later is answered.
     config_version highest() const;
-    /// Whether the last read that agreed with the version in force is recent.
+    /// Whether the last read that showed the version in force was sent less
+    /// than the staleness bound ago.
     bool is_fresh(time_point now) const;
+    /// Whether the table answered a call that was sent recently.
     bool is_table_reachable(time_point now) const;
-    /// Whether the table left at least two questions unanswered, and none was
-    /// answered for a while.
+    /// Whether at least two reads are unanswered or have failed, and no call
+    /// sent within the last `outage_after` was answered. False before the first
+    /// answer.
     bool is_table_unreachable(time_point now) const;
-    /// When the newest answered read of the row was asked, if any was.
+    /// When the newest answered read of the row was sent.
     std::optional<time_point> last_read_asked_at() const
     {
         return last_read_asked_at_;
@@ -96,18 +101,19 @@
 
     std::map<operation_id, pending_read> reads_;
     time_point next_poll_ = never;
-    /// When the last poll is asked again unless it is answered.
+    /// When the last poll is repeated unless it is answered.
     time_point retry_read_at_ = never;
     std::optional<time_point> last_read_asked_at_;
     std::optional<time_point> last_answer_asked_at_;
-    /// Reads asked since then that failed.
+    /// Failed reads that were sent after last_answer_asked_at_.
     std::size_t failures_ = 0;
-    /// When the newest read that agreed with the version in force was asked.
+    /// When the newest read that showed the version in force was sent.
     std::optional<time_point> last_agreeing_read_at_;
 
     config_version in_force_;
     std::shared_ptr<declaration const> declaration_;
-    /// The highest row seen, and when the newest read of it was asked.
+    /// The row with the highest version read, and when the newest read that
+    /// returned this version was sent.
     configuration_row latest_row_;
     time_point latest_row_read_at_{};
     config_version reported_version_;
--- a/src/confirm_run.cpp
+++ b/src/confirm_run.cpp
@@ -41,7 +41,8 @@
 {
     deadline_ = now + context_.settings.confirm_timeout;
     actions.emplace_back(log_entry("confirm-started",
-                                   version_text(target_version()) + " on " +
+                                   version_text(target_version()) +
+                                       " based on version " +
                                        std::to_string(request_.base.value())));
     read(now, actions);
 }
@@ -103,8 +104,8 @@
         on_written(now, actions);
         break;
     case table_outcome::conflict:
-        // Not this try, but perhaps the same one sent twice on the way: the
-        // rows tell.
+        // This attempt was not applied, but a duplicate of it may have been;
+        // the rows show it.
         pending_write_version_.reset();
         on_row_read(reply.rows, now, actions);
         break;
@@ -146,7 +147,8 @@
         return;
     }
     row_ = *row;
-    // The row moved on: the write's condition can never hold again.
+    // If the row has changed, the condition of the pending write can never be
+    // satisfied.
     if (pending_write_version_ && (*pending_write_version_ != row_.at ||
                                    !context_.rules.may_apply_later()))
         pending_write_version_.reset();
@@ -243,7 +245,7 @@
             succeed();
         return;
     }
-    // Some of the time is kept for the write itself.
+    // Leaves time for the write itself.
     if (now + context_.settings.promise_duration / 4 < end)
         write(now, actions);
 }
@@ -265,9 +267,10 @@
     send(step::writing, std::move(transaction), deadline, now, actions);
 }
 
-// A write whose answer is lost may land at any later time, long after its
-// promises. The same text under a new row version makes it conflict for good;
-// the token inside stays, for whoever reads back under it.
+// A write whose answer is lost may take effect at any later time, long after
+// its promises have expired. Writing the same text under a new row version
+// makes that write conflict for good; the text keeps its token, so that the
+// writer of the current version still finds it.
 void confirm_run::invalidate_write(time_point now, action_list& actions)
 {
     table_transaction transaction;
@@ -303,7 +306,7 @@
         return;
     if (!operation_.none() && now >= operation_expires_at_)
     {
-        // No reply came at all: the same as one that says unreachable.
+        // No reply at all is handled like `unreachable`.
         operation_ = operation_id();
         if (step_ != step::storing)
             step_ = step::reading;
--- a/src/confirm_run.hpp
+++ b/src/confirm_run.hpp
@@ -1,4 +1,4 @@
-/// One confirm, from reading the row to a certain outcome.
+/// One confirm, from reading the row until its outcome is known.
 #ifndef MULBERRY_CONFIRM_RUN_HPP
 #define MULBERRY_CONFIRM_RUN_HPP
 
@@ -18,7 +18,8 @@
 namespace mulberry
 {
 
-/// What a confirm uses of its VM's keeper; outlives the run.
+/// Parts of the VM's configuration_keeper that a confirm uses. They outlive the
+/// confirm_run.
 struct confirm_context
 {
     configuration_settings const& settings;
@@ -30,27 +31,29 @@
     configuration_reader& reader;
 };
 
-/// What an operator wants confirmed.
+/// A change that an operator asked to confirm.
 struct confirm_request
 {
     std::uint64_t ticket = 0;
     config_version base;
     std::string digest;
     std::shared_ptr<std::string const> text;
-    /// Unique; marks the write as this run's.
+    /// Unique; identifies the write of this run.
     std::string token;
 };
 
-/// Steps: read the row; store the object; gather promises; write, conditional
-/// on the row's version. After a write whose outcome is unknown: read back
-/// under the token; when the row still is as before the write, which may then
-/// yet land, write it anew unchanged, so that the late write's condition can
-/// never hold. Promises are gathered last, so that others are held up for the
-/// shortest time.
+/// Steps: read the row, store the object, gather promises, write the row on
+/// condition of its version. After a write whose outcome is unknown, the row is
+/// read and its token compared. If the row is unchanged, the write may still
+/// take effect; the row is then rewritten with the same text, which changes its
+/// version, so that the late write's condition can never be satisfied. Promises
+/// are gathered last, so that other VMs are bound by them as briefly as
+/// possible.
 ///
-/// The operator is told success only while the promises hold. A write seen
-/// too late for that is told after another majority has promised: each of
-/// these VMs goes on without the table only once it has read the row again.
+/// Success is reported to the operator only while the promises hold. If the
+/// write is seen too late, success is reported after a majority has promised
+/// again: each of these VMs continues without the table only after it has read
+/// the row again.
 ///
 /// Thread safety: none; part of a configuration_keeper.
 class confirm_run
@@ -65,15 +68,16 @@
                   action_list& actions);
     void on_object(object_reply const& reply, time_point now,
                    action_list& actions);
-    /// Answers to other runs' questions are ignored.
+    /// Ignores answers to questions of other runs.
     void on_answer(vm_id const& from, confirm_answer const& answer,
                    time_point now, action_list& actions);
 
-    /// The operator's answer, once. `plan_outdated` leaves `current` open.
+    /// The result for the operator, returned once. `current` is not set, not
+    /// even for plan_outdated.
     std::optional<confirm_settled> take_settled();
-    /// For plan_outdated: the version found in the row.
+    /// For plan_outdated: the version read from the row.
     config_version found_version() const { return row_.version; }
-    /// Whether nothing is left to do or to find out.
+    /// Whether the outcome is known and nothing is left to do.
     bool is_finished() const { return step_ == step::finished; }
 
 private:
@@ -125,7 +129,7 @@
     /// The row as last read.
     configuration_row row_;
     bool object_stored_ = false;
-    /// The row's version under which a write of unknown outcome was sent.
+    /// The row version that a write of unknown outcome has as its condition.
     std::optional<row_version> pending_write_version_;
     bool written_ = false;
     bool answered_ = false;
--- a/src/promise_rules.hpp
+++ b/src/promise_rules.hpp
@@ -1,5 +1,6 @@
-/// The rules on which "a confirmed configuration never reverts" rests, behind
-/// one interface, so that a test can leave out one and see the violation.
+/// The rules that guarantee that a confirmed configuration is never reverted.
+/// Each is a virtual function, so that a test can disable one rule and check
+/// that the violation is detected.
 #ifndef MULBERRY_PROMISE_RULES_HPP
 #define MULBERRY_PROMISE_RULES_HPP
 
@@ -10,16 +11,16 @@
 namespace mulberry
 {
 
-/// What a VM that is asked for a promise knows of itself.
+/// State of a VM that is asked for a promise, as far as the rules need it.
 struct promise_conditions
 {
-    /// The table answered a question that was asked a short while ago.
+    /// The table answered a call that was sent recently.
     bool table_reachable = false;
-    /// The table left a question unanswered, and none since.
+    /// The table left calls unanswered, and has answered none since.
     bool table_unreachable = false;
     bool outage_promise_running = false;
     bool confirm_promise_running = false;
-    /// No higher version was seen or heard of, and a read that was asked after
+    /// No higher version was read or reported by a peer, and a read sent after
     /// the last confirm promise ended would have shown one.
     bool version_certain = false;
 };
@@ -30,45 +31,50 @@
 public:
     virtual ~promise_rules() = default;
 
-    /// Whether to promise not to help a confirm. A promise of each kind at
-    /// once would let one half confirm while the other goes on with the old.
-    /// A VM that helped a confirm and has not read since may not vote for the
-    /// old version either: the confirm may have succeeded.
+    /// Whether this VM may promise not to support a confirm (outage promise).
+    /// If a VM could give both kinds of promise at the same time, one majority
+    /// could confirm a new version while another continues with the old one.
+    /// A VM that supported a confirm and has not read the row since may not
+    /// vote for the old version either: the confirm may have succeeded.
     virtual bool may_promise_outage(promise_conditions const& conditions) const;
 
-    /// Whether to promise not to support going on without the table.
+    /// Whether this VM may promise not to support continuing without the table
+    /// (confirm promise).
     virtual bool
     may_promise_confirm(promise_conditions const& conditions) const;
 
-    /// Two sets of promises must share a giver.
+    /// Whether `promises` of `members` are a majority. Any two majorities must
+    /// have a member in common.
     virtual bool is_majority(std::size_t promises, std::size_t members) const;
 
-    /// From when on the response writer counts an answer's time. The giver's
-    /// own record starts when it answers, which is later, so it outlives the
-    /// belief.
+    /// The time from which the VM that sent a question counts the validity of
+    /// the answer. The VM that gave the promise counts from its own, later,
+    /// time of answering, so that it keeps the promise for longer than the
+    /// other VM relies on it.
     virtual time_point valid_from(time_point asked, time_point answered) const;
 
-    /// Until when a new life keeps to what its former one may have promised:
-    /// a restarted VM has forgotten its promises, but they still hold.
+    /// Until when a restarted VM must assume that promises of its previous
+    /// incarnation hold: they are not persisted, but other VMs rely on them.
     virtual time_point previous_promises_end(time_point started,
                                              duration promise) const;
 
-    /// Whether the row may be read by a read that lags. A restarted VM would
-    /// then serve a version from before its restart.
+    /// Whether the configuration row may be read by stale reads. A restarted
+    /// VM could then serve a version older than the one before its restart.
     virtual bool allows_stale_reads() const;
 
-    /// Whether a write seen at `now` may be told as confirmed on promises that
-    /// end then. A write that landed later is not covered by them: a majority
-    /// may already have agreed to go on with the version before.
+    /// Whether a write seen at `now` may be reported as confirmed, given
+    /// promises that hold until `end`. They do not cover a write that took
+    /// effect later: a majority may already have agreed to continue with the
+    /// previous version.
     virtual bool promises_cover(time_point now, time_point end) const;
 
     /// Whether a write whose answer was lost, and which a read does not show,
-    /// may land yet. Taken for void, it would take effect after its operator
-    /// was told that nothing was changed.
+    /// may still take effect. If it were assumed to have failed, it could take
+    /// effect after the operator was told that nothing was changed.
     virtual bool may_apply_later() const;
 };
 
-/// All rules kept.
+/// The rules with none disabled.
 promise_rules const& default_promise_rules();
 
 } // namespace mulberry
--- a/src/promise_store.cpp
+++ b/src/promise_store.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Questions whose answers still count; older ones are long past.
+/// Answers to older questions are ignored; their promises have expired.
 constexpr std::size_t max_recorded_questions = 64;
 
 } // namespace
@@ -28,10 +28,10 @@
     any_possibly_replaced_ = end > now;
 }
 
-// Failure: the table is lost after a peer's confirm and before this VM could
-// read the row again. Symptom: it stops at the bound and serves none of its
-// workers, although it has the newest version and its peers go on. What it
-// doubts is what a former life may have helped; without one nothing was.
+// Without this, a VM that loses the table after a peer's confirm and before it
+// reads the row again would stop at the staleness bound and serve none of its
+// workers, although it has the newest version and its peers continue. Only a
+// previous incarnation could have supported a confirm unknown to this one.
 void given_promises::set_first_incarnation()
 {
     any_possibly_replaced_ = false;
@@ -54,19 +54,20 @@
         return false;
     confirm_promise_until_ =
         std::max(confirm_promise_until_, recorded_promise_end(now));
-    // Before the first confirm there is nothing to doubt: nobody goes on
-    // without a version. To doubt version 1 as well would stop every VM if the
-    // table were lost right after the first confirm.
+    // Before the first confirm `base` is none, and no VM continues without a
+    // version. Marking version 1 as possibly replaced as well would stop every
+    // VM if the table were lost right after the first confirm.
     possibly_replaced_ = std::max(possibly_replaced_, base);
     return true;
 }
 
-// Failure: a VM helps a confirm after its former life's promises have ended and
-// before its next read. Were the two in one doubt, reads would settle neither
-// before the later promise ends. Symptom: the table is lost meanwhile, and the
-// VMs stop at the bound although the new version is in force on all of them.
-// Each is settled by a read asked after its own promises ended: what lands
-// later rests on later promises, and those are this life's, which it remembers.
+// The two flags are cleared separately, each by a read sent after its own
+// promises ended: a write that takes effect later relies on later promises,
+// which this incarnation gave and has recorded. A single flag would not be
+// cleared before the later promise ends: if a VM supported a confirm after the
+// promises of its previous incarnation had ended and before its next read, and
+// the table were then lost, the VMs would stop at the staleness bound although
+// the new version is in force on all of them.
 void given_promises::read_answered(time_point asked_at)
 {
     if (asked_at >= previous_promises_until_)
@@ -92,9 +93,9 @@
 
 time_point given_promises::recorded_promise_end(time_point now) const
 {
-    // Two VMs' clocks run at slightly different rates: by this margin the
-    // record outlives the response writer's belief even when no time was spent
-    // on the way.
+    // The clocks of two VMs run at slightly different rates. With this margin
+    // the recorded promise outlasts the period in which the other VM relies on
+    // it, even with no network delay.
     return now + promise_duration_ + promise_duration_ / 16;
 }
 
--- a/src/promise_store.hpp
+++ b/src/promise_store.hpp
@@ -1,4 +1,5 @@
-/// Promises between VMs: those that this VM gave, and those that it collects.
+/// Promises between VMs: those that this VM gave to others, and those that it
+/// collected from them.
 #ifndef MULBERRY_PROMISE_STORE_HPP
 #define MULBERRY_PROMISE_STORE_HPP
 
@@ -14,32 +15,37 @@
 namespace mulberry
 {
 
-/// The two exclusive promises that this VM gives. Thread safety: none.
+/// The two mutually exclusive kinds of promise that this VM gives.
+///
+/// Thread safety: none.
 class given_promises
 {
 public:
-    /// Takes the promises of the former life over, whatever they were.
+    /// Until set_first_incarnation() is called, a previous incarnation is
+    /// assumed to have given promises of both kinds. `promise` is how long a
+    /// promise holds.
     given_promises(promise_rules const& rules, duration promise);
     void start(time_point now);
-    /// There was no former life.
+    /// States that this VM has no previous incarnation.
     void set_first_incarnation();
 
-    /// What this VM knows of the table and of the configuration.
+    /// State of the table and of the configuration as this VM knows it.
     struct observed_state
     {
         bool table_reachable = false;
         bool table_unreachable = false;
-        /// The highest version that this VM has seen or heard of.
+        /// The highest version that this VM read or that a peer reported.
         config_version highest;
     };
-    /// Whether to help a VM go on with that version. Records the promise before
-    /// it returns true.
+    /// Whether this VM promises to support continuing with version `with`
+    /// without the table. The promise is recorded before true is returned.
     bool promise_outage(observed_state const& own, config_version with,
                         time_point now);
-    /// Whether to help a confirm on that version. Records it likewise.
+    /// Whether this VM promises to support a confirm based on version `base`.
+    /// The promise is recorded before true is returned.
     bool promise_confirm(observed_state const& own, config_version base,
                          time_point now);
-    /// A read that does not lag, asked at that time, was answered.
+    /// A linearizable read of the row that was sent at `asked_at` was answered.
     void read_answered(time_point asked_at);
 
 private:
@@ -53,38 +59,42 @@
     time_point outage_promise_until_{};
     time_point confirm_promise_until_{};
     /// Versions up to this one may have been replaced by a confirm that this
-    /// life helped; none when a later read has settled it.
+    /// incarnation supported. None after a later read has shown the current
+    /// version.
     config_version possibly_replaced_;
-    /// When the promises of the former life ended, at the latest.
+    /// When the promises of the previous incarnation end at the latest.
     time_point previous_promises_until_{};
-    /// Any version may have been replaced by a confirm that the former life
-    /// helped, and no later read has settled it.
+    /// Any version may have been replaced by a confirm that the previous
+    /// incarnation supported, and no later read has shown the current version.
     bool any_possibly_replaced_ = false;
 };
 
-/// Promises of one kind that this VM was given. Thread safety: none.
+/// Promises of one kind that other VMs gave to this VM.
+///
+/// Thread safety: none.
 class collected_promises
 {
 public:
     explicit collected_promises(promise_rules const& rules);
 
-    /// A question with that number goes out now.
+    /// Records that the question with this number is sent now.
     void record_question(std::uint64_t number, time_point now);
-    /// This VM's own promise, given when it asked.
+    /// Adds this VM's own promise, given when the question was sent.
     void add_own(vm_id const& self, time_point until);
-    /// An answer to a question of this store; late and repeated ones count
-    /// from the moment their own question was asked. Returns false for
-    /// another's answer.
+    /// Adds the promise in an answer. Late and repeated answers count from the
+    /// time at which their own question was sent. Returns false when the number
+    /// is not one of this object's recorded questions.
     bool add(vm_id const& from, std::uint64_t number, duration holds_for,
              time_point now);
     void clear();
 
-    /// When that member's promise ends; the epoch when it gave none.
+    /// When the member's promise ends; the epoch when it gave none.
     time_point until(vm_id const& member) const;
 
     std::size_t count_valid(std::vector<vm_id> const& members,
                             time_point now) const;
-    /// When the last majority of the members ends; the epoch without one.
+    /// Until when promises of a majority of the members hold; the epoch when
+    /// there is no majority.
     time_point majority_until(std::vector<vm_id> const& members) const;
 
 private:
--- a/src/table.hpp
+++ b/src/table.hpp
@@ -1,5 +1,5 @@
-/// The platform's transactional table service, as the core sees it: typed
-/// operations that go out and replies that come in.
+/// Operations and replies of the platform's transactional table service, and
+/// replies of its object store, as the decision core uses them.
 #ifndef MULBERRY_TABLE_HPP
 #define MULBERRY_TABLE_HPP
 
@@ -21,7 +21,7 @@
     friend bool operator==(table_row const&, table_row const&) = default;
 };
 
-/// Holds when the row has exactly that version (0: is absent).
+/// Satisfied when the row has exactly this version (0: the row is absent).
 struct table_condition
 {
     std::string key;
@@ -30,7 +30,7 @@
                            table_condition const&) = default;
 };
 
-/// Without a value the row is deleted.
+/// Writes a row; without a value, deletes it.
 struct table_write
 {
     std::string key;
@@ -38,7 +38,7 @@
     friend bool operator==(table_write const&, table_write const&) = default;
 };
 
-/// All or nothing.
+/// Applied atomically: all writes if all conditions are satisfied, else none.
 struct table_transaction
 {
     std::vector<table_condition> conditions;
@@ -49,14 +49,14 @@
 
 enum class table_outcome
 {
-    /// Transaction applied, or rows read.
+    /// The transaction was applied or the rows were read.
     done,
-    /// A condition did not hold; nothing was written.
+    /// A condition was not satisfied; nothing was written.
     conflict,
-    /// No answer in time: a transaction may or may not have taken effect, or
-    /// may yet. Whoever sent it reads back under its own token.
+    /// No answer in time: a transaction may have taken effect or may still do
+    /// so. The sender finds out by reading the rows and comparing its token.
     unreachable,
-    /// Refused for rate before it took effect.
+    /// Rejected by rate limiting, without effect.
     refused
 };
 
@@ -65,10 +65,10 @@
     operation_id operation;
     table_outcome outcome = table_outcome::unreachable;
     /// done: the rows written, with versions (values may be left out), or the
-    /// rows read. conflict: the rows of the conditions as they are.
+    /// rows read. conflict: the current rows that the conditions name.
     std::vector<table_row> rows;
-    /// A scan that was answered from an earlier reading: when that was asked.
-    /// Otherwise the rows are as of the question.
+    /// For a scan answered from the result of an earlier read: when that read
+    /// was sent. Otherwise `never`; the rows are as of this operation.
     time_point as_of = never;
 };
 
