--- a/src/configuration_keeper.cpp
+++ b/src/configuration_keeper.cpp
@@ -319,9 +319,9 @@
         was_known_ = !was_known_;
         actions.emplace_back(
             was_known_
-                ? log_entry("configuration-known", "the version is current")
+                ? log_entry("configuration-known", "the version holds")
                 : log_entry("configuration-stale",
-                            "it is not known whether the version is current"));
+                            "it is not known whether the version holds"));
     }
 }
 
--- a/src/confirm_run.cpp
+++ b/src/confirm_run.cpp
@@ -41,8 +41,7 @@
 {
     deadline_ = now + context_.settings.confirm_timeout;
     actions.emplace_back(log_entry("confirm-started",
-                                   version_text(target_version()) +
-                                       " based on version " +
+                                   version_text(target_version()) + " on " +
                                        std::to_string(request_.base.value())));
     read(now, actions);
 }
--- a/src/promise_rules.cpp
+++ b/src/promise_rules.cpp
@@ -21,10 +21,10 @@
     return promises > members / 2;
 }
 
-time_point promise_rules::valid_from(time_point asked,
-                                     time_point /*answered*/) const
+time_point promise_rules::valid_from(time_point sent_at,
+                                     time_point /*answered_at*/) const
 {
-    return asked;
+    return sent_at;
 }
 
 time_point promise_rules::previous_promises_end(time_point started,
--- a/src/promise_rules.hpp
+++ b/src/promise_rules.hpp
@@ -51,7 +51,8 @@
     /// the answer. The VM that gave the promise counts from its own, later,
     /// time of answering, so that it keeps the promise for longer than the
     /// other VM relies on it.
-    virtual time_point valid_from(time_point asked, time_point answered) const;
+    virtual time_point valid_from(time_point sent_at,
+                                  time_point answered_at) const;
 
     /// Until when a restarted VM must assume that promises of its previous
     /// incarnation hold: they are not persisted, but other VMs rely on them.
--- a/tests/configuration_cluster.cpp
+++ b/tests/configuration_cluster.cpp
@@ -14,7 +14,7 @@
 
 constexpr duration tick_interval = 100ms;
 constexpr duration registration_interval = 500ms;
-/// From the deadline of a confirm to its answer, at the latest.
+/// A confirm must be answered by this long after its deadline.
 constexpr duration answer_grace = 5s;
 
 std::string make_declaration(std::uint64_t ticket)
@@ -34,7 +34,7 @@
     : random_(seed), settings_(std::move(settings)), rules_(rules),
       checks_(checks), vms_(vms)
 {
-    // Version 1 is there before the VMs start.
+    // Version 1 is written before the VMs start.
     std::string const text = make_declaration(0);
     std::string const digest = digest_of(text);
     objects_[declaration_key(digest)] = text;
@@ -103,8 +103,8 @@
         { return vm.keeper && vm.keeper->version() == version; }));
 }
 
-// What reaches a paused VM waits in its sockets; what reaches a dead one is
-// lost.
+// Input for a paused VM is delivered when it resumes, as from socket buffers;
+// input for an earlier incarnation is lost.
 void configuration_cluster::run_in_vm(std::size_t index,
                                       incarnation incarnation_number,
                                       vm_action const& what)
@@ -159,8 +159,8 @@
               });
 }
 
-// Members are known by rows: a VM joins, and hears of others' new lives, only
-// while it reaches the table.
+// Members are read from table rows: a VM registers, and learns of the new
+// incarnations of others, only while it reaches the table.
 void configuration_cluster::register_vm(std::size_t index,
                                         incarnation incarnation_number)
 {
@@ -275,7 +275,8 @@
     at(when,
        [this, vm, incarnation_number, reply = std::move(reply)]
        {
-           // A call has one reply: its answer, or its deadline.
+           // A call gets one reply: the table's answer, or unreachable at the
+           // deadline.
            bool const first =
                answered_.emplace(vm, incarnation_number, reply.operation)
                    .second;
@@ -324,7 +325,7 @@
        });
 }
 
-// Only a double that reads so gets here: it sees the past.
+// A stale read. Used only when a test disables the rule against stale reads.
 void configuration_cluster::perform_read(std::size_t vm, read_row const& order)
 {
     ++counts_.reads;
@@ -386,7 +387,7 @@
         reply = chance(50)
                     ? object_reply{order.operation, object_outcome::done, "{"}
                     : object_reply{order.operation, object_outcome::absent, {}};
-    // Objects are slow at times, so that a later version's comes first.
+    // Some fetches are slow, so that a later version's object may arrive first.
     duration const max_delay = chance(20) ? duration(1s) : duration(30ms);
     answer(vm, vms_[vm].incarnation_number, reply,
            now_ + random_duration(1ms, max_delay));
@@ -436,24 +437,24 @@
                                        confirm_settled const& settled)
 {
     answers_.push_back(settled);
-    requested_confirm& asked = confirms_.at(settled.ticket);
-    if (std::exchange(asked.settled, true))
+    requested_confirm& request = confirms_.at(settled.ticket);
+    if (std::exchange(request.settled, true))
         add_violation("a confirm was answered twice");
     if (auto const* version = std::get_if<config_version>(&settled.result))
     {
         ++counts_.confirmed;
         if (!acknowledged_.emplace(*version, now_).second)
-            add_violation("one version was told to two operators");
+            add_violation("one version was reported to two operators");
         if (version->value() > history_.size() ||
-            history_[version->value() - 1] != asked.digest)
-            add_violation("a version was told that was not written");
+            history_[version->value() - 1] != request.digest)
+            add_violation("a version was reported that was not written");
         return;
     }
     auto const& why = std::get<error>(settled.result);
-    asked.refused = why.request_ran() == ran::no;
-    ++(asked.refused ? counts_.refused : counts_.unknown);
+    request.refused = why.request_ran() == ran::no;
+    ++(request.refused ? counts_.refused : counts_.unknown);
     bool const late =
-        now_ > asked.answer_deadline && now_ >= vms_[vm].paused_until;
+        now_ > request.answer_deadline && now_ >= vms_[vm].paused_until;
     if (late && vms_[vm].paused_until + answer_grace < now_)
         add_violation("a confirm was answered late");
 }
@@ -473,24 +474,25 @@
     bool const going_on = vm.keeper->going_on_without_table(now_);
     if (going_on && !acknowledged_.empty() &&
         version < acknowledged_.rbegin()->first)
-        add_violation("a VM goes on without the table with a replaced version");
-    for (auto const& [told, when] : acknowledged_)
-        if (version < told && when + settings_.staleness_bound < now_)
-            add_violation("a VM holds to a version that was replaced");
+        add_violation(
+            "a VM continues without the table with a replaced version");
+    for (auto const& [confirmed, when] : acknowledged_)
+        if (version < confirmed && when + settings_.staleness_bound < now_)
+            add_violation("a VM takes a replaced version for the current one");
 }
 
 void configuration_cluster::check_history()
 {
-    for (auto const& [ticket, asked] : confirms_)
+    for (auto const& [ticket, request] : confirms_)
     {
         bool const written = std::find(history_.begin(), history_.end(),
-                                       asked.digest) != history_.end();
-        if (asked.refused && written)
+                                       request.digest) != history_.end();
+        if (request.refused && written)
             add_violation("a refused change took effect");
         bool const alive =
-            vms_[asked.vm].incarnation_number == asked.incarnation_number;
-        if (alive && !asked.settled && asked.answer_deadline < now_ &&
-            vms_[asked.vm].paused_until + answer_grace < now_)
+            vms_[request.vm].incarnation_number == request.incarnation_number;
+        if (alive && !request.settled && request.answer_deadline < now_ &&
+            vms_[request.vm].paused_until + answer_grace < now_)
             add_violation("a confirm was never answered");
     }
 }
@@ -500,9 +502,9 @@
     for (std::size_t index = 0; index < vms_.size(); ++index)
     {
         if (vms_[index].keeper->version() != written())
-            add_violation("a VM has not learnt the newest version");
+            add_violation("a VM has not loaded the newest version");
         if (!vms_[index].keeper->is_known(now_))
-            add_violation("a VM does not know its version to hold");
+            add_violation("a VM does not know whether its version is current");
     }
 }
 
--- a/tests/configuration_cluster.hpp
+++ b/tests/configuration_cluster.hpp
@@ -1,6 +1,6 @@
-/// Configuration keepers of several VMs in virtual time, with small fakes of
-/// the table, the object store and the messages between them; and a checker
-/// over the history of what they said.
+/// Simulates the configuration keepers of several VMs in virtual time, with
+/// fakes of the table, the object store and the messages between VMs, and
+/// checks the history of their states and answers for violations.
 #ifndef MULBERRY_TESTS_CONFIGURATION_CLUSTER_HPP
 #define MULBERRY_TESTS_CONFIGURATION_CLUSTER_HPP
 
@@ -42,7 +42,7 @@
     duration length;
 };
 
-/// What a run counted.
+/// Operations and results of a run.
 struct cluster_counts
 {
     std::size_t reads = 0;
@@ -61,24 +61,25 @@
 
     void add(fault const& planned);
     void run_until(time_point end);
-    /// Empty while nothing that must hold was broken.
+    /// Invariants violated so far, each listed once.
     std::vector<std::string> const& violations() const { return violations_; }
-    /// Adds what can be judged only when the run is over.
+    /// Adds violations that can be detected only at the end of the run.
     void check_history();
-    /// Adds a violation for each VM that is not well some time after all
-    /// faults ended.
+    /// Adds violations by VMs that do not know the newest version. To be called
+    /// some time after all faults have ended.
     void check_recovery();
 
     configuration_keeper& keeper(std::size_t vm) { return *vms_[vm].keeper; }
     time_point now() const { return now_; }
     cluster_counts const& counts() const { return counts_; }
-    /// What operators were answered, in order.
+    /// The results of confirms, in the order in which they were reported.
     std::vector<confirm_settled> const& answers() const { return answers_; }
     config_version written() const { return config_version(history_.size()); }
-    /// How many VMs know, and how many have a version in force.
+    /// How many VMs know that their version is current.
     std::size_t count_knowing();
+    /// How many VMs have this version in force.
     std::size_t count_at_version(config_version version);
-    /// From now on no VM is told of a new version by another.
+    /// From now on no VM receives a configuration_hint.
     void drop_hints() { drops_hints_ = true; }
 
 private:
@@ -95,7 +96,7 @@
         time_point slow_until{};
         time_point losing_answers_until{};
         time_point delaying_writes_until{};
-        /// Over all its lives.
+        /// Highest version in force, over all incarnations.
         config_version highest;
     };
     struct event
@@ -113,7 +114,7 @@
         row_version version;
         std::string value;
     };
-    /// A confirm that an operator asked for, and what became of it.
+    /// A confirm that an operator requested, and its result.
     struct requested_confirm
     {
         std::string digest;
--- a/tests/configuration_keeper_test.cpp
+++ b/tests/configuration_keeper_test.cpp
@@ -18,14 +18,14 @@
 {
 
 constexpr auto origin = time_point();
-/// Faults begin until then; all have ended a while after.
+/// Faults begin between these times and last at most max_fault_length.
 constexpr duration faults_begin = 6s;
 constexpr duration faults_end = 36s;
 constexpr duration max_fault_length = 12s;
 constexpr duration recovery_time = 12s;
 
-/// One number a fault, so that a failing schedule shrinks by leaving out
-/// faults.
+/// Decodes a fault from one number, so that RapidCheck shrinks a failing
+/// schedule by removing faults.
 fault decode(std::uint64_t code, std::size_t vms)
 {
     using enum fault_kind;
@@ -68,7 +68,7 @@
     return cluster;
 }
 
-/// Random draws for schedules that are aimed at one kind of trouble.
+/// Random values for schedules that target one kind of failure.
 class random_source
 {
 public:
@@ -86,7 +86,7 @@
 
 using schedule_source = schedule (*)(std::uint64_t number);
 
-/// Anything at any time.
+/// Any faults at any time.
 schedule random_faults(std::uint64_t number)
 {
     random_source draw(number);
@@ -96,8 +96,8 @@
     return result;
 }
 
-/// A majority loses the table. One of it finds it again, perhaps by a restart,
-/// while the last VM, which has it all the time, confirms.
+/// A majority loses the table. One member of the majority reaches it again,
+/// possibly after a restart, while a VM that never lost the table confirms.
 schedule majority_member_reconnects(std::uint64_t number)
 {
     using enum fault_kind;
@@ -114,8 +114,8 @@
     return result;
 }
 
-/// All but the one that confirms lose the table about when it writes, and hear
-/// nothing of it.
+/// All VMs but the one that confirms lose the table at about the time of the
+/// write, and receive no messages from that VM.
 schedule table_lost_at_confirm(std::uint64_t number)
 {
     using enum fault_kind;
@@ -129,7 +129,8 @@
     return result;
 }
 
-/// A write lands long after its promises; the others lose the table before.
+/// A write takes effect long after its promises have expired; the other VMs
+/// lose the table before.
 schedule write_applied_late(std::uint64_t number)
 {
     using enum fault_kind;
@@ -145,8 +146,8 @@
     return result;
 }
 
-/// A VM is paused while the answer to its read is on the way, and a change is
-/// confirmed meanwhile.
+/// A VM is paused while the answer to its read is in flight, and a change is
+/// confirmed in the meantime.
 schedule paused_reader(std::uint64_t number)
 {
     using enum fault_kind;
@@ -164,7 +165,7 @@
 constexpr std::uint64_t max_schedules = 1000;
 constexpr std::uint64_t schedules_per_source = 300;
 
-/// The number of the first schedule on which the checker names `violation`.
+/// The number of the first schedule on which `violation` is detected.
 std::optional<std::uint64_t>
 find_violating_schedule(std::string const& violation, schedule_source source,
                         promise_rules const& rules, safeguards const& checks)
@@ -183,9 +184,9 @@
 }
 
 std::string const stale_version_known =
-    "a VM holds to a version that was replaced";
+    "a VM takes a replaced version for the current one";
 std::string const continues_with_replaced =
-    "a VM goes on without the table with a replaced version";
+    "a VM continues without the table with a replaced version";
 std::string const version_reverted = "a VM went back to an older version";
 std::string const refused_change_applied = "a refused change took effect";
 
@@ -235,9 +236,9 @@
 
 struct valid_from_answer : promise_rules
 {
-    time_point valid_from(time_point, time_point answered) const override
+    time_point valid_from(time_point, time_point answered_at) const override
     {
-        return answered;
+        return answered_at;
     }
 };
 
@@ -266,13 +267,15 @@
 
 } // namespace
 
-TEST_CASE("a confirmed configuration holds through any schedule",
-          "[configuration][proof]")
+TEST_CASE(
+    "a confirmed configuration is not reverted under random fault schedules",
+    "[configuration][proof]")
 {
-    // An operator is told of a version; `bound` later no VM takes work under an
-    // older one, and none ever goes back, whatever is cut, paused, restarted,
-    // lost, late or repeated; a refused change never takes effect. All heal
-    // and know the newest version soon after the faults end.
+    // From staleness_bound after an operator was told that a version is
+    // confirmed, no VM takes work under an older version. No VM goes back to an
+    // older version, and a refused change never takes effect, whatever is cut
+    // off, paused, restarted, lost, delayed or duplicated. All VMs know the
+    // newest version soon after the faults end.
     safeguards const checks;
     std::size_t schedules = 0;
     cluster_counts sum;
@@ -303,12 +306,14 @@
     CHECK(sum.unknown > 0);
 }
 
-TEST_CASE("a confirmed configuration holds through aimed schedules",
-          "[configuration][proof]")
+TEST_CASE(
+    "a confirmed configuration is not reverted under targeted fault schedules",
+    "[configuration][proof]")
 {
-    // The same, where the trouble comes at the worst moment: VMs change sides
-    // between the halves of an outage, all lose the table as a confirm is
-    // written, or a write lands after its promises.
+    // The same invariants with faults at the worst moments: a VM reaches the
+    // table again during an outage, all lose the table while a confirm is
+    // written, a write takes effect after its promises have expired, or a VM is
+    // paused while it reads.
     safeguards const checks;
     for (schedule_source const source :
          {majority_member_reconnects, table_lost_at_confirm, write_applied_late,
@@ -331,49 +336,49 @@
     }
 }
 
-TEST_CASE("the checker names what each left-out rule breaks",
+TEST_CASE("a violation is detected for each rule that is disabled",
           "[configuration][proof]")
 {
     safeguards const checks;
-    SECTION("a VM gives both promises at once")
+    SECTION("a VM gives both kinds of promise at once")
     {
         CHECK(find_violating_schedule(continues_with_replaced,
                                       majority_member_reconnects,
                                       without_promise_exclusion(), checks));
     }
-    SECTION("a VM votes for a version whose confirm it helped")
+    SECTION("a VM votes for the base of a confirm that it supported")
     {
         CHECK(find_violating_schedule(stale_version_known,
                                       table_lost_at_confirm,
                                       without_version_check(), checks));
     }
-    SECTION("one VM's own promise is taken for a majority")
+    SECTION("a single promise counts as a majority")
     {
         CHECK(find_violating_schedule(stale_version_known, random_faults,
                                       without_majority(), checks));
     }
-    SECTION("a restarted VM forgets its promises")
+    SECTION("a restarted VM does not wait for its previous promises to expire")
     {
         CHECK(find_violating_schedule(continues_with_replaced,
                                       majority_member_reconnects,
                                       without_restart_wait(), checks));
     }
-    SECTION("answers count from when they came")
+    SECTION("promises count from the arrival of the answer")
     {
         CHECK(find_violating_schedule(stale_version_known, paused_reader,
                                       valid_from_answer(), checks));
     }
-    SECTION("the row is read by reads that lag")
+    SECTION("the row is read by stale reads")
     {
         CHECK(find_violating_schedule(version_reverted, random_faults,
                                       with_stale_reads(), checks));
     }
-    SECTION("success is told whenever the write is seen")
+    SECTION("success is reported after the promises have expired")
     {
         CHECK(find_violating_schedule(stale_version_known, write_applied_late,
                                       without_promise_cover(), checks));
     }
-    SECTION("a write that is not seen is taken for void")
+    SECTION("a write that a read does not show is assumed to have failed")
     {
         CHECK(find_violating_schedule(refused_change_applied,
                                       write_applied_late,
@@ -387,12 +392,12 @@
     }
 }
 
-TEST_CASE("a VM that alone has lost the table stops at the bound",
+TEST_CASE("a VM that alone loses the table stops at the staleness bound",
           "[configuration]")
 {
-    // One VM is cut from the table; the others read on and refuse to promise.
-    // It serves until the bound, then refuses, and serves again when it is
-    // back.
+    // One VM is cut off from the table; the others still read it and refuse to
+    // promise. The VM serves until the staleness bound, then refuses requests,
+    // and serves again when the table is back.
     safeguards const checks;
     for (std::uint64_t seed = 1; seed <= 40; ++seed)
     {
@@ -413,11 +418,11 @@
     }
 }
 
-TEST_CASE("a connected majority goes on through an outage of the table",
+TEST_CASE("a connected majority continues during an outage of the table",
           "[configuration]")
 {
-    // All lose the table for a minute. A minority is also cut from the others
-    // and stops; the majority serves without a gap.
+    // All VMs lose the table for a minute. A minority is also cut off from the
+    // others and stops; the majority serves without interruption.
     safeguards const checks;
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
@@ -440,7 +445,7 @@
                     std::min(min_known_past_bound, cluster.count_knowing());
         }
         if (vms == 6)
-            std::cout << "6 VMs without the table: messages a second "
+            std::cout << "6 VMs without the table: messages per second "
                       << static_cast<double>(cluster.counts().messages) / 60
                       << '\n';
         CHECK(min_known == vms - apart);
@@ -453,11 +458,12 @@
 namespace
 {
 
-/// All VMs of three lose the table for 30 s in the moment in which version 2 is
-/// in force on each. The fewest that know their version at a time, from the
-/// sixth second on: a question that comes late is answered with a promise of
-/// somewhat more than 3 s while the table's last answer is less than 1.5 s old;
-/// after that some messages may be lost.
+/// All three VMs lose the table for 30 s as soon as version 2 is in force on
+/// each of them. Returns the lowest number of VMs that know their version to be
+/// current at any time from the sixth second on. Before that, a late confirm
+/// question may be answered with a promise, which lasts somewhat more than 3 s,
+/// while the table's last answer is less than 1.5 s old, and messages may be
+/// lost after that.
 std::size_t min_knowing_in_outage(configuration_cluster& cluster)
 {
     while (cluster.count_at_version(config_version(2)) < 3 &&
@@ -477,33 +483,36 @@
 
 } // namespace
 
-TEST_CASE("an outage right after a confirm is gone through", "[configuration]")
+TEST_CASE("VMs continue during an outage right after a confirm",
+          "[configuration]")
 {
-    // VMs that have just restarted help a confirm as soon as they give
+    // VMs that have just restarted support a confirm as soon as they may give
     // promises. All lose the table when the new version is in force on them,
-    // and no other confirm can have replaced it. Once their promises to help
-    // the confirm have ended, they go on with it until the table is back.
+    // and no other confirm can have replaced it. After their confirm promises
+    // have expired, they continue with it until the table is back.
     safeguards const checks;
     for (std::uint64_t seed = 1; seed <= 60; ++seed)
     {
         configuration_cluster cluster(3, seed, default_promise_rules(), checks);
         for (std::size_t vm = 0; vm < 3; ++vm)
             cluster.add({fault_kind::restart, vm, origin + 3s, {}});
-        // They keep to a former life's promises for somewhat more than 3 s.
+        // Promises of the previous incarnation are honored for somewhat more
+        // than 3 s.
         cluster.add({fault_kind::confirm, 0, origin + 6250ms, {}});
         CAPTURE(seed);
         CHECK(min_knowing_in_outage(cluster) == 3);
     }
 }
 
-TEST_CASE("a VM in its first life goes on through an outage after a confirm",
-          "[configuration]")
+TEST_CASE(
+    "a VM in its first incarnation continues during an outage after a confirm",
+    "[configuration]")
 {
-    // Two of three VMs promise to help a confirm as soon as they give promises.
-    // The third gives none yet, as one that restarted must not; all lose the
-    // table as soon as the new version is in force on it too, before it can ask
-    // again. It has had no life before, in which it could have helped another
-    // confirm, and goes on like its peers.
+    // Two of three VMs support a confirm as soon as they may give promises. The
+    // third may not give any yet, like a restarted VM. All lose the table as
+    // soon as the new version is in force on the third too, before it can read
+    // again. It has no previous incarnation that could have supported another
+    // confirm, so it continues like its peers.
     safeguards const checks;
     for (std::uint64_t seed = 1; seed <= 60; ++seed)
     {
@@ -515,13 +524,14 @@
     }
 }
 
-TEST_CASE("no VM stops for a moment when an outage of the table ends",
+TEST_CASE("VMs serve without interruption when an outage of the table ends",
           "[configuration]")
 {
-    // All lose the table for longer than the bound. When it is back, a VM's
-    // heartbeat is answered before its next read of the configuration, which
-    // alone can tell that the version held. Callers are served all the time:
-    // the peers' promises count until that read is answered.
+    // All VMs lose the table for longer than the staleness bound. When it is
+    // back, a VM's heartbeat is answered before its next read of the
+    // configuration, and only that read shows whether the version is current.
+    // Callers are served all the time, because the peers' promises count until
+    // that read is answered.
     safeguards const checks;
     for (std::uint64_t seed = 1; seed <= 60; ++seed)
     {
@@ -575,11 +585,11 @@
         cluster.run_until(origin + 10s);
         cluster_counts const before = cluster.counts();
         cluster.run_until(origin + 30s);
-        std::cout << each.vms << " VMs: reads a second "
+        std::cout << each.vms << " VMs: reads per second "
                   << static_cast<double>(cluster.counts().reads -
                                          before.reads) /
                          20
-                  << ", messages a second "
+                  << ", messages per second "
                   << static_cast<double>(cluster.counts().messages -
                                          before.messages) /
                          20;
@@ -590,18 +600,21 @@
         while (cluster.count_at_version(config_version(2)) < each.vms &&
                cluster.now() < confirmed_at + 20s)
             cluster.run_until(cluster.now() + 1ms);
-        std::cout << "; asked to told " << (confirmed_at - (origin + 30s)) / 1ms
-                  << " ms, told to in force on all "
+        std::cout << "; request to success "
+                  << (confirmed_at - (origin + 30s)) / 1ms
+                  << " ms, success to in force on all "
                   << (cluster.now() - confirmed_at) / 1ms << " ms\n";
         CHECK(cluster.now() - confirmed_at <= each.limit);
     }
 }
 
-TEST_CASE("of two operators that race one wins and the other is told why",
+TEST_CASE("of two concurrent confirms one succeeds and the other is refused as "
+          "outdated",
           "[configuration]")
 {
-    // Both confirm on the same base, on two VMs, at the same moment. One is
-    // told the version; the other that its plan is outdated, with what won.
+    // Two operators confirm on the same base, on two VMs, at the same time. One
+    // gets the new version; the other is told that its plan is outdated and
+    // gets the declaration that was confirmed.
     safeguards const checks;
     for (std::uint64_t seed = 1; seed <= 50; ++seed)
     {
@@ -625,11 +638,11 @@
     }
 }
 
-TEST_CASE("a confirm without a majority is refused and says so",
+TEST_CASE("a confirm without a majority is refused with the reason",
           "[configuration]")
 {
-    // Three of four VMs cannot be reached; the operator is told how many can,
-    // that nothing was changed, and when to come back.
+    // Three of four VMs cannot be reached. The operator is told how many can be
+    // reached, that nothing was changed, and when to retry.
     safeguards const checks;
     configuration_cluster cluster(4, 1, default_promise_rules(), checks);
     cluster.add({fault_kind::isolate, 0, origin + 8s, 20s});
@@ -644,10 +657,11 @@
     CHECK(cluster.written() == config_version(1));
 }
 
-TEST_CASE("a confirm whose answer is lost is read back", "[configuration]")
+TEST_CASE("a confirm succeeds although the answer to its write is lost",
+          "[configuration]")
 {
-    // The write takes effect, its answer never comes. The operator is told the
-    // version all the same, after a read under the run's token.
+    // The write takes effect, but its answer never arrives. A read finds the
+    // run's token, and the operator is told the new version.
     safeguards const checks;
     configuration_cluster cluster(3, 1, default_promise_rules(), checks);
     cluster.add({fault_kind::lose_answers, 0, origin + 8s, 20s});
@@ -658,12 +672,13 @@
           config_version(2));
 }
 
-TEST_CASE("a version that cannot be loaded ends the one before at the bound",
+TEST_CASE("VMs that cannot load a new version stop at the staleness bound",
           "[configuration]")
 {
-    // The new version's object is corrupt or missing wherever it is read. The
-    // others keep the old one, take no new work under it past the bound, and
-    // go over to the new one when its object is well.
+    // The new version's object is corrupt or missing when it is fetched. The
+    // VMs that fetch it keep the old version, take no new work under it past
+    // the staleness bound, and load the new version when its object can be
+    // read.
     safeguards const checks;
     configuration_cluster cluster(3, 1, default_promise_rules(), checks);
     cluster.add({fault_kind::corrupt_objects, 0, origin + 8s, 12s});
@@ -677,11 +692,13 @@
     CHECK(cluster.violations().empty());
 }
 
-TEST_CASE("a restarted VM promises nothing until its old promises ran out",
-          "[configuration]")
+TEST_CASE(
+    "a restarted VM gives no promise until its previous ones have expired",
+    "[configuration]")
 {
-    // It reads the row and is asked at once to help a confirm. It declines
-    // while a promise of its former life, which it forgot, may still hold.
+    // A restarted VM reads the row and is asked at once to support a confirm.
+    // It declines while promises of its previous incarnation, which were not
+    // persisted, may still hold.
     safeguards const checks;
     id_source ids;
     configuration_settings settings;
@@ -693,8 +710,8 @@
         keeper.on_table_answer(now);
         keeper.on_peer(vm_id("vm-1"), confirm_question{1, config_version(1)},
                        now, actions);
-        auto const& told = std::get<tell_peer>(actions.back());
-        return std::get<confirm_answer>(told.message).promised;
+        auto const& sent = std::get<tell_peer>(actions.back());
+        return std::get<confirm_answer>(sent.message).promised;
     };
     action_list actions;
     keeper.start(origin, actions);
