--- a/src/configuration_keeper.hpp
+++ b/src/configuration_keeper.hpp
@@ -112,6 +112,7 @@
 
     /// Begins with a linearizable read of the row.
     void start(time_point now, action_list& actions);
+    /// Whether this object started the operation and awaits its reply.
     bool knows(operation_id operation) const;
     void on_table(table_reply const& reply, time_point now,
                   action_list& actions);
@@ -138,16 +139,19 @@
     void confirm(std::uint64_t ticket, config_version base, std::string digest,
                  std::string canonical_text, time_point now,
                  action_list& actions);
+    /// Does what is due at `now`: polls, retries and timeouts.
     void tick(time_point now, action_list& actions);
+    /// Returns the events since the last call, in order.
     std::vector<configuration_event> take_events();
 
     /// The version in force on this VM; none before the first.
     config_version version() const;
-    /// Null before the first configuration.
+    /// The declaration in force on this VM; null before the first.
     std::shared_ptr<declaration const> current() const;
     /// Whether the version in force on this VM is known to be the current one:
     /// by a recent read, or by promises of a majority.
     bool is_known(time_point now) const;
+    /// Whether this VM continues without the table, on promises of a majority.
     bool going_on_without_table(time_point now) const;
 
 private:
--- a/src/configuration_reader.hpp
+++ b/src/configuration_reader.hpp
@@ -69,6 +69,7 @@
     {
         return last_read_asked_at_;
     }
+    /// Returns the versions that came into force since the last call, in order.
     std::vector<configuration_in_force> take_in_force();
 
 private:
--- a/src/promise_store.hpp
+++ b/src/promise_store.hpp
@@ -25,6 +25,7 @@
     /// assumed to have given promises of both kinds. `promise` is how long a
     /// promise holds.
     given_promises(promise_rules const& rules, duration promise);
+    /// To be called once, when this incarnation starts.
     void start(time_point now);
     /// States that this VM has no previous incarnation.
     void set_first_incarnation();
@@ -86,11 +87,13 @@
     /// is not one of this object's recorded questions.
     bool add(vm_id const& from, std::uint64_t number, duration holds_for,
              time_point now);
+    /// Removes all questions and promises.
     void clear();
 
     /// When the member's promise ends; the epoch when it gave none.
     time_point until(vm_id const& member) const;
 
+    /// How many of the members' promises hold at `now`.
     std::size_t count_valid(std::vector<vm_id> const& members,
                             time_point now) const;
     /// Until when promises of a majority of the members hold; the epoch when
