--- a/src/plan.cpp
+++ b/src/plan.cpp
@@ -151,14 +151,14 @@
 
 std::string slots_obstacle(declaration const& wanted,
                            base_model_id const& base_model,
-                           std::size_t left_out, adapter_ref const& first)
+                           std::size_t unplaced, adapter_ref const& first)
 {
     model_capacity const capacity = capacity_of(wanted, base_model);
     return fmt::format(
         "base model {}: {} of {} ready copies fit nowhere (first {}); its {} "
         "workers have {} slots, one of each is kept free, and the copies of "
         "one adapter need different workers",
-        base_model.str(), left_out, copies_wanted(wanted, base_model),
+        base_model.str(), unplaced, copies_wanted(wanted, base_model),
         first.str(), capacity.workers, capacity.slots);
 }
 
@@ -166,7 +166,7 @@
 std::map<adapter_ref, std::size_t> missing_copies(ready_placement const& placed)
 {
     std::map<adapter_ref, std::size_t> missing;
-    for (ready_declaration const& ready : placed.left_out)
+    for (ready_declaration const& ready : placed.unplaced)
         missing[ready.adapter] = std::max(missing[ready.adapter], ready.copies);
     return missing;
 }
@@ -174,7 +174,7 @@
 std::vector<std::string> slots_obstacles(declaration const& wanted,
                                          ready_placement const& placement)
 {
-    std::map<base_model_id, std::pair<std::size_t, adapter_ref>> left_out;
+    std::map<base_model_id, std::pair<std::size_t, adapter_ref>> unplaced;
     std::vector<std::string> obstacles;
     for (auto const& [adapter, copies] : missing_copies(placement))
     {
@@ -186,10 +186,10 @@
             continue;
         }
         auto const entry =
-            left_out.try_emplace(declared->base_model, 0, adapter).first;
+            unplaced.try_emplace(declared->base_model, 0, adapter).first;
         entry->second.first += copies;
     }
-    for (auto const& [base_model, entry] : left_out)
+    for (auto const& [base_model, entry] : unplaced)
         obstacles.push_back(
             slots_obstacle(wanted, base_model, entry.first, entry.second));
     return obstacles;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-declaration deployment(std::size_t workers, std::size_t slots,
-                       std::size_t domains)
+declaration make_deployment(std::size_t workers, std::size_t slots,
+                            std::size_t domains)
 {
     declaration value;
     for (std::size_t at = 0; at < workers; ++at)
@@ -42,9 +42,9 @@
 
 declaration any_deployment()
 {
-    declaration value = deployment(*rc::gen::inRange<std::size_t>(1, 12),
-                                   *rc::gen::inRange<std::size_t>(1, 6),
-                                   *rc::gen::inRange<std::size_t>(1, 4));
+    declaration value = make_deployment(*rc::gen::inRange<std::size_t>(1, 12),
+                                        *rc::gen::inRange<std::size_t>(1, 6),
+                                        *rc::gen::inRange<std::size_t>(1, 4));
     for (std::size_t copies : *rc::gen::container<std::vector<std::size_t>>(
              rc::gen::inRange<std::size_t>(1, 5)))
         add_ready(value, copies);
@@ -61,10 +61,10 @@
     return found;
 }
 
-std::size_t left_out(ready_placement const& placement,
+std::size_t unplaced(ready_placement const& placement,
                      adapter_ref const& adapter)
 {
-    for (ready_declaration const& ready : placement.left_out)
+    for (ready_declaration const& ready : placement.unplaced)
         if (ready.adapter == adapter)
             return ready.copies;
     return 0;
@@ -81,14 +81,14 @@
 
 } // namespace
 
-TEST_CASE("the hash never changes: VMs of two releases must agree",
-          "[placement]")
+TEST_CASE("the stable hash is the same in every release", "[placement]")
 {
     CHECK(stable_hash("") == 0xefd01f60ba992926);
     CHECK(stable_hash("shift-notes-0042@7") == 0x9c48afa2b3a17785);
 }
 
-TEST_CASE("ready adapters keep a slot free and differ by worker", "[placement]")
+TEST_CASE("ready adapters leave a slot free and are distinct on each worker",
+          "[placement]")
 {
     CHECK(rc::check(
         []
@@ -104,33 +104,35 @@
             }
             for (ready_declaration const& ready : value.ready)
                 RC_ASSERT(holders(placement, ready.adapter).size() +
-                              left_out(placement, ready.adapter) ==
+                              unplaced(placement, ready.adapter) ==
                           ready.copies);
         }));
 }
 
-TEST_CASE("nothing is left out while there are slots for all", "[placement]")
+TEST_CASE("all ready copies are placed if there are slots for all",
+          "[placement]")
 {
     CHECK(rc::check(
         []
         {
             auto const workers = *rc::gen::inRange<std::size_t>(1, 10);
             auto const slots = *rc::gen::inRange<std::size_t>(2, 6);
-            declaration value = deployment(workers, slots, 3);
-            for (std::size_t room = workers * (slots - 1); room > 0;)
+            declaration value = make_deployment(workers, slots, 3);
+            for (std::size_t free_slots = workers * (slots - 1);
+                 free_slots > 0;)
             {
                 auto const copies = *rc::gen::inRange<std::size_t>(
-                    1, std::min(room, workers) + 1);
+                    1, std::min(free_slots, workers) + 1);
                 add_ready(value, copies);
-                room -= copies;
+                free_slots -= copies;
             }
-            RC_ASSERT(place_ready(value).left_out.empty());
+            RC_ASSERT(place_ready(value).unplaced.empty());
         }));
 }
 
-TEST_CASE("copies go to different failure domains", "[placement]")
+TEST_CASE("copies are placed in different failure domains", "[placement]")
 {
-    declaration value = deployment(18, 4, 3);
+    declaration value = make_deployment(18, 4, 3);
     for (int adapter = 0; adapter < 12; ++adapter)
         add_ready(value, 3);
     ready_placement const placement = place_ready(value);
@@ -145,16 +147,16 @@
 
 TEST_CASE("two applications share the copies of one adapter", "[placement]")
 {
-    declaration value = deployment(6, 4, 3);
+    declaration value = make_deployment(6, 4, 3);
     add_ready(value, 2);
     value.ready.push_back(
         {application_id("permits"), value.ready[0].adapter, 3});
     CHECK(holders(place_ready(value), value.ready[0].adapter).size() == 3);
 }
 
-TEST_CASE("a lone ready adapter lives at its best home", "[placement]")
+TEST_CASE("a single ready adapter is placed on its home", "[placement]")
 {
-    declaration value = deployment(18, 4, 3);
+    declaration value = make_deployment(18, 4, 3);
     add_ready(value, 1);
     adapter_ref const adapter = value.ready[0].adapter;
     std::vector<worker_id> const homes = homes_of(value, adapter, 18);
@@ -167,7 +169,7 @@
     CHECK(homes_of(value, adapter_ref(), 3).empty());
 }
 
-TEST_CASE("workers are shared out evenly, whatever order VMs are listed in",
+TEST_CASE("workers are assigned evenly, whatever the order of the VMs",
           "[placement]")
 {
     CHECK(rc::check(
@@ -186,20 +188,20 @@
             std::map<vm_id, std::size_t> load;
             for (auto const& [worker, vm] : assigned)
                 ++load[vm];
-            std::size_t const most =
+            std::size_t const max_per_vm =
                 (workers.size() + vms.size() - 1) / vms.size();
             for (auto const& [vm, count] : load)
-                RC_ASSERT(count <= most);
+                RC_ASSERT(count <= max_per_vm);
             std::reverse(vms.begin(), vms.end());
             RC_ASSERT(assign_workers(workers, vms) == assigned);
         }));
     CHECK(assign_workers(ids<worker_id>("loglm-", 3), {}).empty());
 }
 
-// Each worker that moves has its adapters loaded again under its new owner's
-// fencing number: callers see load stalls. So few may move besides those of
-// the VM that left.
-TEST_CASE("a VM that leaves moves little more than its own workers",
+// A worker that gets a new owner loads its adapters again under the owner's
+// fencing number, which callers see as load stalls. When a VM leaves, few
+// workers of other VMs may therefore get a new owner.
+TEST_CASE("few workers of other VMs are reassigned when a VM leaves",
           "[placement]")
 {
     auto const workers = ids<worker_id>("loglm-", 18);
