--- a/src/plan.cpp
+++ b/src/plan.cpp
@@ -14,8 +14,8 @@
 namespace
 {
 
-/// A ready set that the store needs longer than this for would still be cold
-/// when the change it was declared for is over.
+/// If the store needs longer than this, the ready adapters would still be cold
+/// when the change that they were declared for is over.
 constexpr std::chrono::minutes max_time_to_ready{60};
 
 std::set<adapter_ref> const& loaded_on(residency const& loaded,
@@ -37,8 +37,9 @@
     return loads;
 }
 
-/// Works out who has to go; an adapter that requests may no longer name is
-/// needed least, then one that is not declared ready here.
+/// Computes the evictions that make slots free for the ready adapters. Adapters
+/// that requests may no longer name are evicted first, then other adapters that
+/// the placement does not put on the worker.
 class eviction_planner
 {
 public:
@@ -54,12 +55,12 @@
             plan_worker(worker);
         std::stable_partition(evictions_.begin(), evictions_.end(),
                               [this](planned_load const& each)
-                              { return undeclared(each.adapter); });
+                              { return is_undeclared(each.adapter); });
         return std::move(evictions_);
     }
 
 private:
-    bool undeclared(adapter_ref const& adapter) const
+    bool is_undeclared(adapter_ref const& adapter) const
     {
         return wanted_.find(adapter) == nullptr;
     }
@@ -69,18 +70,19 @@
         auto const placed = placement_.by_worker.find(worker.id);
         if (placed == placement_.by_worker.end())
             return;
-        std::set<adapter_ref> const needed(placed->second.begin(),
-                                           placed->second.end());
+        std::set<adapter_ref> const ready_here(placed->second.begin(),
+                                               placed->second.end());
         std::vector<adapter_ref> others;
         std::set_difference(loaded_on(loaded_, worker.id).begin(),
-                            loaded_on(loaded_, worker.id).end(), needed.begin(),
-                            needed.end(), std::back_inserter(others));
+                            loaded_on(loaded_, worker.id).end(),
+                            ready_here.begin(), ready_here.end(),
+                            std::back_inserter(others));
         std::stable_partition(others.begin(), others.end(),
                               [this](adapter_ref const& adapter)
-                              { return undeclared(adapter); });
+                              { return is_undeclared(adapter); });
         std::size_t const slots_left =
             worker.adapter_slots -
-            std::min(worker.adapter_slots, needed.size());
+            std::min(worker.adapter_slots, ready_here.size());
         for (std::size_t at = 0; at + slots_left < others.size(); ++at)
             evictions_.push_back({worker.id, others[at]});
     }
@@ -96,19 +98,20 @@
     return std::chrono::duration<double>(time).count();
 }
 
-/// The store starts loads_per_second and carries loads_at_once at full speed;
-/// whichever is slower sets the pace. Never less than one load takes.
+/// The store starts at most loads_per_second loads a second and runs at most
+/// loads_at_once at full speed; the lower of the two limits sets the rate. The
+/// result is never less than the time of one load.
 duration time_to_ready(store_declaration const& store, std::size_t loads,
                        duration load_time)
 {
     if (loads == 0)
         return duration::zero();
-    double pace = store.loads_per_second;
+    double rate = store.loads_per_second;
     if (load_time > duration::zero())
-        pace = std::min(pace, static_cast<double>(store.loads_at_once) /
+        rate = std::min(rate, static_cast<double>(store.loads_at_once) /
                                   seconds(load_time));
     std::chrono::duration<double> const total(static_cast<double>(loads) /
-                                              pace);
+                                              rate);
     return std::max(load_time, std::chrono::ceil<duration>(total));
 }
 
@@ -162,7 +165,8 @@
         first.str(), capacity.workers, capacity.slots);
 }
 
-/// The copies left out by adapter, whichever application asks for most.
+/// The number of unplaced copies of each adapter: the maximum over the
+/// applications, since applications share copies.
 std::map<adapter_ref, std::size_t> missing_copies(ready_placement const& placed)
 {
     std::map<adapter_ref, std::size_t> missing;
@@ -197,14 +201,15 @@
 
 std::vector<std::string> obstacles_of(declaration const& wanted,
                                       ready_placement const& placement,
-                                      std::size_t loads, duration needed)
+                                      std::size_t loads, duration store_time)
 {
     std::vector<std::string> obstacles = slots_obstacles(wanted, placement);
-    if (needed > max_time_to_ready)
+    if (store_time > max_time_to_ready)
         obstacles.push_back(fmt::format(
-            "the weight store needs {:.0f} minutes for {} loads; the most is "
-            "{} minutes",
-            std::ceil(seconds(needed) / 60), loads, max_time_to_ready.count()));
+            "the weight store needs {:.0f} minutes for {} loads; the maximum "
+            "is {} minutes",
+            std::ceil(seconds(store_time) / 60), loads,
+            max_time_to_ready.count()));
     return obstacles;
 }
 
@@ -215,17 +220,17 @@
                duration load_time)
 {
     ready_placement const placement = place_ready(wanted);
-    plan made;
-    made.base = base;
-    made.digest = digest_of(write_declaration(wanted));
-    made.changes = diff_declarations(current, wanted);
-    made.loads = loads_for(placement, loaded);
-    made.evictions = eviction_planner(wanted, placement, loaded).run();
-    made.time_to_ready =
-        time_to_ready(wanted.store, made.loads.size(), load_time);
-    made.obstacles =
-        obstacles_of(wanted, placement, made.loads.size(), made.time_to_ready);
-    return made;
+    plan result;
+    result.base = base;
+    result.digest = digest_of(write_declaration(wanted));
+    result.changes = diff_declarations(current, wanted);
+    result.loads = loads_for(placement, loaded);
+    result.evictions = eviction_planner(wanted, placement, loaded).run();
+    result.time_to_ready =
+        time_to_ready(wanted.store, result.loads.size(), load_time);
+    result.obstacles = obstacles_of(wanted, placement, result.loads.size(),
+                                    result.time_to_ready);
+    return result;
 }
 
 } // namespace mulberry
--- a/src/plan_diff.cpp
+++ b/src/plan_diff.cpp
@@ -13,12 +13,12 @@
 namespace
 {
 
-/// One part of a declaration by its keys, each with its value as a text. A
-/// key's fields follow it in the map, so that they can be told apart alone.
-using fields = std::vector<std::pair<std::string, std::string>>;
-using entries = std::map<std::string, fields>;
+/// The entries of one section of a declaration by their keys, each with its
+/// fields and their values as text, so that single fields can be compared.
+using field_list = std::vector<std::pair<std::string, std::string>>;
+using entry_map = std::map<std::string, field_list>;
 
-/// Version numbers with runs drawn together: 1-9, 12.
+/// The version numbers, with consecutive ones as ranges: 1-9, 12.
 std::string versions_text(std::set<adapter_version> const& versions)
 {
     std::vector<std::string> runs;
@@ -43,9 +43,9 @@
     return fmt::format("{}", fmt::join(names, ", "));
 }
 
-entries worker_entries(declaration const& value)
+entry_map worker_entries(declaration const& value)
 {
-    entries result;
+    entry_map result;
     for (auto const& [id, worker] : value.workers)
         result[id.str()] = {
             {"base_model", worker.base_model.str()},
@@ -57,9 +57,9 @@
     return result;
 }
 
-entries adapter_entries(declaration const& value)
+entry_map adapter_entries(declaration const& value)
 {
-    entries result;
+    entry_map result;
     for (auto const& [id, adapter] : value.adapters)
         result[id.str()] = {
             {"base_model", adapter.base_model.str()},
@@ -68,26 +68,26 @@
     return result;
 }
 
-entries ready_entries(declaration const& value)
+entry_map ready_entries(declaration const& value)
 {
-    entries result;
+    entry_map result;
     for (ready_declaration const& ready : value.ready)
         result[ready.application.str() + "." + ready.adapter.str()] = {
             {"copies", std::to_string(ready.copies)}};
     return result;
 }
 
-entries service_worker_entries(service_declaration const& service)
+entry_map service_worker_entries(service_declaration const& service)
 {
-    entries result;
+    entry_map result;
     for (service_worker_declaration const& worker : service.workers)
         result[worker.id.str()] = {{"domain", worker.domain.str()},
                                    {"url", worker.url}};
     return result;
 }
 
-// Which call may be repeated is decided by the first rule that matches, so
-// the rules are compared as one text in their order.
+// The first matching rule decides whether a call may be repeated, so the order
+// of the rules matters, and all rules are compared as one text.
 std::string rules_text(service_declaration const& service)
 {
     std::vector<std::string> items;
@@ -99,24 +99,25 @@
     return fmt::format("{}", fmt::join(items, "; "));
 }
 
-entries service_entries(declaration const& value)
+entry_map service_entries(declaration const& value)
 {
-    entries result;
+    entry_map result;
     for (auto const& [id, service] : value.services)
     {
         result[id.str()] = {{"rules", rules_text(service)}};
-        for (auto const& [worker, described] : service_worker_entries(service))
-            for (auto const& [field, text] : described)
+        for (auto const& [worker, entry_fields] :
+             service_worker_entries(service))
+            for (auto const& [field, text] : entry_fields)
                 result[id.str()].emplace_back(
                     fmt::format("workers.{}.{}", worker, field), text);
     }
     return result;
 }
 
-entries target_entries(declaration const& value)
+entry_map target_entries(declaration const& value)
 {
     using std::chrono::milliseconds;
-    entries result;
+    entry_map result;
     for (target_declaration const& target : value.targets)
     {
         auto const bound = std::chrono::floor<milliseconds>(target.bound);
@@ -129,9 +130,9 @@
     return result;
 }
 
-entries root_entries(declaration const& value)
+entry_map root_entries(declaration const& value)
 {
-    if (value.deployment.empty()) // nothing was confirmed yet
+    if (value.deployment.empty()) // no declaration has been confirmed
         return {};
     return {
         {"deployment", {{"", value.deployment}}},
@@ -141,37 +142,37 @@
           {"loads_at_once", std::to_string(value.store.loads_at_once)}}}};
 }
 
-std::string whole_text(fields const& described)
+std::string entry_text(field_list const& entry_fields)
 {
     std::vector<std::string> items;
-    for (auto const& [field, text] : described)
+    for (auto const& [field, text] : entry_fields)
         if (!text.empty())
             items.push_back(field.empty() ? text
                                           : fmt::format("{} {}", field, text));
     return fmt::format("{}", fmt::join(items, ", "));
 }
 
-class differ
+class declaration_differ
 {
 public:
     std::vector<plan_change> take() { return std::move(changes_); }
 
-    void compare(std::string const& section, entries const& before,
-                 entries const& after)
+    void compare(std::string const& section, entry_map const& before,
+                 entry_map const& after)
     {
         std::string const prefix = section.empty() ? "" : section + ".";
-        for (auto const& [key, described] : before)
+        for (auto const& [key, entry_fields] : before)
             if (after.count(key) == 0)
                 add(plan_change::kind::removed, prefix + key,
-                    whole_text(described), "");
-        for (auto const& [key, described] : after)
+                    entry_text(entry_fields), "");
+        for (auto const& [key, entry_fields] : after)
         {
             auto const old = before.find(key);
             if (old == before.end())
                 add(plan_change::kind::added, prefix + key, "",
-                    whole_text(described));
+                    entry_text(entry_fields));
             else
-                compare_fields(prefix + key, old->second, described);
+                compare_fields(prefix + key, old->second, entry_fields);
         }
     }
 
@@ -183,8 +184,8 @@
     }
 
 private:
-    void compare_fields(std::string const& key, fields const& before,
-                        fields const& after)
+    void compare_fields(std::string const& key, field_list const& before,
+                        field_list const& after)
     {
         if (before == after)
             return;
@@ -194,19 +195,21 @@
                                                      after.end());
         for (auto const& [field, text] : old)
             if (now.count(field) == 0)
-                add(plan_change::kind::removed, joined(key, field), text, "");
+                add(plan_change::kind::removed, field_key(key, field), text,
+                    "");
         for (auto const& [field, text] : now)
         {
             auto const other = old.find(field);
             if (other == old.end())
-                add(plan_change::kind::added, joined(key, field), "", text);
+                add(plan_change::kind::added, field_key(key, field), "", text);
             else if (other->second != text)
-                add(plan_change::kind::changed, joined(key, field),
+                add(plan_change::kind::changed, field_key(key, field),
                     other->second, text);
         }
     }
 
-    static std::string joined(std::string const& key, std::string const& field)
+    static std::string field_key(std::string const& key,
+                                 std::string const& field)
     {
         return field.empty() ? key : key + "." + field;
     }
@@ -214,9 +217,10 @@
     std::vector<plan_change> changes_;
 };
 
-/// The ready list decides who is placed first, so its order counts too.
+/// Ready adapters are placed in the order of the list, so a different order is
+/// reported as a change too.
 void compare_ready_order(declaration const& before, declaration const& after,
-                         differ& changes)
+                         declaration_differ& changes)
 {
     if (ready_entries(before) != ready_entries(after))
         return;
@@ -235,7 +239,7 @@
 std::vector<plan_change> diff_declarations(declaration const& before,
                                            declaration const& after)
 {
-    differ changes;
+    declaration_differ changes;
     changes.compare("", root_entries(before), root_entries(after));
     changes.compare("workers", worker_entries(before), worker_entries(after));
     changes.compare("adapters", adapter_entries(before),
--- a/src/plan_diff.hpp
+++ b/src/plan_diff.hpp
@@ -1,4 +1,4 @@
-/// What differs between two declarations, key by key.
+/// The differences between two declarations, key by key.
 #ifndef MULBERRY_PLAN_DIFF_HPP
 #define MULBERRY_PLAN_DIFF_HPP
 
@@ -9,8 +9,8 @@
 namespace mulberry
 {
 
-/// The changes from one declaration to another, in the order of the file's
-/// sections and, within one, of names. Pure; thread safe.
+/// The changes from one declaration to another, ordered by section as in the
+/// file and by name within each section. Pure. Thread safety: any thread.
 std::vector<plan_change> diff_declarations(declaration const& before,
                                            declaration const& after);
 
--- a/src/plan_file.cpp
+++ b/src/plan_file.cpp
@@ -25,8 +25,8 @@
                      { value.plan = json; });
     root.refuse_unknown_keys();
     if (document.sound() && digest_of(value.declaration) != value.digest)
-        root.add_fault("digest", "does not fit the declaration: the file was "
-                                 "changed since it was planned; plan again");
+        root.add_fault("digest", "does not match the declaration: the file was "
+                                 "changed after planning; plan again");
     if (!document.sound())
         return document.faults();
     value.base = config_version(base);
--- a/src/plan_file.hpp
+++ b/src/plan_file.hpp
@@ -1,4 +1,4 @@
-/// A plan kept in a file between `plan --output` and `confirm`.
+/// The file that `plan --output` writes and `confirm` reads.
 #ifndef MULBERRY_PLAN_FILE_HPP
 #define MULBERRY_PLAN_FILE_HPP
 
@@ -18,17 +18,19 @@
 /// Immutable value.
 struct plan_file
 {
-    /// The version that the plan starts from.
+    /// The confirmed version that the plan is based on.
     config_version base;
+    /// SHA-256 of `declaration`, in hexadecimal.
     std::string digest;
-    /// The canonical text that the digest is of.
+    /// The canonical text of the planned declaration.
     std::string declaration;
-    /// As the system answered it; for people who look into the file.
+    /// The plan as the daemon returned it; only for people who read the file.
     Json::Value plan;
 };
 
-/// Reads a plan file; a digest that does not fit the declaration is a fault,
-/// so that what is confirmed is what was planned.
+/// Reads a plan file, or returns all faults found in the file. A digest that
+/// does not match the declaration is a fault, so that an operator can only
+/// confirm the declaration that was planned. `file` is the name used in faults.
 std::variant<plan_file, std::vector<text_fault>>
 parse_plan_file(std::string_view text, std::string const& file);
 
--- a/src/plan_text.cpp
+++ b/src/plan_text.cpp
@@ -1,4 +1,4 @@
-// Plans as text, for people and for programs.
+// Plans as text for operators and as JSON.
 #include "plan.hpp"
 
 #include <fmt/format.h>
@@ -15,14 +15,16 @@
 
 using std::chrono::milliseconds;
 
-/// A group of changes longer than this is told as a count and its first few.
-constexpr std::size_t max_shown_whole = 6;
-constexpr std::size_t first_few = 3;
-/// A value longer than this is cut in the text for people.
-constexpr std::size_t max_value_shown = 100;
-/// The JSON lists no more than this many entries; the counts are whole.
-constexpr std::size_t max_json_entries = 1000;
-constexpr std::size_t digest_shown = 12;
+/// Longer groups of changes and lists of loads are shown as their count and
+/// their first truncated_group_size entries.
+constexpr std::size_t max_group_shown_in_full = 6;
+constexpr std::size_t truncated_group_size = 3;
+/// Longer values are truncated in the text for operators.
+constexpr std::size_t max_value_bytes = 100;
+/// Longer lists are truncated in the JSON; their counts are those of the full
+/// lists.
+constexpr std::size_t max_json_list_entries = 1000;
+constexpr std::size_t digest_chars_shown = 12;
 
 std::string_view name_of(plan_change::kind kind)
 {
@@ -50,11 +52,11 @@
     }
 }
 
-std::string cut(std::string const& text)
+std::string truncated(std::string const& text)
 {
-    if (text.size() <= max_value_shown)
+    if (text.size() <= max_value_bytes)
         return text;
-    return text.substr(0, max_value_shown) + "...";
+    return text.substr(0, max_value_bytes) + "...";
 }
 
 std::string section_of(plan_change const& change)
@@ -67,25 +69,26 @@
     std::string line =
         fmt::format("    {} {}", sign_of(change.what), change.key);
     if (change.what == plan_change::kind::changed)
-        return line + fmt::format(": {} -> {}\n", cut(change.before),
-                                  cut(change.after));
+        return line + fmt::format(": {} -> {}\n", truncated(change.before),
+                                  truncated(change.after));
     if (change.what == plan_change::kind::removed)
         return line + "\n";
-    return line +
-           (change.after.empty() ? "\n" : ": " + cut(change.after) + "\n");
+    return line + (change.after.empty()
+                       ? "\n"
+                       : ": " + truncated(change.after) + "\n");
 }
 
 using change_group = std::vector<plan_change const*>;
 
 std::string group_text(std::string const& section, change_group const& group)
 {
-    bool const whole = group.size() <= max_shown_whole;
+    bool const show_all = group.size() <= max_group_shown_in_full;
     std::string text = fmt::format("  {}: {} {}\n", section, group.size(),
                                    name_of(group.front()->what));
-    std::size_t const shown = whole ? group.size() : first_few;
+    std::size_t const shown = show_all ? group.size() : truncated_group_size;
     for (std::size_t at = 0; at < shown; ++at)
         text += line_of(*group[at]);
-    if (!whole)
+    if (!show_all)
         text += fmt::format("    ... and {} more\n", group.size() - shown);
     return text;
 }
@@ -109,8 +112,9 @@
     if (loads.empty())
         return fmt::format("{}: none\n", title);
     std::string text = fmt::format("{}: {}\n", title, loads.size());
-    std::size_t const shown =
-        loads.size() <= max_shown_whole ? loads.size() : first_few;
+    std::size_t const shown = loads.size() <= max_group_shown_in_full
+                                  ? loads.size()
+                                  : truncated_group_size;
     for (std::size_t at = 0; at < shown; ++at)
         text += fmt::format("    {} on {}\n", loads[at].adapter.str(),
                             loads[at].worker.str());
@@ -154,7 +158,7 @@
               std::vector<Item> const& items, Convert const& convert)
 {
     Json::Value list(Json::arrayValue);
-    for (std::size_t at = 0; at < std::min(items.size(), max_json_entries);
+    for (std::size_t at = 0; at < std::min(items.size(), max_json_list_entries);
          ++at)
         list.append(convert(items[at]));
     json[key] = std::move(list);
@@ -166,8 +170,9 @@
 std::string describe(plan const& value)
 {
     std::string text = fmt::format(
-        "Plan {} on version {}: {}\n", value.digest.substr(0, digest_shown),
-        value.base.value(), value.feasible() ? "it fits" : "IT DOES NOT FIT");
+        "Plan {} on version {}: {}\n",
+        value.digest.substr(0, digest_chars_shown), value.base.value(),
+        value.feasible() ? "it fits" : "IT DOES NOT FIT");
     for (std::string const& obstacle : value.obstacles)
         text += "  ! " + obstacle + "\n";
     text += changes_text(value.changes);
--- a/tests/plan_test.cpp
+++ b/tests/plan_test.cpp
@@ -48,16 +48,16 @@
 TEST_CASE("a declaration that changes nothing has an empty plan", "[plan]")
 {
     declaration const value = parsed("");
-    plan const made = planned(value, value);
-    CHECK(made.changes.empty());
-    CHECK(made.loads.empty());
-    CHECK(made.evictions.empty());
-    CHECK(made.time_to_ready == 0s);
-    CHECK(made.feasible());
-    CHECK(made.digest == digest_of(write_declaration(value)));
+    plan const result = planned(value, value);
+    CHECK(result.changes.empty());
+    CHECK(result.loads.empty());
+    CHECK(result.evictions.empty());
+    CHECK(result.time_to_ready == 0s);
+    CHECK(result.feasible());
+    CHECK(result.digest == digest_of(write_declaration(value)));
 }
 
-TEST_CASE("changes are told key by key", "[plan]")
+TEST_CASE("changes are reported key by key", "[plan]")
 {
     declaration const before = parsed(ready(1));
     declaration after = parsed(ready(1, 2));
@@ -84,7 +84,8 @@
     CHECK(planned(before, after).changes == expected);
 }
 
-TEST_CASE("the order of the ready list is a change too", "[plan]")
+TEST_CASE("a different order of the ready list is reported as a change",
+          "[plan]")
 {
     declaration const before = parsed(ready(3));
     declaration after = before;
@@ -94,24 +95,27 @@
     CHECK(changes[0].key == "ready[1]");
 }
 
-TEST_CASE("loads and the time to ready follow the store's limits", "[plan]")
+TEST_CASE("a plan lists missing loads and their time by the store's limits",
+          "[plan]")
 {
     declaration const before = parsed("");
     declaration const after = parsed(ready(4));
-    plan const made = planned(before, after);
-    CHECK(made.loads.size() == 4);
-    // 4 loads at 9 a second; 4 at once would carry 13 a second.
-    CHECK(made.time_to_ready >= 444ms);
-    CHECK(made.time_to_ready < 445ms);
+    plan const result = planned(before, after);
+    CHECK(result.loads.size() == 4);
+    // The rate of 9 loads a second is the lower limit: 4 concurrent loads of
+    // 300 ms would allow 13 a second.
+    CHECK(result.time_to_ready >= 444ms);
+    CHECK(result.time_to_ready < 445ms);
     CHECK(planned(before, after, {}, 2s).time_to_ready == 2s);
     CHECK(planned(before, parsed(ready(3)), {}, 10s).time_to_ready == 10s);
     residency loaded;
-    for (planned_load const& load : made.loads)
+    for (planned_load const& load : result.loads)
         loaded[load.worker].insert(load.adapter);
     CHECK(planned(before, after, loaded).loads.empty());
 }
 
-TEST_CASE("what requests may no longer name is evicted first", "[plan]")
+TEST_CASE("adapters that requests may no longer name are evicted first",
+          "[plan]")
 {
     declaration const after = parsed(ready(4));
     adapter_ref const unneeded = *parse_adapter_ref("notes-9@2");
@@ -119,36 +123,39 @@
     residency loaded;
     for (auto const& [id, worker] : after.workers)
         loaded[id] = {unneeded, undeclared};
-    plan const made = planned(after, after, loaded);
-    REQUIRE(made.evictions.size() == 2);
-    CHECK(made.evictions[0].adapter == undeclared);
-    CHECK(made.evictions[1].adapter == undeclared);
+    plan const result = planned(after, after, loaded);
+    REQUIRE(result.evictions.size() == 2);
+    CHECK(result.evictions[0].adapter == undeclared);
+    CHECK(result.evictions[1].adapter == undeclared);
     for (auto& [id, adapters] : loaded)
         adapters.insert(*parse_adapter_ref("notes-8@2"));
-    plan const tighter = planned(after, after, loaded);
-    REQUIRE(tighter.evictions.size() == 4);
-    CHECK(tighter.evictions[1].adapter == undeclared);
-    CHECK(tighter.evictions[2].adapter == *parse_adapter_ref("notes-8@2"));
+    plan const with_more_loaded = planned(after, after, loaded);
+    REQUIRE(with_more_loaded.evictions.size() == 4);
+    CHECK(with_more_loaded.evictions[1].adapter == undeclared);
+    CHECK(with_more_loaded.evictions[2].adapter ==
+          *parse_adapter_ref("notes-8@2"));
 }
 
-TEST_CASE("what does not fit is said", "[plan]")
+TEST_CASE("a plan reports obstacles to its confirmation", "[plan]")
 {
     declaration const before = parsed("");
-    plan const crowded = planned(before, parsed(ready(5)));
-    REQUIRE(crowded.obstacles.size() == 1);
-    CHECK(crowded.obstacles[0].find("1 of 5 ready copies fit nowhere") !=
+    plan const without_slots = planned(before, parsed(ready(5)));
+    REQUIRE(without_slots.obstacles.size() == 1);
+    CHECK(without_slots.obstacles[0].find("1 of 5 ready copies fit nowhere") !=
           std::string::npos);
     CHECK_FALSE(planned(before, parsed(ready(1, 3))).feasible());
-    declaration slow = parsed(ready(4));
-    slow.store.loads_per_second = 0.001;
-    plan const cold = planned(before, slow);
-    REQUIRE(cold.obstacles.size() == 1);
-    CHECK(cold.obstacles[0] == "the weight store needs 67 minutes for 4 "
-                               "loads; the most is 60 minutes");
-    CHECK(describe(cold).find("IT DOES NOT FIT") != std::string::npos);
+    declaration slow_declaration = parsed(ready(4));
+    slow_declaration.store.loads_per_second = 0.001;
+    plan const with_slow_store = planned(before, slow_declaration);
+    REQUIRE(with_slow_store.obstacles.size() == 1);
+    CHECK(with_slow_store.obstacles[0] ==
+          "the weight store needs 67 minutes for 4 "
+          "loads; the maximum is 60 minutes");
+    CHECK(describe(with_slow_store).find("IT DOES NOT FIT") !=
+          std::string::npos);
 }
 
-TEST_CASE("a plan for people stays on a page", "[plan]")
+TEST_CASE("the text of a plan is truncated to fewer than 40 lines", "[plan]")
 {
     declaration after = parsed(ready(4));
     for (int at = 0; at < 3000; ++at)
@@ -163,7 +170,7 @@
     CHECK(text.find("adapters: 3009 added") != std::string::npos);
 }
 
-TEST_CASE("a plan for programs has everything a plan holds", "[plan]")
+TEST_CASE("the JSON of a plan has all its members", "[plan]")
 {
     Json::Value json;
     std::istringstream(plan_json(planned(parsed(""), parsed(ready(4))))) >>
