--- a/src/declaration.cpp
+++ b/src/declaration.cpp
@@ -9,43 +9,47 @@
 namespace
 {
 
-bool unreserved(unsigned char c)
+bool is_unreserved(unsigned char c)
 {
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
            (c >= '0' && c <= '9') || c == '-' || c == '.' || c == '_' ||
            c == '~';
 }
 
-/// Whether the escape at `at` stands for a character that needs none.
-bool needless_escape(std::string_view path, std::size_t at)
+/// Whether the escape at `at` is malformed, or stands for a character that
+/// needs no escape or that gives the path another meaning when decoded (/, \,
+/// %).
+bool is_needless_escape(std::string_view path, std::size_t at)
 {
     if (at + 2 >= path.size())
         return true;
     unsigned value = 0;
     char const* const digits = path.data() + at + 1;
-    auto const [stop, fault] = std::from_chars(digits, digits + 2, value, 16);
-    if (fault != std::errc{} || stop != digits + 2)
+    auto const [end, error] = std::from_chars(digits, digits + 2, value, 16);
+    if (error != std::errc{} || end != digits + 2)
         return true;
     auto const c = static_cast<unsigned char>(value);
-    return unreserved(c) || c == '/' || c == '\\' || c == '%';
+    return is_unreserved(c) || c == '/' || c == '\\' || c == '%';
 }
 
-// A service may undo dot segments and escapes after the rules were applied:
+// A service may normalize dot segments and escapes after the rules are applied:
 // "/balances/../payments" and "/p%61yments" would then reach "/payments" under
-// the rule of another path, and a payment would be repeated. Plain spellings
-// have neither, so such a path is simply never repeatable.
-bool disguised(std::string_view path)
+// the rule of another path, and a payment could be sent twice. Normalized paths
+// contain neither, so an ambiguous path is never repeatable.
+bool is_ambiguous_path(std::string_view path)
 {
     for (std::size_t at = 0; at < path.size(); ++at)
-        if (path[at] == '\\' || (path[at] == '%' && needless_escape(path, at)))
+        if (path[at] == '\\' ||
+            (path[at] == '%' && is_needless_escape(path, at)))
             return true;
-    for (std::string_view const part : {"//", "/./", "/../"})
-        if (path.find(part) != std::string_view::npos)
+    for (std::string_view const sequence : {"//", "/./", "/../"})
+        if (path.find(sequence) != std::string_view::npos)
             return true;
     return path.ends_with("/.") || path.ends_with("/..");
 }
 
-/// Whole segments only: "/balances" is not a prefix of "/balances-settle".
+/// Compares whole path segments: "/balances" is not a prefix of
+/// "/balances-settle".
 bool has_prefix(std::string_view path, std::string_view prefix)
 {
     if (!path.starts_with(prefix))
@@ -66,7 +70,7 @@
 bool service_declaration::repeatable(std::string const& method,
                                      std::string const& path) const
 {
-    if (disguised(path))
+    if (is_ambiguous_path(path))
         return false;
     auto const rule = std::find_if(rules.begin(), rules.end(),
                                    [&](call_rule const& candidate) {
--- a/src/declaration.hpp
+++ b/src/declaration.hpp
@@ -1,4 +1,5 @@
-/// What operators declare, as immutable values: the confirmed configuration.
+/// The declaration of a deployment by its operators; once confirmed, the
+/// declaration is the configuration of all VMs.
 #ifndef MULBERRY_DECLARATION_HPP
 #define MULBERRY_DECLARATION_HPP
 
@@ -24,9 +25,11 @@
     domain_id domain;
     /// Base URL, http://IP:PORT/...
     std::string url;
+    /// Requests that the engine can process at the same time.
     std::size_t batch_slots = 8;
+    /// Adapters that the engine can keep loaded at the same time.
     std::size_t adapter_slots = 4;
-    /// Whether the engine refuses orders with an old fencing number.
+    /// Whether the engine rejects orders with an outdated fencing number.
     bool checks_fence = false;
     friend bool operator==(worker_declaration const&,
                            worker_declaration const&) = default;
@@ -43,55 +46,65 @@
                            adapter_declaration const&) = default;
 };
 
-/// An adapter version that is to be loaded before requests ask for it.
+/// An adapter version that is loaded before requests name it.
 struct ready_declaration
 {
     application_id application;
     adapter_ref adapter;
+    /// The number of workers that should have the adapter loaded.
     std::size_t copies = 1;
     friend bool operator==(ready_declaration const&,
                            ready_declaration const&) = default;
 };
 
-/// A rule for calls of a plain service; the first that matches decides.
+/// A rule that states which calls of a plain service may be repeated. The first
+/// rule that matches a call applies.
 struct call_rule
 {
     /// Empty: any method.
     std::string method;
+    /// Matches whole path segments: "/a" matches "/a" and "/a/b", not "/ab".
     std::string path_prefix;
-    /// Whether a call may run more than once without harm.
+    /// Whether such calls are idempotent, so that they may be sent again.
     bool repeatable = false;
     friend bool operator==(call_rule const&, call_rule const&) = default;
 };
 
+/// One worker of a plain service.
 struct service_worker_declaration
 {
     service_worker_id id;
     domain_id domain;
+    /// Base URL, http://IP:PORT/...
     std::string url;
     friend bool operator==(service_worker_declaration const&,
                            service_worker_declaration const&) = default;
 };
 
+/// A plain service, its workers and the rules for its calls.
 struct service_declaration
 {
     service_id id;
     std::vector<service_worker_declaration> workers;
     std::vector<call_rule> rules;
-    /// GET and HEAD are repeatable unless a rule says otherwise; other methods
-    /// are not.
+    /// Whether a call may be sent again after a try whose outcome is unknown.
+    /// Without a matching rule, GET and HEAD are repeatable and other methods
+    /// are not. A path that the service could read as another path (dot
+    /// segments, needless escapes, empty segments, backslashes) is never
+    /// repeatable.
     bool repeatable(std::string const& method, std::string const& path) const;
     friend bool operator==(service_declaration const&,
                            service_declaration const&) = default;
 };
 
+/// What a quarterly target measures; all are shares of 0 to 1.
 enum class target_measure
 {
-    /// Share of requests whose whole answer came within the bound.
+    /// Share of requests whose answer was complete within the bound.
     answered_within,
     /// Share of requests that waited for their adapter to load.
     stall_share,
-    /// Batch efficiency of the workers that served it.
+    /// Batch efficiency of the workers that served the application.
     batch_efficiency
 };
 
@@ -100,10 +113,11 @@
 {
     application_id application;
     target_measure measure = target_measure::answered_within;
-    /// For answered_within: the bound on the whole answer.
+    /// For answered_within: the time within which the answer must be
+    /// complete.
     duration bound{};
-    /// The share, 0 to 1: at least this for answered_within and
-    /// batch_efficiency, at most this for stall_share.
+    /// The target, 0 to 1: a minimum for answered_within and batch_efficiency,
+    /// a maximum for stall_share.
     double share = 0;
     friend bool operator==(target_declaration const&,
                            target_declaration const&) = default;
@@ -113,27 +127,30 @@
 struct store_declaration
 {
     double loads_per_second = 9;
+    /// Concurrent loads that the store serves at full speed.
     std::size_t loads_at_once = 4;
     friend bool operator==(store_declaration const&,
                            store_declaration const&) = default;
 };
 
-/// A deployment's whole declaration. Immutable once loaded. Thread safety:
-/// shared by const reference.
+/// The complete declaration of a deployment. Immutable once loaded. Thread
+/// safety: shared by const reference.
 struct declaration
 {
     std::string deployment;
-    /// How load stalls weigh against batch efficiency, 0 (only efficiency
-    /// counts) to 1 (only stalls count).
+    /// The weight of load stalls against batch efficiency, from 0 (only batch
+    /// efficiency counts) to 1 (only load stalls count).
     double stall_weight = 0.5;
     store_declaration store;
     std::map<worker_id, worker_declaration> workers;
     std::map<adapter_id, adapter_declaration> adapters;
+    /// In order of placement: earlier entries are placed first.
     std::vector<ready_declaration> ready;
     std::map<service_id, service_declaration> services;
     std::vector<target_declaration> targets;
 
-    /// The adapter, if that version of it may be asked for.
+    /// The declared adapter, or null if the adapter or its version is not
+    /// declared. Valid as long as the declaration.
     adapter_declaration const* find(adapter_ref const& ref) const;
 
     friend bool operator==(declaration const&, declaration const&) = default;
--- a/src/declaration_reader.cpp
+++ b/src/declaration_reader.cpp
@@ -16,15 +16,15 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::uint64_t max_series = 100'000;
+constexpr std::uint64_t max_series_count = 100'000;
 constexpr std::uint64_t max_series_digits = 9;
 constexpr std::uint64_t max_number = 1'000'000'000;
 constexpr std::uint64_t max_slots = 4096;
 constexpr std::uint64_t max_copies = 1000;
-constexpr double least_load_rate = 0.001;
-constexpr double max_load_rate = 100'000;
+constexpr double min_loads_per_second = 0.001;
+constexpr double max_loads_per_second = 100'000;
 constexpr std::uint64_t max_loads_at_once = 10'000;
-constexpr milliseconds max_bound{600'000};
+constexpr milliseconds max_target_bound{600'000};
 
 /// The names PREFIX001, PREFIX002, ... of a series.
 struct name_series
@@ -46,7 +46,7 @@
     object.read_name("prefix", series.prefix, presence::required);
     object.read_count("first", series.first, {0, max_number},
                       presence::optional);
-    object.read_count("count", series.count, {1, max_series},
+    object.read_count("count", series.count, {1, max_series_count},
                       presence::required);
     object.read_count("digits", series.digits, {1, max_series_digits},
                       presence::optional);
@@ -55,16 +55,17 @@
     return series;
 }
 
-/// Replaces {id} and {n} in the URL of a series.
-std::string url_of(std::string url, std::string const& id, std::size_t number)
+/// Replaces {id} by a worker's name and {n} by its number in a URL template.
+std::string expand_url(std::string url, std::string const& id,
+                       std::size_t number)
 {
-    for (auto const& [mark, text] :
+    for (auto const& [placeholder, text] :
          {std::pair<std::string_view, std::string>{"{id}", id},
           {"{n}", std::to_string(number)}})
     {
-        for (auto at = url.find(mark); at != std::string::npos;
-             at = url.find(mark, at + text.size()))
-            url.replace(at, mark.size(), text);
+        for (auto at = url.find(placeholder); at != std::string::npos;
+             at = url.find(placeholder, at + text.size()))
+            url.replace(at, placeholder.size(), text);
     }
     return url;
 }
@@ -87,7 +88,8 @@
     }
 
 private:
-    // Workers come first and adapters second: what follows refers to them.
+    // Workers are read first and adapters second, since all later sections
+    // refer to workers or adapters.
     void read_root()
     {
         json_object root(document_, document_.root(), "");
@@ -97,19 +99,21 @@
         root.read_object("store", presence::required,
                          [this](auto const& json, auto const& path)
                          { read_store(json_object(document_, json, path)); });
-        visit(root, "workers", &declaration_reader::read_worker);
-        visit(root, "worker_series", &declaration_reader::read_worker_series);
-        visit(root, "adapters", &declaration_reader::read_adapter);
-        visit(root, "adapter_series", &declaration_reader::read_adapter_series);
-        visit(root, "ready", &declaration_reader::read_ready);
-        visit(root, "ready_series", &declaration_reader::read_ready_series);
-        visit(root, "services", &declaration_reader::read_service);
-        visit(root, "targets", &declaration_reader::read_target);
+        read_each(root, "workers", &declaration_reader::read_worker);
+        read_each(root, "worker_series",
+                  &declaration_reader::read_worker_series);
+        read_each(root, "adapters", &declaration_reader::read_adapter);
+        read_each(root, "adapter_series",
+                  &declaration_reader::read_adapter_series);
+        read_each(root, "ready", &declaration_reader::read_ready);
+        read_each(root, "ready_series", &declaration_reader::read_ready_series);
+        read_each(root, "services", &declaration_reader::read_service);
+        read_each(root, "targets", &declaration_reader::read_target);
         root.refuse_unknown_keys();
     }
 
-    void visit(json_object& root, char const* key,
-               void (declaration_reader::*read)(json_object))
+    void read_each(json_object& root, char const* key,
+                   void (declaration_reader::*read)(json_object))
     {
         root.read_list(key, presence::optional,
                        [&](auto const& json, auto const& path)
@@ -119,15 +123,15 @@
     void read_store(json_object object)
     {
         object.read_number("loads_per_second", value_.store.loads_per_second,
-                           {least_load_rate, max_load_rate},
+                           {min_loads_per_second, max_loads_per_second},
                            presence::required);
         object.read_count("loads_at_once", value_.store.loads_at_once,
                           {1, max_loads_at_once}, presence::required);
         object.refuse_unknown_keys();
     }
 
-    /// What a worker and a series of workers have in common.
-    static worker_declaration read_worker_model(json_object& object)
+    /// Reads the fields that a worker and a series of workers share.
+    static worker_declaration read_common_worker_fields(json_object& object)
     {
         worker_declaration worker;
         std::string base_model;
@@ -147,7 +151,7 @@
 
     void read_worker(json_object object)
     {
-        worker_declaration worker = read_worker_model(object);
+        worker_declaration worker = read_common_worker_fields(object);
         std::string id;
         object.read_name("id", id, presence::required);
         object.read_url("url", worker.url, presence::required);
@@ -158,24 +162,25 @@
 
     void read_worker_series(json_object object)
     {
-        worker_declaration worker = read_worker_model(object);
+        worker_declaration worker = read_common_worker_fields(object);
         name_series const series = read_series(object);
-        std::string form;
-        object.read_text("url", form, presence::required);
+        std::string url_template;
+        object.read_text("url", url_template, presence::required);
         object.refuse_unknown_keys();
-        if (!form.empty() && !valid_url(url_of(form, "id", 1)))
+        if (!url_template.empty() &&
+            !valid_url(expand_url(url_template, "id", 1)))
         {
             object.add_fault("url", "is not of the form http://IP:PORT or "
                                     "http://IP:PORT/PATH with a numeric IP; "
                                     "{n} and {id} stand for each worker's "
                                     "number and name");
-            form.clear(); // one fault for it is enough
+            url_template.clear(); // avoids one more fault for each worker
         }
         for (std::size_t at = 0; at < series.count; ++at)
         {
             std::size_t const number = series.first + at;
             worker.id = worker_id(series.name(number));
-            worker.url = url_of(form, worker.id.str(), number);
+            worker.url = expand_url(url_template, worker.id.str(), number);
             add_worker(object, "prefix", worker);
         }
     }
@@ -190,13 +195,13 @@
             return object.add_fault(
                 key,
                 fmt::format("worker {} is declared twice", worker.id.str()));
-        check_url(object, worker.url, worker.id.str());
+        check_unique_url(object, worker.url, worker.id.str());
     }
 
-    // Two names for one back end would give it two owners, and each would
+    // A back end under two names would have two owners, and each owner would
     // count only its own requests against the slots.
-    void check_url(json_object& object, std::string const& url,
-                   std::string const& worker)
+    void check_unique_url(json_object& object, std::string const& url,
+                          std::string const& worker)
     {
         if (url.empty())
             return;
@@ -206,8 +211,8 @@
                                                 url, other->second, worker));
     }
 
-    /// What an adapter and a series of adapters have in common.
-    adapter_declaration read_adapter_model(json_object& object)
+    /// Reads the fields that an adapter and a series of adapters share.
+    adapter_declaration read_common_adapter_fields(json_object& object)
     {
         adapter_declaration adapter;
         std::string base_model;
@@ -238,7 +243,7 @@
                              if (!adapter.versions.insert(version).second)
                                  document_.add_fault(
                                      json, path,
-                                     fmt::format("version {} stands twice",
+                                     fmt::format("version {} is listed twice",
                                                  version.value()));
                          });
         if (object.has("versions") && adapter.versions.empty())
@@ -259,7 +264,7 @@
                 if (std::find(list.begin(), list.end(), application) !=
                     list.end())
                     return document_.add_fault(
-                        json, path, application.str() + " stands twice");
+                        json, path, application.str() + " is listed twice");
                 list.push_back(application);
                 applications_.insert(application);
             });
@@ -270,7 +275,7 @@
 
     void read_adapter(json_object object)
     {
-        adapter_declaration adapter = read_adapter_model(object);
+        adapter_declaration adapter = read_common_adapter_fields(object);
         std::string id;
         object.read_name("id", id, presence::required);
         object.refuse_unknown_keys();
@@ -280,7 +285,7 @@
 
     void read_adapter_series(json_object object)
     {
-        adapter_declaration adapter = read_adapter_model(object);
+        adapter_declaration adapter = read_common_adapter_fields(object);
         name_series const series = read_series(object);
         object.refuse_unknown_keys();
         for (std::size_t at = 0; at < series.count; ++at)
@@ -300,7 +305,7 @@
                                               adapter.id.str()));
     }
 
-    static ready_declaration read_ready_model(json_object& object)
+    static ready_declaration read_common_ready_fields(json_object& object)
     {
         ready_declaration ready;
         std::string application;
@@ -313,7 +318,7 @@
 
     void read_ready(json_object object)
     {
-        ready_declaration ready = read_ready_model(object);
+        ready_declaration ready = read_common_ready_fields(object);
         std::string text;
         object.read_text("adapter", text, presence::required);
         object.refuse_unknown_keys();
@@ -332,7 +337,7 @@
 
     void read_ready_series(json_object object)
     {
-        ready_declaration ready = read_ready_model(object);
+        ready_declaration ready = read_common_ready_fields(object);
         name_series const series = read_series(object);
         std::size_t version = 0;
         object.read_count("version", version, {1, max_number},
@@ -414,7 +419,7 @@
         if (!id.empty() && !service_workers_.insert(worker.id).second)
             return object.add_fault(
                 "id", fmt::format("service worker {} is declared twice", id));
-        check_url(object, worker.url, id);
+        check_unique_url(object, worker.url, id);
         service.workers.push_back(std::move(worker));
     }
 
@@ -428,14 +433,14 @@
         object.read_text("path_prefix", rule.path_prefix, presence::required);
         object.read_flag("repeatable", rule.repeatable, presence::required);
         object.refuse_unknown_keys();
-        if (!rule.path_prefix.empty() && !plain_path(rule.path_prefix))
+        if (!rule.path_prefix.empty() && !is_plain_path(rule.path_prefix))
             object.add_fault("path_prefix",
                              "must begin with / and have neither escapes, "
                              "spaces nor a query");
         service.rules.push_back(std::move(rule));
     }
 
-    static bool plain_path(std::string const& path)
+    static bool is_plain_path(std::string const& path)
     {
         return path.front() == '/' &&
                std::all_of(path.begin(), path.end(),
@@ -475,21 +480,24 @@
                                              target_measure_names.end());
         std::string name = names.front();
         object.read_choice("measure", name, names, presence::required);
-        auto const place = std::find(names.begin(), names.end(), name);
-        target.measure = static_cast<target_measure>(place - names.begin());
-        bool const bounded = target.measure == target_measure::answered_within;
+        auto const position = std::find(names.begin(), names.end(), name);
+        target.measure = static_cast<target_measure>(position - names.begin());
+        bool const has_bound =
+            target.measure == target_measure::answered_within;
         object.read_milliseconds(
-            "bound_ms", target.bound, {milliseconds(1), max_bound},
-            bounded ? presence::required : presence::optional);
-        if (!bounded && object.has("bound_ms"))
+            "bound_ms", target.bound, {milliseconds(1), max_target_bound},
+            has_bound ? presence::required : presence::optional);
+        if (!has_bound && object.has("bound_ms"))
             object.add_fault("bound_ms",
                              fmt::format("has no meaning for {}", name));
     }
 
     json_document document_;
     declaration value_;
-    /// Known base models, and unknown ones that were reported already.
+    /// Base models with a worker, and base models without one that were
+    /// reported already.
     std::set<base_model_id> base_models_;
+    /// The name of the worker or service worker at each URL.
     std::map<std::string, std::string> urls_;
     std::set<application_id> applications_;
     std::set<std::pair<application_id, adapter_ref>> ready_;
--- a/src/declaration_writer.cpp
+++ b/src/declaration_writer.cpp
@@ -1,4 +1,4 @@
-// The canonical text of a declaration.
+// Writes the canonical text of a declaration.
 #include "declaration_text.hpp"
 #include "target_measure_text.hpp"
 
@@ -14,12 +14,13 @@
 namespace
 {
 
-constexpr int max_digits = 17;
+constexpr int max_significant_digits = 17;
 
-/// The fewest significant digits that read back to the same number.
-int digits_needed(double number)
+/// The smallest number of significant digits that reads back as the same
+/// number.
+int significant_digits(double number)
 {
-    for (int digits = 1; digits < max_digits; ++digits)
+    for (int digits = 1; digits < max_significant_digits; ++digits)
     {
         char text[32];
         auto const end = std::to_chars(text, text + sizeof text - 1, number,
@@ -28,7 +29,7 @@
         if (std::strtod(text, nullptr) == number)
             return digits;
     }
-    return max_digits;
+    return max_significant_digits;
 }
 
 Json::Value number_json(std::size_t number)
@@ -139,12 +140,12 @@
     return json;
 }
 
-int digits_needed(declaration const& value)
+int significant_digits(declaration const& value)
 {
-    int digits = std::max(digits_needed(value.stall_weight),
-                          digits_needed(value.store.loads_per_second));
+    int digits = std::max(significant_digits(value.stall_weight),
+                          significant_digits(value.store.loads_per_second));
     for (target_declaration const& target : value.targets)
-        digits = std::max(digits, digits_needed(target.share));
+        digits = std::max(digits, significant_digits(target.share));
     return digits;
 }
 
@@ -156,7 +157,7 @@
     builder["indentation"] = "";
     builder["emitUTF8"] = true;
     builder["precisionType"] = "significant";
-    builder["precision"] = digits_needed(value);
+    builder["precision"] = significant_digits(value);
     return Json::writeString(builder, declaration_json(value));
 }
 
--- a/tests/declaration_test.cpp
+++ b/tests/declaration_test.cpp
@@ -25,7 +25,7 @@
     return fault_lines(parse_declaration(text, "d.jsonc"));
 }
 
-/// A sound declaration with more members added at its end.
+/// A valid declaration with more members added at its end.
 std::string with(std::string const& members)
 {
     return R"({"deployment": "trust",
@@ -81,7 +81,7 @@
 
 } // namespace
 
-TEST_CASE("the canonical text reads back to an equal value", "[declaration]")
+TEST_CASE("the canonical text reads back as an equal value", "[declaration]")
 {
     CHECK(rc::check(
         []
@@ -113,7 +113,7 @@
     CHECK(value.find(*parse_adapter_ref("notes-0004@1")) == nullptr);
 }
 
-TEST_CASE("every fault is told with its line and key", "[declaration]")
+TEST_CASE("every fault is reported with its line and key", "[declaration]")
 {
     CHECK(faults(R"({
 "deployment": 7,
@@ -135,7 +135,7 @@
               "numeric IP"});
 }
 
-TEST_CASE("broken syntax is told with its line", "[declaration]")
+TEST_CASE("a syntax error is reported with its line", "[declaration]")
 {
     CHECK(faults("{\n\"deployment\": \"x\"\n\"store\": {}}")
               .front()
@@ -149,7 +149,8 @@
     CHECK_FALSE(faults(std::string(100'000, '[')).empty());
 }
 
-TEST_CASE("a token that was not filled in is named", "[declaration]")
+TEST_CASE("a placeholder that was not filled in is reported by name",
+          "[declaration]")
 {
     CHECK(faults(with(R"("workers": [{"id": "x", "base_model": "m",
 "domain": "edfu", "url": "http://@ENGINE@/x"}])")) ==
@@ -159,7 +160,7 @@
           "d.jsonc:2: @PORT@ is still to be filled in");
 }
 
-TEST_CASE("names used twice and references to nothing are faults",
+TEST_CASE("duplicate names and references to undeclared names are faults",
           "[declaration]")
 {
     std::string const adapter =
@@ -188,7 +189,7 @@
                 "is the URL of x and of loglm-01"});
 }
 
-TEST_CASE("a bound belongs to answered_within only", "[declaration]")
+TEST_CASE("only answered_within has a bound", "[declaration]")
 {
     CHECK(faults(with(R"("targets": [
 {"application": "summaries", "measure": "stall_share", "share": 0.1,
@@ -200,11 +201,11 @@
                 "d.jsonc:10: targets[1].bound_ms: is missing"});
 }
 
-// The caller sees a payment made twice when a call that may not be repeated is
-// taken for one that may: the first try runs, its answer is lost, and the
-// call is sent again. A path that only looks like a repeatable one must not
-// be taken for it.
-TEST_CASE("a disguised path is never repeatable", "[declaration]")
+// Guards against a payment made twice: if a call that may not be repeated
+// matches the rule of a repeatable path, the call is sent again after its
+// answer is lost. A path that a service normalizes to another path must not
+// match such a rule.
+TEST_CASE("an ambiguous path is never repeatable", "[declaration]")
 {
     service_declaration service;
     service.rules = {{"POST", "/balances", true}, {"", "/payments", false}};
