--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -19,8 +19,8 @@
 constexpr std::uint64_t kibibyte = 1024;
 constexpr std::uint64_t mebibyte = 1024 * kibibyte;
 
-// Callers may ask for up to ten minutes (X-Deadline-Ms).
-constexpr milliseconds longest_deadline{600'000};
+// The largest value that callers may request (X-Deadline-Ms).
+constexpr milliseconds max_deadline_allowed{600'000};
 
 void read_listener(json_document& document, Json::Value const& json,
                    std::string const& path, listen_address& listener)
@@ -62,13 +62,13 @@
                                            listeners[other].key));
 }
 
-// The faults never repeat a key: they end up in logs and terminals.
+// Faults are written to logs and terminals, so they must not contain the key.
 void read_key(json_object& root, char const* key, std::string& into)
 {
     root.read_text(key, into, required);
-    bool const visible = std::all_of(
+    bool const printable = std::all_of(
         into.begin(), into.end(), [](char c) { return c > ' ' && c <= '~'; });
-    if (!visible || into.size() > max_key_bytes)
+    if (!printable || into.size() > max_key_bytes)
         root.add_fault(key, fmt::format("must be 1 to {} visible ASCII "
                                         "characters",
                                         max_key_bytes));
@@ -110,11 +110,11 @@
     read("load_report_interval_ms", value.load_report_interval,
          milliseconds(10), milliseconds(60'000));
     read("default_deadline_ms", value.default_deadline, milliseconds(1),
-         longest_deadline);
+         max_deadline_allowed);
     read("max_deadline_ms", value.max_deadline, milliseconds(1),
-         longest_deadline);
+         max_deadline_allowed);
     read("progress_timeout_ms", value.progress_timeout, milliseconds(10),
-         longest_deadline);
+         max_deadline_allowed);
 }
 
 void read_sizes(json_object& root, settings& value)
@@ -132,7 +132,7 @@
     read("timeline_capacity", value.timeline_capacity, 16, 16'777'216);
 }
 
-void read_habits(json_object& root, settings& value)
+void read_policy_and_logging(json_object& root, settings& value)
 {
     root.read_name("policy", value.policy, optional);
     root.read_choice("load_budget", value.load_budget,
@@ -147,37 +147,40 @@
                      optional);
 }
 
-std::int64_t ms(duration time)
+std::int64_t in_milliseconds(duration time)
 {
     return std::chrono::floor<milliseconds>(time).count();
 }
 
-void check_relations(json_object& root, settings const& value)
+void check_consistency(json_object& root, settings const& value)
 {
-    // Two heartbeats must fit in a lease: else one late answer loses it.
+    // A lease must span more than two heartbeats, so that one late answer does
+    // not lose the lease.
     if (value.heartbeat * 2 >= value.lease)
         root.add_fault("heartbeat_ms",
                        fmt::format("{} must be less than half of lease_ms "
                                    "({})",
-                                   ms(value.heartbeat), ms(value.lease)));
+                                   in_milliseconds(value.heartbeat),
+                                   in_milliseconds(value.lease)));
     if (value.configuration_poll >= value.configuration_bound)
         root.add_fault(
             "configuration_poll_ms",
             fmt::format("{} must be less than configuration_bound_ms ({})",
-                        ms(value.configuration_poll),
-                        ms(value.configuration_bound)));
+                        in_milliseconds(value.configuration_poll),
+                        in_milliseconds(value.configuration_bound)));
     if (value.default_deadline > value.max_deadline)
         root.add_fault("default_deadline_ms",
                        fmt::format("{} must not be more than max_deadline_ms "
                                    "({})",
-                                   ms(value.default_deadline),
-                                   ms(value.max_deadline)));
-    // A silent stream has to be noticed while it can still be resumed.
+                                   in_milliseconds(value.default_deadline),
+                                   in_milliseconds(value.max_deadline)));
+    // A stalled stream must be detected before its deadline, so that the stream
+    // can still be resumed.
     if (value.progress_timeout >= value.max_deadline)
         root.add_fault("progress_timeout_ms",
                        fmt::format("{} must be less than max_deadline_ms ({})",
-                                   ms(value.progress_timeout),
-                                   ms(value.max_deadline)));
+                                   in_milliseconds(value.progress_timeout),
+                                   in_milliseconds(value.max_deadline)));
 }
 
 } // namespace
@@ -197,8 +200,8 @@
     read_platform(root, value);
     read_times(root, value);
     read_sizes(root, value);
-    read_habits(root, value);
-    check_relations(root, value);
+    read_policy_and_logging(root, value);
+    check_consistency(root, value);
     root.refuse_unknown_keys();
     if (!document.sound())
         return document.faults();
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -1,4 +1,4 @@
-/// The settings of one entry VM's daemon.
+/// The settings of the daemon on one entry VM.
 #ifndef MULBERRY_SETTINGS_HPP
 #define MULBERRY_SETTINGS_HPP
 
@@ -15,16 +15,19 @@
 namespace mulberry
 {
 
+/// The address and port of a listener.
 struct listen_address
 {
     std::string address = "127.0.0.1";
+    /// 0 lets the operating system choose a port.
     std::uint16_t port = 0;
     friend bool operator==(listen_address const&,
                            listen_address const&) = default;
 };
 
-/// Immutable once loaded. Spans of time stand here as settings only; the
-/// running program stores the deadlines made from them.
+/// Immutable once loaded. Durations occur only as settings; the running program
+/// stores the deadlines computed from them. Thread safety: shared by const
+/// reference.
 struct settings
 {
     vm_id vm;
@@ -34,11 +37,12 @@
     listen_address callers;
     listen_address peers;
     listen_address operators;
-    /// Bearer keys of the peers' and the operators' listeners; never empty.
+    /// Bearer keys that the listeners for peers and operators require; never
+    /// empty.
     std::string peers_key;
     std::string operators_key;
 
-    /// Base URLs of the platform's parts.
+    /// Base URLs of the platform's services.
     std::string table_url;
     std::string objects_url;
     std::string vms_url;
@@ -46,15 +50,16 @@
     duration lease = std::chrono::seconds(3);
     duration heartbeat = std::chrono::milliseconds(500);
     duration configuration_poll = std::chrono::seconds(1);
-    /// How long a VM may go without knowing whether its configuration still
-    /// holds before it stops taking new work.
+    /// If a VM cannot confirm for this long that its configuration is current,
+    /// the VM stops accepting new work.
     duration configuration_bound = std::chrono::seconds(4);
     duration hint_interval = std::chrono::milliseconds(200);
     duration load_report_interval = std::chrono::milliseconds(250);
 
     duration default_deadline = std::chrono::seconds(60);
     duration max_deadline = std::chrono::seconds(600);
-    /// Silence on a stream after which it is resumed elsewhere.
+    /// Time without data on a stream after which the stream is resumed on
+    /// another worker.
     duration progress_timeout = std::chrono::seconds(2);
 
     std::size_t max_body_bytes = std::size_t{4} * 1024 * 1024;
@@ -65,8 +70,8 @@
     std::size_t caller_threads = 2;
 
     std::string policy = "mulberry";
-    /// "exchanged_counts" or "even_split": how the weight store's rate is
-    /// shared between the VMs.
+    /// How the VMs share the rate of the weight store: "exchanged_counts" or
+    /// "even_split".
     std::string load_budget = "exchanged_counts";
     std::uint64_t seed = 1;
     std::string log_level = "info";
@@ -77,7 +82,8 @@
     friend bool operator==(settings const&, settings const&) = default;
 };
 
-/// Reads settings from JSON with comments; lists every fault.
+/// Reads settings from JSON with comments, or returns all faults found. `file`
+/// is the name used in faults. Thread safety: any thread.
 std::variant<settings, std::vector<text_fault>>
 parse_settings(std::string_view text, std::string const& file);
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -14,7 +14,7 @@
 
 using lines = std::vector<std::string>;
 
-/// Sound settings with more members added at their end.
+/// Valid settings with more members added at their end.
 std::string with(std::string const& members)
 {
     return R"({"vm": "vm-1", "domain": "aswan-a", "deployment": "trust",
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("settings have their defaults and take what is given", "[settings]")
+TEST_CASE("given settings override the defaults", "[settings]")
 {
     auto const parsed = parse_settings(
         with(R"(, "lease_ms": 2000, "log_format": "json")"), "vm.jsonc");
@@ -48,14 +48,14 @@
     CHECK(value.log_format == "json");
 }
 
-TEST_CASE("what must be given is missed by name", "[settings]")
+TEST_CASE("each missing required setting is reported by name", "[settings]")
 {
     lines const found = faults("{}");
     CHECK(found.size() == 11);
     CHECK(found.front() == "vm.jsonc:1: vm: is missing");
 }
 
-TEST_CASE("values out of range and of the wrong form are refused", "[settings]")
+TEST_CASE("values out of range or of the wrong type are refused", "[settings]")
 {
     CHECK(faults(with(R"(,
 "lease_ms": "3s",
@@ -78,14 +78,15 @@
                 "\"even_split\"?"});
 }
 
-TEST_CASE("a key without its unit is told the one with it", "[settings]")
+TEST_CASE("a key without its unit gets a suggestion with the unit",
+          "[settings]")
 {
     CHECK(faults(with(R"(, "lease": 3)")) ==
           lines{"vm.jsonc:6: lease: is not a known key; did you mean "
                 "\"lease_ms\"?"});
 }
 
-TEST_CASE("times that cannot work together are refused", "[settings]")
+TEST_CASE("inconsistent durations are refused", "[settings]")
 {
     CHECK(faults(with(R"(,
 "heartbeat_ms": 1500,
@@ -102,8 +103,9 @@
                 "max_deadline_ms (1000)"});
 }
 
-TEST_CASE("addresses are numeric, listeners differ and keys stay secret",
-          "[settings]")
+TEST_CASE(
+    "addresses must be numeric, listeners distinct and keys not in faults",
+    "[settings]")
 {
     std::string text = with("");
     auto const replace = [&text](std::string const& what, std::string const& by)
