--- a/src/json_reader.cpp
+++ b/src/json_reader.cpp
@@ -17,10 +17,11 @@
 namespace
 {
 
-/// A key this far from a known one is taken for a slip of the pen.
+/// An unknown key within this edit distance of a known key is treated as a
+/// typo.
 constexpr std::size_t max_typo_distance = 3;
-/// An error repeats no more than this of a wrong value.
-constexpr std::size_t max_quoted = 60;
+/// Wrong values are truncated to this length in faults.
+constexpr std::size_t max_quoted_bytes = 60;
 constexpr std::size_t max_url_bytes = 2000;
 
 Json::CharReaderBuilder reader_with_comments()
@@ -43,7 +44,7 @@
         return reader->parse(text.data(), text.data() + text.size(), &root,
                              &errors);
     }
-    catch (Json::Exception const& thrown) // nested deeper than its limit
+    catch (Json::Exception const& thrown) // nested too deeply for jsoncpp
     {
         errors = fmt::format("* Line 1, Column 1\n  {}\n", thrown.what());
         return false;
@@ -70,15 +71,16 @@
     return row.back();
 }
 
-std::string nearest(std::string const& word,
-                    std::vector<std::string> const& known)
+std::string nearest_word(std::string const& word,
+                         std::vector<std::string> const& known)
 {
     std::string best;
     std::size_t best_distance =
         std::min(max_typo_distance, word.size() / 2) + 1;
     for (std::string const& candidate : known)
     {
-        // "lease" for "lease_ms" is nearer than its edits tell.
+        // A missing unit ("lease" for "lease_ms") is one mistake, whatever the
+        // edit distance.
         std::size_t const distance = candidate.starts_with(word + "_")
                                          ? 1
                                          : edit_distance(word, candidate);
@@ -91,21 +93,21 @@
     return best;
 }
 
-std::string did_you_mean(std::string const& word,
-                         std::vector<std::string> const& known)
+std::string suggestion(std::string const& word,
+                       std::vector<std::string> const& known)
 {
-    std::string const best = nearest(word, known);
+    std::string const best = nearest_word(word, known);
     return best.empty() ? "" : fmt::format("; did you mean \"{}\"?", best);
 }
 
 std::string quoted(std::string const& text)
 {
-    if (text.size() <= max_quoted)
+    if (text.size() <= max_quoted_bytes)
         return "\"" + text + "\"";
-    return "\"" + text.substr(0, max_quoted) + "...\"";
+    return "\"" + text.substr(0, max_quoted_bytes) + "...\"";
 }
 
-std::string type_name(Json::Value const& value)
+std::string json_type_name(Json::Value const& value)
 {
     switch (value.type())
     {
@@ -124,9 +126,9 @@
     }
 }
 
-std::string expected(std::string_view what, Json::Value const& value)
+std::string type_mismatch(std::string_view what, Json::Value const& value)
 {
-    return fmt::format("{} is expected, not {}", what, type_name(value));
+    return fmt::format("{} is expected, not {}", what, json_type_name(value));
 }
 
 std::string_view line_of(std::string_view text, std::size_t line)
@@ -142,7 +144,7 @@
     return text.substr(start, text.find('\n', start) - start);
 }
 
-std::string lower_case_start(std::string text)
+std::string normalized_jsoncpp_message(std::string text)
 {
     if (!text.empty() && text[0] >= 'A' && text[0] <= 'Z')
         text[0] = static_cast<char>(text[0] - 'A' + 'a');
@@ -151,7 +153,7 @@
     return text;
 }
 
-std::string unfilled_text(std::vector<std::string> const& tokens)
+std::string unfilled_tokens_message(std::vector<std::string> const& tokens)
 {
     return fmt::format("{} {} still to be filled in", fmt::join(tokens, ", "),
                        tokens.size() == 1 ? "is" : "are");
@@ -189,8 +191,9 @@
         add_syntax_faults(text, errors);
 }
 
-// jsoncpp tells an error in two lines, "* Line L, Column C" and the text; a
-// third one, "See Line ...", is of no use to whoever wrote the file.
+// jsoncpp reports an error in two lines, "* Line L, Column C" and the text. A
+// third line, "See Line ...", does not help the author of the file and is
+// skipped.
 void json_document::add_syntax_faults(std::string_view text,
                                       std::string const& errors)
 {
@@ -205,13 +208,14 @@
         std::size_t const number = std::stoul(match[1]);
         std::string what;
         std::getline(lines, what);
-        what = fmt::format("{} (column {})",
-                           lower_case_start(what.substr(std::min<std::size_t>(
-                               what.find_first_not_of(' '), what.size()))),
-                           match[2].str());
+        what = fmt::format(
+            "{} (column {})",
+            normalized_jsoncpp_message(what.substr(std::min<std::size_t>(
+                what.find_first_not_of(' '), what.size()))),
+            match[2].str());
         if (auto const tokens = unfilled_tokens(line_of(text, number));
             !tokens.empty())
-            what = unfilled_text(tokens);
+            what = unfilled_tokens_message(tokens);
         faults_.push_back({file_, number, "", what});
     }
     if (faults_.empty())
@@ -247,7 +251,7 @@
       is_object_(value.isObject())
 {
     if (!is_object_)
-        document_.add_fault(value_, path_, expected("an object", value_));
+        document_.add_fault(value_, path_, type_mismatch("an object", value_));
 }
 
 std::string json_object::path_of(char const* key) const
@@ -268,7 +272,7 @@
 
 Json::Value const* json_object::find(char const* key, presence need)
 {
-    known_.emplace_back(key);
+    read_keys_.emplace_back(key);
     if (has(key))
         return &value_[key];
     if (is_object_ && need == presence::required)
@@ -282,10 +286,10 @@
     if (value == nullptr)
         return;
     if (!value->isString())
-        return add_fault(key, expected("a text", *value));
+        return add_fault(key, type_mismatch("a text", *value));
     std::string text = value->asString();
     if (auto const tokens = unfilled_tokens(text); !tokens.empty())
-        return add_fault(key, unfilled_text(tokens));
+        return add_fault(key, unfilled_tokens_message(tokens));
     if (text.empty())
         return add_fault(key, "must not be empty");
     into = std::move(text);
@@ -302,7 +306,7 @@
     if (std::find(choices.begin(), choices.end(), text) == choices.end())
         return add_fault(key, fmt::format("{} is none of {}{}", quoted(text),
                                           fmt::join(choices, ", "),
-                                          did_you_mean(text, choices)));
+                                          suggestion(text, choices)));
     into = std::move(text);
 }
 
@@ -340,7 +344,7 @@
     if (value == nullptr)
         return;
     if (!value->isBool())
-        return add_fault(key, expected("true or false", *value));
+        return add_fault(key, type_mismatch("true or false", *value));
     into = value->asBool();
 }
 
@@ -351,7 +355,7 @@
     if (value == nullptr)
         return;
     if (!value->isNumeric())
-        return add_fault(key, expected("a number", *value));
+        return add_fault(key, type_mismatch("a number", *value));
     double const number = value->asDouble();
     if (!(number >= range.least && number <= range.most))
         return add_fault(key, fmt::format("{} is out of range: {} to {}",
@@ -366,7 +370,7 @@
     if (value == nullptr)
         return;
     if (!value->isNumeric())
-        return add_fault(key, expected("a whole number", *value));
+        return add_fault(key, type_mismatch("a whole number", *value));
     if (!value->isUInt64() || value->asUInt64() < range.least ||
         value->asUInt64() > range.most)
         return add_fault(
@@ -396,7 +400,7 @@
     if (value == nullptr)
         return;
     if (!value->isArray())
-        return add_fault(key, expected("a list", *value));
+        return add_fault(key, type_mismatch("a list", *value));
     std::string const path = path_of(key);
     for (Json::ArrayIndex index = 0; index < value->size(); ++index)
         visit((*value)[index], fmt::format("{}[{}]", path, index));
@@ -416,9 +420,10 @@
         return;
     for (std::string const& key : value_.getMemberNames())
     {
-        if (std::find(known_.begin(), known_.end(), key) == known_.end())
+        if (std::find(read_keys_.begin(), read_keys_.end(), key) ==
+            read_keys_.end())
             add_fault(key.c_str(),
-                      "is not a known key" + did_you_mean(key, known_));
+                      "is not a known key" + suggestion(key, read_keys_));
     }
 }
 
--- a/src/json_reader.hpp
+++ b/src/json_reader.hpp
@@ -1,5 +1,5 @@
-/// A checked reader over jsoncpp: collects every fault of a file with its line
-/// instead of stopping at the first.
+/// A reader with type and range checks on top of jsoncpp. The reader collects
+/// all faults of a file with their lines instead of stopping at the first.
 #ifndef MULBERRY_JSON_READER_HPP
 #define MULBERRY_JSON_READER_HPP
 
@@ -19,8 +19,8 @@
 namespace mulberry
 {
 
-/// The tokens of the form @NAME@ (capitals, digits, '_') in a text: places in
-/// an example file that are still to be filled in.
+/// The placeholders of the form @NAME@ (capitals, digits, '_') in a text; an
+/// operator has to replace them when copying an example file.
 std::vector<std::string> unfilled_tokens(std::string_view text);
 
 /// A parsed file and the faults found in it so far. Not thread safe.
@@ -34,8 +34,9 @@
     Json::Value const& root() const { return root_; }
     bool well_formed() const { return well_formed_; }
 
-    /// Notes a fault at the line of `at`, which is a part of root().
+    /// Records a fault at the line of `at`, which must be a part of root().
     void add_fault(Json::Value const& at, std::string key, std::string text);
+    /// Whether no faults have been found.
     bool sound() const { return faults_.empty(); }
     /// All faults in the order of their lines.
     std::vector<text_fault> faults() const;
@@ -51,14 +52,15 @@
     std::vector<text_fault> faults_;
 };
 
-/// Whether a key may be left out; then what it is read into stays as it is.
+/// Whether a key may be absent. The variable that the key is read into keeps
+/// its value if the key is absent or faulty.
 enum class presence
 {
     required,
     optional
 };
 
-/// The least and the most that a number may be.
+/// The inclusive limits of a number.
 template <class Number>
 struct bounds
 {
@@ -66,31 +68,33 @@
     Number most;
 };
 
-/// One object of a document. Each read_... looks one key up, checks it, and
-/// notes a fault or stores the value. Not thread safe; the document outlives
-/// this object.
+/// One object of a document. Each read_... function looks up one key, checks
+/// the value, and either stores the value or records a fault. Not thread safe.
+/// The document must outlive this object.
 class json_object
 {
 public:
-    /// `path` is empty for the root. A value that is no object is a fault,
-    /// and its keys are then not missed one by one.
+    /// `path` is empty for the root. A value that is not an object is recorded
+    /// as one fault; its missing keys are then not reported.
     json_object(json_document& document, Json::Value const& value,
                 std::string path);
 
+    /// A non-empty text without placeholders (see unfilled_tokens).
     void read_text(char const* key, std::string& into, presence need);
-    /// A text out of a closed list.
+    /// One of the given texts.
     void read_choice(char const* key, std::string& into,
                      std::vector<std::string> const& choices, presence need);
-    /// Letters, digits, '.', '_' and '-', at most 128 (see valid_name).
+    /// 1 to 128 letters, digits, '.', '_' and '-' (see valid_name).
     void read_name(char const* key, std::string& into, presence need);
-    /// http://IP:PORT or http://IP:PORT/PATH, the IP in numbers.
+    /// http://IP:PORT or http://IP:PORT/PATH with a numeric IP (see valid_url).
     void read_url(char const* key, std::string& into, presence need);
     void read_flag(char const* key, bool& into, presence need);
     void read_number(char const* key, double& into, bounds<double> range,
                      presence need);
     void read_count(char const* key, std::size_t& into,
                     bounds<std::uint64_t> range, presence need);
-    /// Whole milliseconds; `key` ends in _ms.
+    /// Whole milliseconds; `key` ends in _ms. If the key is absent or faulty,
+    /// `into` is rounded down to whole milliseconds.
     void read_milliseconds(char const* key, duration& into,
                            bounds<std::chrono::milliseconds> range,
                            presence need);
@@ -102,13 +106,14 @@
     /// Visits a member that is an object.
     void read_object(char const* key, presence need, visitor const& visit);
 
-    /// Refuses the keys that no read_... asked for. Call it last.
+    /// Records a fault for each key that no read_... function has looked up.
+    /// Must be called after all of them.
     void refuse_unknown_keys();
 
-    /// Notes a fault at `key`, or at the object when it has no such key.
+    /// Records a fault at `key`, or at the object if the key is absent.
     void add_fault(char const* key, std::string text);
-    /// Whether the object has the key.
     bool has(char const* key) const;
+    /// The path of `key` from the root, as in `workers[3].url`.
     std::string path_of(char const* key) const;
 
 private:
@@ -118,14 +123,14 @@
     Json::Value const& value_;
     std::string path_;
     bool is_object_;
-    std::vector<std::string> known_;
+    std::vector<std::string> read_keys_;
 };
 
-/// Whether the text is http://IP:PORT or http://IP:PORT/..., the IP being
-/// numbers (IPv6 in brackets) and the port 1 to 65535.
+/// Whether the text is http://IP:PORT or http://IP:PORT/... with a numeric IP
+/// (IPv6 in brackets) and a port from 1 to 65535.
 bool valid_url(std::string_view url);
 
-/// Whether the text is an IPv4 or IPv6 address in numbers.
+/// Whether the text is a numeric IPv4 or IPv6 address.
 bool valid_address(std::string const& address);
 
 } // namespace mulberry
