--- a/src/adapter_ref.cpp
+++ b/src/adapter_ref.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t max_name_bytes = 128;
 constexpr std::uint64_t max_version = 1'000'000'000;
 
-bool name_character(char c)
+bool is_name_character(char c)
 {
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
            (c >= '0' && c <= '9') || c == '.' || c == '_' || c == '-';
@@ -23,8 +23,8 @@
 {
     std::uint64_t value = 0;
     auto const* end = text.data() + text.size();
-    auto const [stop, fault] = std::from_chars(text.data(), end, value);
-    if (text.empty() || fault != std::errc{} || stop != end)
+    auto const [parsed_end, error] = std::from_chars(text.data(), end, value);
+    if (text.empty() || error != std::errc{} || parsed_end != end)
         return std::nullopt;
     return value;
 }
@@ -44,7 +44,7 @@
 bool valid_name(std::string_view text)
 {
     return !text.empty() && text.size() <= max_name_bytes &&
-           std::all_of(text.begin(), text.end(), name_character);
+           std::all_of(text.begin(), text.end(), is_name_character);
 }
 
 std::optional<adapter_ref> parse_adapter_ref(std::string_view text)
@@ -69,11 +69,11 @@
 
 std::optional<engine_name_parts> parse_engine_name(std::string_view text)
 {
-    auto const mark = text.rfind('#');
-    if (mark == std::string_view::npos)
+    auto const separator = text.rfind('#');
+    if (separator == std::string_view::npos)
         return std::nullopt;
-    auto const adapter = parse_adapter_ref(text.substr(0, mark));
-    auto const fence = parse_number(text.substr(mark + 1));
+    auto const adapter = parse_adapter_ref(text.substr(0, separator));
+    auto const fence = parse_number(text.substr(separator + 1));
     if (!adapter || !fence || *fence == 0)
         return std::nullopt;
     return engine_name_parts{*adapter, fencing_number(*fence)};
--- a/src/adapter_ref.hpp
+++ b/src/adapter_ref.hpp
@@ -1,4 +1,4 @@
-/// An adapter together with its immutable version.
+/// References to adapter versions, and the names under which engines load them.
 #ifndef MULBERRY_ADAPTER_REF_HPP
 #define MULBERRY_ADAPTER_REF_HPP
 
@@ -11,7 +11,8 @@
 namespace mulberry
 {
 
-/// What a request names: `shift-notes-0042@7`. Immutable value.
+/// An adapter and one of its versions, as requests name them:
+/// `shift-notes-0042@7`. Immutable value.
 class adapter_ref
 {
 public:
@@ -30,20 +31,21 @@
     adapter_version version_;
 };
 
-/// Whether a text may name an adapter, or any other part of a deployment: 1 to
-/// 128 of a-z, A-Z, 0-9, '.', '_' and '-'.
+/// Whether the text is a valid name of an adapter or of any other part of a
+/// deployment: 1 to 128 characters of a-z, A-Z, 0-9, '.', '_' and '-'.
 bool valid_name(std::string_view text);
 
-/// Reads ADAPTER@VERSION. An adapter's name has 1 to 128 of a-z, A-Z, 0-9,
-/// '.', '_' and '-'; a version is a decimal number from 1 to 10^9.
+/// Parses ADAPTER@VERSION, where ADAPTER satisfies valid_name and VERSION is a
+/// decimal number from 1 to 10^9. Returns nullopt for any other text.
 std::optional<adapter_ref> parse_adapter_ref(std::string_view text);
 
-/// The name an owner loads an adapter under: ADAPTER@VERSION#FENCE. The
-/// fencing number keeps a late order of an earlier owner from touching what a
-/// later owner loaded: the late order names another engine name.
+/// The name under which an owner loads an adapter on an engine:
+/// ADAPTER@VERSION#FENCE. Since the name contains the fencing number of the
+/// owner, a delayed order of an earlier owner cannot affect an adapter that a
+/// later owner loaded.
 engine_name engine_name_for(adapter_ref const& adapter, fencing_number fence);
 
-/// An engine name taken apart.
+/// The parts of an engine name.
 struct engine_name_parts
 {
     adapter_ref adapter;
@@ -51,6 +53,8 @@
     friend bool operator==(engine_name_parts const&,
                            engine_name_parts const&) = default;
 };
+/// Parses ADAPTER@VERSION#FENCE with a FENCE above 0. Returns nullopt for any
+/// other text.
 std::optional<engine_name_parts> parse_engine_name(std::string_view text);
 
 } // namespace mulberry
--- a/src/strong_id.hpp
+++ b/src/strong_id.hpp
@@ -1,5 +1,5 @@
-/// Strongly typed identifiers: two ids of different kinds never compare or
-/// convert, so a worker's name cannot be passed where a VM's is meant.
+/// Strongly typed identifiers. Ids of different kinds neither compare nor
+/// convert, so that a worker id cannot be passed as a VM id.
 #ifndef MULBERRY_STRONG_ID_HPP
 #define MULBERRY_STRONG_ID_HPP
 
--- a/src/time_point.hpp
+++ b/src/time_point.hpp
@@ -1,5 +1,5 @@
-/// Time as the decision core sees it: a value that comes in with each event.
-/// The core has no clock of its own, so that a schedule replays exactly.
+/// The time types of the decision core. The core reads no clock: each event
+/// carries its time, so that a recorded schedule replays exactly.
 #ifndef MULBERRY_TIME_POINT_HPP
 #define MULBERRY_TIME_POINT_HPP
 
@@ -8,7 +8,8 @@
 namespace mulberry
 {
 
-/// A tag for std::chrono without now(): only the shell reads a real clock.
+/// A clock type for std::chrono without now(), since only the shell reads a
+/// real clock.
 struct core_clock
 {
     using duration = std::chrono::microseconds;
@@ -18,8 +19,8 @@
     static constexpr bool is_steady = true;
 };
 
-/// Microseconds since an epoch of the process's own; never sent to another
-/// process, since their epochs differ.
+/// Microseconds since an epoch that differs between processes; never sent to
+/// another process.
 using time_point = core_clock::time_point;
 using duration = core_clock::duration;
 
--- a/src/vm_rank.hpp
+++ b/src/vm_rank.hpp
@@ -1,4 +1,4 @@
-/// The order in which VMs are given duties that few of them need to have.
+/// The order in which VMs are chosen for duties that only a few VMs have.
 #ifndef MULBERRY_VM_RANK_HPP
 #define MULBERRY_VM_RANK_HPP
 
@@ -9,19 +9,20 @@
 namespace mulberry
 {
 
-/// A VM and what it has to work with. Value.
+/// A VM and its processor capacity. Value.
 struct ranked_vm
 {
     vm_id vm;
-    /// Thousandths of a processor core.
+    /// In thousandths of a processor core.
     unsigned millicores = 1000;
     friend bool operator==(ranked_vm const&, ranked_vm const&) = default;
 };
 
-/// The VMs with the most processor first, among equals by a hash of their
-/// names: the same on every VM that sees the same ones. Load it answers: a few
-/// VMs work for many others, and the smallest have an eighth of a core. Pure;
-/// any thread.
+/// The VMs in descending order of processor capacity; VMs with equal capacity
+/// are ordered by a hash of their names. The result is the same on every VM
+/// that sees the same VMs. Capacity comes first because the chosen VMs work for
+/// many others and the smallest VMs have only an eighth of a core. Pure. Thread
+/// safety: any thread.
 std::vector<vm_id> by_rank(std::vector<ranked_vm> vms);
 
 } // namespace mulberry
--- a/tests/adapter_ref_test.cpp
+++ b/tests/adapter_ref_test.cpp
@@ -4,7 +4,8 @@
 
 using namespace mulberry;
 
-TEST_CASE("an adapter reference reads back what it writes", "[adapter_ref]")
+TEST_CASE("adapter references and engine names parse back to equal values",
+          "[adapter_ref]")
 {
     adapter_ref const ref(adapter_id("shift-notes-0042"), adapter_version(7));
     CHECK(ref.str() == "shift-notes-0042@7");
@@ -15,7 +16,7 @@
           engine_name_parts{ref, fencing_number(31)});
 }
 
-TEST_CASE("what is not exactly ADAPTER@VERSION is refused", "[adapter_ref]")
+TEST_CASE("a text other than ADAPTER@VERSION is refused", "[adapter_ref]")
 {
     for (char const* text :
          {"", "@", "a", "a@", "@1", "a@0", "a@-1", "a@+1", "a@1 ", "a@1.0",
@@ -29,7 +30,7 @@
     CHECK_FALSE(parse_adapter_ref(std::string(129, 'a') + "@1"));
 }
 
-TEST_CASE("an engine name needs its fencing number", "[adapter_ref]")
+TEST_CASE("an engine name without a fencing number is refused", "[adapter_ref]")
 {
     for (char const* text : {"a@1", "a@1#", "a@1#0", "a#1", "a@1#x", "#1"})
     {
