--- a/src/quarter_counts.cpp
+++ b/src/quarter_counts.cpp
@@ -7,27 +7,31 @@
 namespace
 {
 
-std::uint64_t beyond(std::uint64_t later, std::uint64_t earlier)
+std::uint64_t saturating_difference(std::uint64_t later, std::uint64_t earlier)
 {
     return later - std::min(later, earlier);
 }
 
-duration beyond(duration later, duration earlier)
+duration saturating_difference(duration later, duration earlier)
 {
     return later - std::min(later, earlier);
 }
 
-void reduce(quarter_counts& from, quarter_counts const& by)
+void subtract(quarter_counts& from, quarter_counts const& by)
 {
-    from.requests = beyond(from.requests, by.requests);
-    from.stalled = beyond(from.stalled, by.stalled);
-    from.busy_slot_time = beyond(from.busy_slot_time, by.busy_slot_time);
-    from.open_slot_time = beyond(from.open_slot_time, by.open_slot_time);
+    from.requests = saturating_difference(from.requests, by.requests);
+    from.stalled = saturating_difference(from.stalled, by.stalled);
+    from.busy_slot_time =
+        saturating_difference(from.busy_slot_time, by.busy_slot_time);
+    from.open_slot_time =
+        saturating_difference(from.open_slot_time, by.open_slot_time);
     for (auto const& [bound, counts] : by.bounds)
     {
-        bound_counts& left = from.bounds[bound];
-        left.counted = beyond(left.counted, counts.counted);
-        left.within = beyond(left.within, counts.within);
+        bound_counts& remaining = from.bounds[bound];
+        remaining.counted =
+            saturating_difference(remaining.counted, counts.counted);
+        remaining.within =
+            saturating_difference(remaining.within, counts.within);
     }
 }
 
@@ -55,7 +59,7 @@
 {
     quarter_totals result = later;
     for (auto const& [application, counts] : earlier)
-        reduce(result[application], counts);
+        subtract(result[application], counts);
     return result;
 }
 
--- a/src/quarter_forecast.cpp
+++ b/src/quarter_forecast.cpp
@@ -9,12 +9,12 @@
 {
 
 constexpr duration sample_interval = std::chrono::minutes(1);
-constexpr duration pace_span = std::chrono::hours(1);
+constexpr duration sample_window = std::chrono::hours(1);
 /// Less than this tells no pace.
-constexpr duration least_span = std::chrono::seconds(10);
-constexpr double thin_budget = 0.1;
+constexpr duration min_sample_span = std::chrono::seconds(10);
+constexpr double at_risk_budget_fraction = 0.1;
 /// Sums of shares are a little off; a target met exactly is met.
-constexpr double tolerance = 1e-9;
+constexpr double rounding_tolerance = 1e-9;
 
 double seconds(duration span)
 {
@@ -22,14 +22,13 @@
 }
 
 /// A target's share as a fraction.
-struct progress
+struct ratio
 {
-    double part = 0;
-    double whole = 0;
+    double numerator = 0;
+    double denominator = 0;
 };
 
-progress progress_of(target_declaration const& target,
-                     quarter_totals const& totals)
+ratio ratio_of(target_declaration const& target, quarter_totals const& totals)
 {
     auto const found = totals.find(target.application);
     if (found == totals.end())
@@ -54,103 +53,111 @@
     return {};
 }
 
-bool at_most(target_declaration const& target)
+bool is_upper_limit(target_declaration const& target)
 {
     return target.measure == target_measure::stall_share;
 }
 
-std::optional<double> share_of(progress const& made)
+std::optional<double> share_from(ratio const& current)
 {
-    if (made.whole <= 0)
+    if (current.denominator <= 0)
         return std::nullopt;
-    return made.part / made.whole;
+    return current.numerator / current.denominator;
 }
 
-bool misses(target_declaration const& target, double share)
+bool misses_target(target_declaration const& target, double share)
 {
-    return at_most(target) ? share > target.share + tolerance
-                           : share < target.share - tolerance;
+    return is_upper_limit(target) ? share > target.share + rounding_tolerance
+                                  : share < target.share - rounding_tolerance;
 }
 
-std::uint64_t projected(std::uint64_t now, std::uint64_t grown, double factor)
+std::uint64_t extrapolated(std::uint64_t now, std::uint64_t growth,
+                           double factor)
 {
     return now + static_cast<std::uint64_t>(
-                     std::llround(static_cast<double>(grown) * factor));
+                     std::llround(static_cast<double>(growth) * factor));
 }
 
-duration projected(duration now, duration grown, double factor)
+duration extrapolated(duration now, duration growth, double factor)
 {
     return now +
-           duration(std::llround(static_cast<double>(grown.count()) * factor));
+           duration(std::llround(static_cast<double>(growth.count()) * factor));
 }
 
-quarter_counts projected(quarter_counts const& now, quarter_counts const& grown,
-                         double factor)
+quarter_counts extrapolated(quarter_counts const& now,
+                            quarter_counts const& growth, double factor)
 {
     quarter_counts result;
-    result.requests = projected(now.requests, grown.requests, factor);
-    result.stalled = projected(now.stalled, grown.stalled, factor);
+    result.requests = extrapolated(now.requests, growth.requests, factor);
+    result.stalled = extrapolated(now.stalled, growth.stalled, factor);
     result.busy_slot_time =
-        projected(now.busy_slot_time, grown.busy_slot_time, factor);
+        extrapolated(now.busy_slot_time, growth.busy_slot_time, factor);
     result.open_slot_time =
-        projected(now.open_slot_time, grown.open_slot_time, factor);
+        extrapolated(now.open_slot_time, growth.open_slot_time, factor);
     for (auto const& [bound, counts] : now.bounds)
     {
-        auto const more = grown.bounds.find(bound);
-        bound_counts const pace =
-            more == grown.bounds.end() ? bound_counts{} : more->second;
-        result.bounds[bound] = {projected(counts.counted, pace.counted, factor),
-                                projected(counts.within, pace.within, factor)};
+        auto const more = growth.bounds.find(bound);
+        bound_counts const bound_growth =
+            more == growth.bounds.end() ? bound_counts{} : more->second;
+        result.bounds[bound] = {
+            extrapolated(counts.counted, bound_growth.counted, factor),
+            extrapolated(counts.within, bound_growth.within, factor)};
     }
     return result;
 }
 
 } // namespace
 
-void quarter_pace::sample(quarter_totals const& totals, time_point now)
+void totals_history::sample(quarter_totals const& totals, time_point now)
 {
     if (!samples_.empty() && now < samples_.back().at + sample_interval)
         return;
     samples_.push_back({now, totals});
-    while (samples_.size() > 1 && samples_[1].at + pace_span <= now)
+    while (samples_.size() > 1 && samples_[1].at + sample_window <= now)
         samples_.pop_front();
 }
 
-quarter_totals quarter_pace::at_end(quarter_totals const& totals,
-                                    time_point now, time_point ends) const
+quarter_totals totals_history::project_totals(quarter_totals const& totals,
+                                              time_point now,
+                                              time_point quarter_end) const
 {
-    if (samples_.empty() || now < samples_.front().at + least_span ||
-        ends <= now)
+    if (samples_.empty() || now < samples_.front().at + min_sample_span ||
+        quarter_end <= now)
         return totals;
-    quarter_totals const grown = difference(totals, samples_.front().totals);
-    double const factor = seconds(ends - now) / seconds(now - samples_[0].at);
+    quarter_totals const growth = difference(totals, samples_.front().totals);
+    double const factor =
+        seconds(quarter_end - now) / seconds(now - samples_[0].at);
     quarter_totals expected;
     for (auto const& [application, counts] : totals)
         expected.emplace(application,
-                         projected(counts, grown.at(application), factor));
+                         extrapolated(counts, growth.at(application), factor));
     return expected;
 }
 
-target_standing standing_of(target_declaration const& target,
-                            quarter_totals const& totals,
-                            quarter_totals const& expected)
+target_standing evaluate_target(target_declaration const& target,
+                                quarter_totals const& totals,
+                                quarter_totals const& expected)
 {
-    progress const made = progress_of(target, totals);
+    ratio const current = ratio_of(target, totals);
     target_standing standing;
     standing.target = target;
-    standing.reached = share_of(made);
+    standing.reached = share_from(current);
     if (!standing.reached)
         return standing;
-    double const missed = at_most(target) ? made.part : made.whole - made.part;
+    double const missed = is_upper_limit(target)
+                              ? current.numerator
+                              : current.denominator - current.numerator;
     double const budget =
-        made.whole * (at_most(target) ? target.share : 1 - target.share);
+        current.denominator *
+        (is_upper_limit(target) ? target.share : 1 - target.share);
     double const left = budget - missed;
-    standing.counted = static_cast<std::uint64_t>(made.whole);
-    standing.left = static_cast<std::int64_t>(std::floor(left + tolerance));
-    standing.forecast = share_of(progress_of(target, expected));
+    standing.counted = static_cast<std::uint64_t>(current.denominator);
+    standing.left =
+        static_cast<std::int64_t>(std::floor(left + rounding_tolerance));
+    standing.forecast = share_from(ratio_of(target, expected));
     standing.at_risk =
-        left < thin_budget * budget - tolerance ||
-        (standing.forecast && misses(target, *standing.forecast));
+        left < at_risk_budget_fraction * budget - rounding_tolerance ||
+        (standing.forecast && misses_target(target, *standing.forecast));
     return standing;
 }
 
--- a/src/quarter_forecast.hpp
+++ b/src/quarter_forecast.hpp
@@ -12,7 +12,7 @@
 {
 
 /// Samples of the deployment's totals over the last hour. Thread safety: none.
-class quarter_pace
+class totals_history
 {
 public:
     /// Remembers the totals, at most once a minute.
@@ -20,22 +20,22 @@
     void clear() { samples_.clear(); }
     /// What the totals will be at `ends` if the pace since the oldest sample
     /// goes on; as they are where there is nothing to tell a pace from.
-    quarter_totals at_end(quarter_totals const& totals, time_point now,
-                          time_point ends) const;
+    quarter_totals project_totals(quarter_totals const& totals, time_point now,
+                                  time_point quarter_end) const;
 
 private:
-    struct sample_of
+    struct timed_totals
     {
         time_point at{};
         quarter_totals totals;
     };
-    std::deque<sample_of> samples_;
+    std::deque<timed_totals> samples_;
 };
 
 /// `expected` are the totals at the quarter's end.
-target_standing standing_of(target_declaration const& target,
-                            quarter_totals const& totals,
-                            quarter_totals const& expected);
+target_standing evaluate_target(target_declaration const& target,
+                                quarter_totals const& totals,
+                                quarter_totals const& expected);
 
 } // namespace mulberry
 
--- a/src/quarter_ledger.cpp
+++ b/src/quarter_ledger.cpp
@@ -36,7 +36,7 @@
     row.write = ++last_write_;
     if (!creating_)
     {
-        sent_ = totals_;
+        sent_totals_ = totals_;
         sent_changes_ = changes_;
         row.totals = totals_;
     }
@@ -47,7 +47,7 @@
 void quarter_ledger::on_reply(std::string const& key, table_reply const& reply)
 {
     operation_ = operation_id();
-    settled_ = reply.outcome == table_outcome::done && !creating_;
+    last_write_confirmed_ = reply.outcome == table_outcome::done && !creating_;
     switch (reply.outcome)
     {
     case table_outcome::done:
@@ -56,25 +56,25 @@
         return on_conflict(key, reply);
     case table_outcome::unreachable:
         // Whether it took effect is learnt from the next write's conflict.
-        return may_have_taken_effect();
+        return record_possible_write();
     case table_outcome::refused:
         return;
     }
 }
 
-void quarter_ledger::may_have_taken_effect()
+void quarter_ledger::record_possible_write()
 {
     if (creating_)
         return;
-    most_in_row_ = sent_;
+    max_totals_in_row_ = sent_totals_;
 }
 
 void quarter_ledger::on_done(std::string const& key, table_reply const& reply)
 {
     if (table_row const* const row = row_of(reply, key))
         version_ = row->version;
-    settled_write_ = last_write_;
-    may_have_taken_effect();
+    last_finished_write_ = last_write_;
+    record_possible_write();
     if (!creating_)
         written_changes_ = sent_changes_;
 }
@@ -83,37 +83,37 @@
                                  table_reply const& reply)
 {
     table_row const* const row = row_of(reply, key);
-    std::optional<quarter_row> const held =
+    std::optional<quarter_row> const stored_row =
         row ? decode_quarter_row(row->value) : std::nullopt;
     if (creating_)
     {
         // An earlier create of this ledger took effect. All its writes since
         // the row was last known are creates, so none of them is a count.
-        if (held)
+        if (stored_row)
         {
             version_ = row->version;
-            settled_write_ = last_write_;
+            last_finished_write_ = last_write_;
         }
         return;
     }
-    if (held && held->write > settled_write_)
+    if (stored_row && stored_row->write > last_finished_write_)
     {
         version_ = row->version;
-        settled_write_ = held->write;
-        most_in_row_ = held->totals;
+        last_finished_write_ = stored_row->write;
+        max_totals_in_row_ = stored_row->totals;
         return;
     }
     // The row is gone, or one stands there that a late create left.
-    row_was_folded();
+    on_row_folded();
 }
 
-void quarter_ledger::row_was_folded()
+void quarter_ledger::on_row_folded()
 {
     // Another VM took this life to be over. Its sum holds what the row held:
     // the last answered write or a later one that was not answered. Were too
     // little taken off, requests would count twice; so the most is.
-    totals_ = difference(totals_, most_in_row_);
-    most_in_row_.clear();
+    totals_ = difference(totals_, max_totals_in_row_);
+    max_totals_in_row_.clear();
     version_ = row_version();
 }
 
--- a/src/quarter_ledger.hpp
+++ b/src/quarter_ledger.hpp
@@ -33,11 +33,11 @@
     /// What no fold has taken into the sum.
     quarter_totals const& totals() const { return totals_; }
 
-    bool unwritten() const { return changes_ != written_changes_; }
-    /// Whether everything counted before mark() is written.
-    bool marked_written() const { return written_changes_ >= mark_; }
+    bool has_unwritten_changes() const { return changes_ != written_changes_; }
+    /// Whether everything counted before mark_for_flush() is written.
+    bool is_mark_written() const { return written_changes_ >= flush_mark_; }
     /// Called once.
-    void mark() { mark_ = changes_; }
+    void mark_for_flush() { flush_mark_ = changes_; }
 
     bool idle() const { return operation_.none(); }
     bool knows(operation_id operation) const { return operation_ == operation; }
@@ -47,35 +47,35 @@
     /// Precondition: knows(reply.operation).
     void on_reply(std::string const& key, table_reply const& reply);
     /// Whether the last write put its counts into the row for certain.
-    bool settled() const { return settled_; }
+    bool last_write_confirmed() const { return last_write_confirmed_; }
 
 private:
     void on_done(std::string const& key, table_reply const& reply);
     void on_conflict(std::string const& key, table_reply const& reply);
-    void may_have_taken_effect();
-    void row_was_folded();
+    void record_possible_write();
+    void on_row_folded();
 
     quarter_totals totals_;
     std::uint64_t changes_ = 0;
     std::uint64_t written_changes_ = 0;
-    std::uint64_t mark_ = 0;
+    std::uint64_t flush_mark_ = 0;
 
     /// The row as last known; no version: to be created.
     row_version version_;
     /// The newest of this ledger's writes that is known to be over.
-    std::uint64_t settled_write_ = 0;
+    std::uint64_t last_finished_write_ = 0;
     std::uint64_t last_write_ = 0;
-    bool settled_ = true;
+    bool last_write_confirmed_ = true;
 
     /// The write under way.
     operation_id operation_;
     bool creating_ = false;
-    quarter_totals sent_;
+    quarter_totals sent_totals_;
     std::uint64_t sent_changes_ = 0;
 
     /// The most that the row can hold: a write that was answered, or a later
     /// one that was not.
-    quarter_totals most_in_row_;
+    quarter_totals max_totals_in_row_;
 };
 
 } // namespace mulberry
--- a/src/quarter_row.cpp
+++ b/src/quarter_row.cpp
@@ -17,8 +17,8 @@
 {
     std::uint64_t value = 0;
     char const* const end = text.data() + text.size();
-    auto const [stop, fault] = std::from_chars(text.data(), end, value);
-    if (fault != std::errc() || stop != end)
+    auto const [parsed_end, error] = std::from_chars(text.data(), end, value);
+    if (error != std::errc() || parsed_end != end)
         return std::nullopt;
     return value;
 }
@@ -28,7 +28,8 @@
     return Json::UInt64(static_cast<std::uint64_t>(span.count()));
 }
 
-std::optional<duration> span_member(Json::Value const& object, char const* name)
+std::optional<duration> duration_member(Json::Value const& object,
+                                        char const* name)
 {
     auto const count = number_member(object, name);
     if (!count)
@@ -46,9 +47,9 @@
     json["bounds"] = Json::Value(Json::objectValue);
     for (auto const& [bound, each] : counts.bounds)
     {
-        Json::Value& shown = json["bounds"][std::to_string(bound.count())];
-        shown["counted"] = Json::UInt64(each.counted);
-        shown["within"] = Json::UInt64(each.within);
+        Json::Value& bound_json = json["bounds"][std::to_string(bound.count())];
+        bound_json["counted"] = Json::UInt64(each.counted);
+        bound_json["within"] = Json::UInt64(each.within);
     }
     return json;
 }
@@ -81,8 +82,8 @@
         return std::nullopt;
     auto const requests = number_member(json, "requests");
     auto const stalled = number_member(json, "stalled");
-    auto const busy = span_member(json, "busy_us");
-    auto const open = span_member(json, "open_us");
+    auto const busy = duration_member(json, "busy_us");
+    auto const open = duration_member(json, "open_us");
     auto bounds = bounds_from(json["bounds"]);
     if (!requests || !stalled || !busy || !open || !bounds)
         return std::nullopt;
@@ -97,7 +98,7 @@
     std::string const begin = quarter_prefix + quarter + "/";
     if (is_sum())
         return begin + std::string(sum_name);
-    return begin + vm.str() + "/" + std::to_string(life.value());
+    return begin + vm.str() + "/" + std::to_string(incarnation_number.value());
 }
 
 std::optional<quarter_key> parse_quarter_key(std::string const& text)
@@ -117,11 +118,11 @@
     std::size_t const vm_end = rest.rfind('/');
     if (vm_end == 0 || vm_end == std::string_view::npos)
         return std::nullopt;
-    auto const life = parse_number(rest.substr(vm_end + 1));
-    if (!life)
+    auto const incarnation_number = parse_number(rest.substr(vm_end + 1));
+    if (!incarnation_number)
         return std::nullopt;
     return quarter_key{quarter, vm_id(std::string(rest.substr(0, vm_end))),
-                       incarnation(*life)};
+                       incarnation(*incarnation_number)};
 }
 
 std::string encode(quarter_row const& row)
--- a/src/quarter_row.hpp
+++ b/src/quarter_row.hpp
@@ -22,7 +22,7 @@
 {
     std::string quarter;
     vm_id vm;
-    incarnation life;
+    incarnation incarnation_number;
 
     bool is_sum() const { return vm.empty(); }
     std::string str() const;
--- a/src/quarter_store.cpp
+++ b/src/quarter_store.cpp
@@ -14,17 +14,21 @@
 class quarter_store::implementation
 {
 public:
-    implementation(quarter_settings settings, id_source& ids,
-                   std::function<bool(vm_id const&, incarnation)> life_is_over)
+    implementation(
+        quarter_settings settings, id_source& ids,
+        std::function<bool(vm_id const&, incarnation)> incarnation_ended)
         : settings_(std::move(settings)), ids_(&ids),
-          life_is_over_(std::move(life_is_over))
+          incarnation_ended_(std::move(incarnation_ended))
     {
     }
 
     void configure(std::shared_ptr<declaration const> configuration);
-    void set_life(incarnation life);
-    void set_folds(bool folds) { folds_ = folds; }
-    void set_quarter(std::string name, time_point ends, time_point now);
+    void set_incarnation(incarnation incarnation_number);
+    void set_folding_enabled(bool folding_enabled)
+    {
+        folding_enabled_ = folding_enabled;
+    }
+    void set_quarter(std::string name, time_point quarter_end, time_point now);
 
     void count_answer(application_id const& application,
                       std::optional<duration> took);
@@ -44,119 +48,123 @@
 
 private:
     /// A ledger and when it is next written.
-    struct own_row
+    struct own_row_state
     {
         quarter_ledger ledger;
         time_point next_write_at{};
     };
-    struct found_row
+    struct scanned_row
     {
         table_row raw;
         quarter_key key;
-        quarter_row held;
+        quarter_row stored_row;
     };
 
-    bool counts_for(application_id const& application) const;
-    quarter_ledger& current();
-    bool is_own(quarter_key const& key) const;
-    void write(quarter_key const& key, own_row& row, time_point now,
+    bool is_counted(application_id const& application) const;
+    quarter_ledger& current_ledger();
+    bool is_own_row(quarter_key const& key) const;
+    void write(quarter_key const& key, own_row_state& row, time_point now,
                action_list& actions);
-    void write_due(time_point now, action_list& actions);
-    void read(time_point now, action_list& actions);
+    void write_due_rows(time_point now, action_list& actions);
+    void scan_if_due(time_point now, action_list& actions);
     void on_rows(table_reply const& reply, time_point now);
-    void drop_finished();
-    void sum_others();
-    void fold(time_point now, action_list& actions);
-    std::vector<found_row const*> foldable(std::string const& quarter) const;
+    void erase_finished_rows();
+    void sum_other_rows();
+    void fold_ended_rows(time_point now, action_list& actions);
+    std::vector<scanned_row const*>
+    foldable_rows(std::string const& quarter) const;
     quarter_totals totals() const;
 
     quarter_settings settings_;
     id_source* ids_;
-    std::function<bool(vm_id const&, incarnation)> life_is_over_;
+    std::function<bool(vm_id const&, incarnation)> incarnation_ended_;
     std::shared_ptr<declaration const> configuration_;
     /// The applications with targets, and the bounds of those.
-    std::map<application_id, std::set<duration>> bounds_;
+    std::map<application_id, std::set<duration>> bounds_by_application_;
 
-    incarnation life_;
+    incarnation incarnation_number_;
     std::string quarter_;
-    time_point ends_ = never;
+    time_point quarter_end_ = never;
     /// A quarter that is over, or a life, stays until all of it is written.
-    std::map<quarter_key, own_row> own_;
-    bool folds_ = false;
+    std::map<quarter_key, own_row_state> own_rows_;
+    bool folding_enabled_ = false;
     bool flushing_ = false;
 
-    operation_id scan_;
-    time_point next_read_at_{};
-    operation_id fold_;
+    operation_id scan_operation_;
+    time_point next_scan_at_{};
+    operation_id fold_operation_;
     /// The rows as last read; to be folded once.
-    std::vector<found_row> found_;
-    bool may_fold_ = false;
-    bool was_read_ = false;
+    std::vector<scanned_row> scanned_rows_;
+    bool fold_pending_ = false;
+    bool has_read_rows_ = false;
     /// Of the current quarter, all but this process's own rows.
-    quarter_totals others_;
-    quarter_pace pace_;
+    quarter_totals other_totals_;
+    totals_history totals_history_;
 };
 
 void quarter_store::implementation::configure(
     std::shared_ptr<declaration const> configuration)
 {
     configuration_ = std::move(configuration);
-    bounds_.clear();
+    bounds_by_application_.clear();
     for (target_declaration const& target : configuration_->targets)
     {
-        std::set<duration>& bounds = bounds_[target.application];
+        std::set<duration>& bounds = bounds_by_application_[target.application];
         if (target.measure == target_measure::answered_within)
             bounds.insert(target.bound);
     }
 }
 
-void quarter_store::implementation::set_life(incarnation life)
+void quarter_store::implementation::set_incarnation(
+    incarnation incarnation_number)
 {
-    if (life.none() || life == life_)
+    if (incarnation_number.none() || incarnation_number == incarnation_number_)
         return;
-    if (life_.none())
+    if (incarnation_number_.none())
     {
         // Counted before the first registration.
-        std::map<quarter_key, own_row> named;
-        for (auto& [key, row] : own_)
-            named.emplace(quarter_key{key.quarter, key.vm, life},
-                          std::move(row));
-        own_ = std::move(named);
+        std::map<quarter_key, own_row_state> renamed_rows;
+        for (auto& [key, row] : own_rows_)
+            renamed_rows.emplace(
+                quarter_key{key.quarter, key.vm, incarnation_number},
+                std::move(row));
+        own_rows_ = std::move(renamed_rows);
     }
-    life_ = life;
+    incarnation_number_ = incarnation_number;
 }
 
 void quarter_store::implementation::set_quarter(std::string name,
-                                                time_point ends, time_point now)
+                                                time_point quarter_end,
+                                                time_point now)
 {
-    ends_ = ends;
+    quarter_end_ = quarter_end;
     if (name == quarter_)
         return;
     quarter_ = std::move(name);
-    pace_.clear();
-    sum_others();
-    next_read_at_ = std::min(next_read_at_, now);
+    totals_history_.clear();
+    sum_other_rows();
+    next_scan_at_ = std::min(next_scan_at_, now);
 }
 
-bool quarter_store::implementation::counts_for(
+bool quarter_store::implementation::is_counted(
     application_id const& application) const
 {
-    return !quarter_.empty() && bounds_.contains(application);
+    return !quarter_.empty() && bounds_by_application_.contains(application);
 }
 
-quarter_ledger& quarter_store::implementation::current()
+quarter_ledger& quarter_store::implementation::current_ledger()
 {
-    return own_[{quarter_, settings_.vm, life_}].ledger;
+    return own_rows_[{quarter_, settings_.vm, incarnation_number_}].ledger;
 }
 
 void quarter_store::implementation::count_answer(
     application_id const& application, std::optional<duration> took)
 {
-    if (!counts_for(application))
+    if (!is_counted(application))
         return;
-    quarter_counts& counts = current().counts(application);
+    quarter_counts& counts = current_ledger().counts(application);
     ++counts.requests;
-    for (duration const bound : bounds_.at(application))
+    for (duration const bound : bounds_by_application_.at(application))
     {
         bound_counts& each = counts.bounds[bound];
         ++each.counted;
@@ -168,11 +176,11 @@
 void quarter_store::implementation::count_withdrawn(
     application_id const& application, duration waited)
 {
-    if (!counts_for(application))
+    if (!is_counted(application))
         return;
-    quarter_counts& counts = current().counts(application);
+    quarter_counts& counts = current_ledger().counts(application);
     ++counts.requests;
-    for (duration const bound : bounds_.at(application))
+    for (duration const bound : bounds_by_application_.at(application))
         if (waited > bound)
             ++counts.bounds[bound].counted;
 }
@@ -180,31 +188,33 @@
 void quarter_store::implementation::count_stalls(
     application_id const& application, std::uint64_t count)
 {
-    if (count > 0 && counts_for(application))
-        current().counts(application).stalled += count;
+    if (count > 0 && is_counted(application))
+        current_ledger().counts(application).stalled += count;
 }
 
 void quarter_store::implementation::add_slot_time(
     application_id const& application, duration busy, duration open)
 {
-    if (busy + open <= duration::zero() || !counts_for(application))
+    if (busy + open <= duration::zero() || !is_counted(application))
         return;
-    quarter_counts& counts = current().counts(application);
+    quarter_counts& counts = current_ledger().counts(application);
     counts.busy_slot_time += busy;
     counts.open_slot_time += open;
 }
 
-bool quarter_store::implementation::is_own(quarter_key const& key) const
+bool quarter_store::implementation::is_own_row(quarter_key const& key) const
 {
-    return own_.contains(key) || (key.vm == settings_.vm && key.life == life_);
+    return own_rows_.contains(key) ||
+           (key.vm == settings_.vm &&
+            key.incarnation_number == incarnation_number_);
 }
 
 bool quarter_store::implementation::knows(operation_id operation) const
 {
     if (operation.none())
         return false;
-    return operation == scan_ || operation == fold_ ||
-           std::any_of(own_.begin(), own_.end(),
+    return operation == scan_operation_ || operation == fold_operation_ ||
+           std::any_of(own_rows_.begin(), own_rows_.end(),
                        [&](auto const& each)
                        { return each.second.ledger.knows(operation); });
 }
@@ -212,25 +222,25 @@
 void quarter_store::implementation::on_table(table_reply const& reply,
                                              time_point now)
 {
-    if (reply.operation == scan_)
+    if (reply.operation == scan_operation_)
     {
-        scan_ = operation_id();
+        scan_operation_ = operation_id();
         if (reply.outcome == table_outcome::done)
             on_rows(reply, now);
         return;
     }
-    if (reply.operation == fold_)
+    if (reply.operation == fold_operation_)
     {
         // Whatever became of it, the next read shows.
-        fold_ = operation_id();
+        fold_operation_ = operation_id();
         return;
     }
-    for (auto& [key, row] : own_)
+    for (auto& [key, row] : own_rows_)
     {
         if (!row.ledger.knows(reply.operation))
             continue;
         row.ledger.on_reply(key.str(), reply);
-        if (!row.ledger.settled())
+        if (!row.ledger.last_write_confirmed())
             row.next_write_at =
                 std::min(row.next_write_at, now + settings_.retry_interval);
         return;
@@ -239,24 +249,25 @@
 
 void quarter_store::implementation::tick(time_point now, action_list& actions)
 {
-    write_due(now, actions);
-    read(now, actions);
-    fold(now, actions);
+    write_due_rows(now, actions);
+    scan_if_due(now, actions);
+    fold_ended_rows(now, actions);
 }
 
-void quarter_store::implementation::write_due(time_point now,
-                                              action_list& actions)
+void quarter_store::implementation::write_due_rows(time_point now,
+                                                   action_list& actions)
 {
-    if (life_.none())
+    if (incarnation_number_.none())
         return;
-    for (auto& [key, row] : own_)
+    for (auto& [key, row] : own_rows_)
         if (now >= row.next_write_at && row.ledger.idle() &&
-            row.ledger.unwritten())
+            row.ledger.has_unwritten_changes())
             write(key, row, now, actions);
 }
 
-void quarter_store::implementation::write(quarter_key const& key, own_row& row,
-                                          time_point now, action_list& actions)
+void quarter_store::implementation::write(quarter_key const& key,
+                                          own_row_state& row, time_point now,
+                                          action_list& actions)
 {
     row.next_write_at = now + settings_.write_interval;
     row.ledger.write(key.str(), ids_->next_operation(),
@@ -266,80 +277,84 @@
 void quarter_store::implementation::flush(time_point now, action_list& actions)
 {
     if (!std::exchange(flushing_, true))
-        for (auto& [key, row] : own_)
+        for (auto& [key, row] : own_rows_)
         {
-            row.ledger.mark();
+            row.ledger.mark_for_flush();
             row.next_write_at = now;
         }
-    write_due(now, actions);
+    write_due_rows(now, actions);
 }
 
 bool quarter_store::implementation::flushed() const
 {
-    return std::all_of(own_.begin(), own_.end(),
+    return std::all_of(own_rows_.begin(), own_rows_.end(),
                        [](auto const& each)
-                       { return each.second.ledger.marked_written(); });
+                       { return each.second.ledger.is_mark_written(); });
 }
 
-void quarter_store::implementation::read(time_point now, action_list& actions)
+void quarter_store::implementation::scan_if_due(time_point now,
+                                                action_list& actions)
 {
-    if (quarter_.empty() || now < next_read_at_ || !scan_.none())
+    if (quarter_.empty() || now < next_scan_at_ || !scan_operation_.none())
         return;
-    next_read_at_ = now + settings_.read_interval;
-    scan_ = ids_->next_operation();
+    next_scan_at_ = now + settings_.read_interval;
+    scan_operation_ = ids_->next_operation();
     // Every quarter's: the last rows of one that is over are folded as well.
-    actions.push_back(
-        scan_rows{scan_, quarter_prefix, now + settings_.table_timeout});
+    actions.push_back(scan_rows{scan_operation_, quarter_prefix,
+                                now + settings_.table_timeout});
 }
 
 void quarter_store::implementation::on_rows(table_reply const& reply,
                                             time_point now)
 {
-    found_.clear();
+    scanned_rows_.clear();
     for (table_row const& raw : reply.rows)
     {
         auto key = parse_quarter_key(raw.key);
-        auto held = decode_quarter_row(raw.value);
-        if (key && held)
-            found_.push_back({raw, std::move(*key), std::move(*held)});
+        auto stored_row = decode_quarter_row(raw.value);
+        if (key && stored_row)
+            scanned_rows_.push_back(
+                {raw, std::move(*key), std::move(*stored_row)});
     }
-    drop_finished();
-    sum_others();
-    may_fold_ = true;
-    was_read_ = true;
-    pace_.sample(totals(), now);
+    erase_finished_rows();
+    sum_other_rows();
+    fold_pending_ = true;
+    has_read_rows_ = true;
+    totals_history_.sample(totals(), now);
 }
 
-void quarter_store::implementation::drop_finished()
+void quarter_store::implementation::erase_finished_rows()
 {
-    std::erase_if(own_,
+    std::erase_if(own_rows_,
                   [this](auto const& each)
                   {
-                      return each.first.life != life_ &&
+                      return each.first.incarnation_number !=
+                                 incarnation_number_ &&
                              each.second.ledger.idle() &&
-                             !each.second.ledger.unwritten();
+                             !each.second.ledger.has_unwritten_changes();
                   });
 }
 
-void quarter_store::implementation::sum_others()
+void quarter_store::implementation::sum_other_rows()
 {
-    others_.clear();
-    for (found_row const& row : found_)
-        if (row.key.quarter == quarter_ && !is_own(row.key))
-            add(others_, row.held.totals);
+    other_totals_.clear();
+    for (scanned_row const& row : scanned_rows_)
+        if (row.key.quarter == quarter_ && !is_own_row(row.key))
+            add(other_totals_, row.stored_row.totals);
 }
 
-void quarter_store::implementation::fold(time_point now, action_list& actions)
+void quarter_store::implementation::fold_ended_rows(time_point now,
+                                                    action_list& actions)
 {
-    if (!folds_ || !may_fold_ || !fold_.none())
+    if (!folding_enabled_ || !fold_pending_ || !fold_operation_.none())
         return;
-    may_fold_ = false;
+    fold_pending_ = false;
     std::set<std::string> quarters;
-    for (found_row const& row : found_)
+    for (scanned_row const& row : scanned_rows_)
         quarters.insert(row.key.quarter);
     for (std::string const& quarter : quarters)
     {
-        auto const rows = foldable(quarter);
+        auto const rows = foldable_rows(quarter);
         if (rows.empty())
             continue;
         quarter_key const sum_key{quarter, {}, {}};
@@ -348,36 +363,37 @@
         // would add it twice. A transaction takes effect only on the very rows
         // that were read, and the first one changes all of them.
         table_transaction change{{{sum_key.str(), row_version()}}, {}};
-        for (found_row const& row : found_)
+        for (scanned_row const& row : scanned_rows_)
             if (row.key == sum_key)
             {
-                sum = row.held;
+                sum = row.stored_row;
                 change.conditions.front().version = row.raw.version;
             }
-        for (found_row const* const row : rows)
+        for (scanned_row const* const row : rows)
         {
-            add(sum.totals, row->held.totals);
+            add(sum.totals, row->stored_row.totals);
             change.conditions.push_back({row->raw.key, row->raw.version});
             change.writes.push_back({row->raw.key, std::nullopt});
         }
         change.writes.push_back({sum_key.str(), encode(sum)});
-        fold_ = ids_->next_operation();
-        actions.push_back(
-            transact{fold_, std::move(change), now + settings_.table_timeout});
+        fold_operation_ = ids_->next_operation();
+        actions.push_back(transact{fold_operation_, std::move(change),
+                                   now + settings_.table_timeout});
         return;
     }
 }
 
-std::vector<quarter_store::implementation::found_row const*>
-quarter_store::implementation::foldable(std::string const& quarter) const
+std::vector<quarter_store::implementation::scanned_row const*>
+quarter_store::implementation::foldable_rows(std::string const& quarter) const
 {
-    std::vector<found_row const*> rows;
-    for (found_row const& row : found_)
+    std::vector<scanned_row const*> rows;
+    for (scanned_row const& row : scanned_rows_)
     {
-        if (rows.size() == settings_.folds_at_once)
+        if (rows.size() == settings_.max_rows_per_fold)
             break;
         if (row.key.quarter == quarter && !row.key.is_sum() &&
-            !is_own(row.key) && life_is_over_(row.key.vm, row.key.life))
+            !is_own_row(row.key) &&
+            incarnation_ended_(row.key.vm, row.key.incarnation_number))
             rows.push_back(&row);
     }
     return rows;
@@ -385,8 +401,8 @@
 
 quarter_totals quarter_store::implementation::totals() const
 {
-    quarter_totals sum = others_;
-    for (auto const& [key, row] : own_)
+    quarter_totals sum = other_totals_;
+    for (auto const& [key, row] : own_rows_)
         if (key.quarter == quarter_)
             add(sum, row.ledger.totals());
     return sum;
@@ -398,18 +414,20 @@
     std::vector<target_standing> result;
     if (!configuration_)
         return result;
-    quarter_totals const made = was_read_ ? totals() : quarter_totals();
-    quarter_totals const expected = pace_.at_end(made, now, ends_);
+    quarter_totals const current_totals =
+        has_read_rows_ ? totals() : quarter_totals();
+    quarter_totals const expected =
+        totals_history_.project_totals(current_totals, now, quarter_end_);
     for (target_declaration const& target : configuration_->targets)
-        result.push_back(standing_of(target, made, expected));
+        result.push_back(evaluate_target(target, current_totals, expected));
     return result;
 }
 
 quarter_store::quarter_store(
     quarter_settings settings, id_source& ids,
-    std::function<bool(vm_id const&, incarnation)> life_is_over)
-    : implementation_(std::make_unique<implementation>(std::move(settings), ids,
-                                                       std::move(life_is_over)))
+    std::function<bool(vm_id const&, incarnation)> incarnation_ended)
+    : implementation_(std::make_unique<implementation>(
+          std::move(settings), ids, std::move(incarnation_ended)))
 {
 }
 
@@ -420,20 +438,20 @@
     implementation_->configure(std::move(configuration));
 }
 
-void quarter_store::set_life(incarnation life)
+void quarter_store::set_incarnation(incarnation incarnation_number)
 {
-    implementation_->set_life(life);
+    implementation_->set_incarnation(incarnation_number);
 }
 
-void quarter_store::set_folds(bool folds)
+void quarter_store::set_folding_enabled(bool folding_enabled)
 {
-    implementation_->set_folds(folds);
+    implementation_->set_folding_enabled(folding_enabled);
 }
 
-void quarter_store::set_quarter(std::string name, time_point ends,
+void quarter_store::set_quarter(std::string name, time_point quarter_end,
                                 time_point now)
 {
-    implementation_->set_quarter(std::move(name), ends, now);
+    implementation_->set_quarter(std::move(name), quarter_end, now);
 }
 
 void quarter_store::count_answer(application_id const& application,
--- a/src/quarter_store.hpp
+++ b/src/quarter_store.hpp
@@ -64,16 +64,17 @@
     /// After a write that was not answered, and between those of a flush.
     duration retry_interval = std::chrono::milliseconds(250);
     /// Rows folded by one transaction; there is one a read interval.
-    std::size_t folds_at_once = 16;
+    std::size_t max_rows_per_fold = 16;
 };
 
 /// Thread safety: none; owned by the decision core.
 class quarter_store
 {
 public:
-    /// `life_is_over` tells whether a life of a VM has ended for certain.
-    quarter_store(quarter_settings settings, id_source& ids,
-                  std::function<bool(vm_id const&, incarnation)> life_is_over);
+    /// `incarnation_ended` tells whether a life of a VM has ended for certain.
+    quarter_store(
+        quarter_settings settings, id_source& ids,
+        std::function<bool(vm_id const&, incarnation)> incarnation_ended);
     ~quarter_store();
     quarter_store(quarter_store const&) = delete;
     quarter_store& operator=(quarter_store const&) = delete;
@@ -83,14 +84,14 @@
     void configure(std::shared_ptr<declaration const> configuration);
     /// The life that counts from now on; what was counted before goes into
     /// the row of the earlier one.
-    void set_life(incarnation life);
+    void set_incarnation(incarnation incarnation_number);
     /// Whether this VM folds. One VM does, to save the table conflicts; two at
     /// once do no harm.
-    void set_folds(bool folds);
+    void set_folding_enabled(bool folding_enabled);
     /// The calendar comes from the shell: the quarter's name (2026-Q4) and
     /// the moment of its end on this process's clock. Nothing is counted
     /// before the first call.
-    void set_quarter(std::string name, time_point ends, time_point now);
+    void set_quarter(std::string name, time_point quarter_end, time_point now);
 
     /// A request of an application was answered whole, after `took`; or
     /// failed through no fault of the caller (nothing for `took`).
--- a/src/vm_core.cpp
+++ b/src/vm_core.cpp
@@ -519,7 +519,7 @@
     else if (quarter_.knows(event.operation))
         quarter_.on_table(event, now, actions);
     services_.set_life(ownership_.life());
-    quarter_.set_life(ownership_.life());
+    quarter_.set_incarnation(ownership_.life());
 }
 
 void vm_core::on(object_reply const& event, time_point now,
--- a/src/vm_core_counts.cpp
+++ b/src/vm_core_counts.cpp
@@ -40,7 +40,7 @@
         next_usage_ = now + usage_interval;
         for (worker_dispatcher* one : all_dispatchers())
             count_usage(*one, now);
-        quarter_.set_folds(folds_rows());
+        quarter_.set_folding_enabled(folds_rows());
     }
     quarter_.tick(now, actions);
 }
--- a/tests/quarter_store_test.cpp
+++ b/tests/quarter_store_test.cpp
@@ -47,22 +47,23 @@
 using schedule = std::vector<fault>;
 
 constexpr std::size_t vms = 3;
-constexpr auto busy_time = 60s;
+constexpr auto fault_phase = 60s;
 /// The latest write lands, then every row is read and folded.
-constexpr auto recovery = 75s;
+constexpr auto recovery_time = 75s;
 constexpr auto write_delay = 18s;
 
 rc::Gen<schedule> any_schedule(std::vector<fault_kind> const& kinds)
 {
-    auto const span = [](int least, int most)
+    auto const span = [](int min_seconds, int max_seconds)
     {
-        return rc::gen::map(rc::gen::inRange(least, most), [](int count)
+        return rc::gen::map(rc::gen::inRange(min_seconds, max_seconds),
+                            [](int count)
                             { return std::chrono::seconds(count); });
     };
     auto const one = rc::gen::build<fault>(
         rc::gen::set(&fault::kind, rc::gen::elementOf(kinds)),
         rc::gen::set(&fault::vm, rc::gen::inRange<std::size_t>(0, vms)),
-        rc::gen::set(&fault::at, span(0, busy_time.count())),
+        rc::gen::set(&fault::at, span(0, fault_phase.count())),
         rc::gen::set(&fault::length, span(1, 15)));
     return rc::gen::mapcat(rc::gen::inRange<std::size_t>(1, 9),
                            [one](std::size_t count) {
@@ -70,10 +71,10 @@
                            });
 }
 
-std::vector<fault_kind> const clear_faults{
+std::vector<fault_kind> const unambiguous_faults{
     fault_kind::crash, fault_kind::register_anew, fault_kind::refused,
     fault_kind::lagging_reads};
-std::vector<fault_kind> const faults_of_one_life{
+std::vector<fault_kind> const faults_without_reregistration{
     fault_kind::crash,      fault_kind::refused, fault_kind::lagging_reads,
     fault_kind::down,       fault_kind::cut_off, fault_kind::lost_answers,
     fault_kind::late_writes};
@@ -82,7 +83,7 @@
     fault_kind::lagging_reads, fault_kind::down,          fault_kind::cut_off,
     fault_kind::lost_answers,  fault_kind::late_writes};
 
-void begin(quarter_world& world, fault const& one)
+void apply_process_fault(quarter_world& world, fault const& one)
 {
     if (one.kind == fault_kind::crash)
         world.crash(one.vm);
@@ -93,9 +94,9 @@
 void set_faults(quarter_world& world, schedule const& faults,
                 std::chrono::seconds at)
 {
-    auto const lasts = [&](fault_kind kind, std::size_t vm)
+    auto const is_active = [&](fault_kind kind, std::size_t vm)
     {
-        return std::any_of(faults.begin(), faults.end(),
+        return std::any_of(faults.apply_process_fault(), faults.end(),
                            [&](fault const& one)
                            {
                                return one.kind == kind && at >= one.at &&
@@ -104,49 +105,50 @@
                            });
     };
     fake_table& table = world.table();
-    table.refuse(lasts(fault_kind::refused, vms));
-    table.lag_reads(lasts(fault_kind::lagging_reads, vms) ? duration(20s)
-                                                          : duration(0));
-    table.set_down(lasts(fault_kind::down, vms));
-    table.lose_answers(lasts(fault_kind::lost_answers, vms));
-    table.delay_writes(lasts(fault_kind::late_writes, vms)
+    table.refuse(is_active(fault_kind::refused, vms));
+    table.lag_reads(is_active(fault_kind::lagging_reads, vms) ? duration(20s)
+                                                              : duration(0));
+    table.set_down(is_active(fault_kind::down, vms));
+    table.lose_answers(is_active(fault_kind::lost_answers, vms));
+    table.delay_writes(is_active(fault_kind::late_writes, vms)
                            ? duration(write_delay)
                            : duration(0));
     for (std::size_t vm = 0; vm < vms; ++vm)
         table.set_reachable(vm_id("vm-" + std::to_string(vm)),
-                            !lasts(fault_kind::cut_off, vm));
+                            !is_active(fault_kind::cut_off, vm));
 }
 
 /// Lets the world live through the schedule and settle.
-void live_through(quarter_world& world, schedule const& faults)
+void run_schedule(quarter_world& world, schedule const& faults)
 {
-    for (auto at = 0s; at < busy_time; at += 1s)
+    for (auto at = 0s; at < fault_phase; at += 1s)
     {
         set_faults(world, faults, at);
-        if (at == busy_time / 2)
+        if (at == fault_phase / 2)
             world.begin_quarter("2027-Q1");
         for (fault const& one : faults)
             if (one.at == at)
-                begin(world, one);
+                apply_process_fault(world, one);
         for (std::size_t vm = 0; vm < vms; ++vm)
-            world.answer(vm, (static_cast<std::uint64_t>(at.count()) + vm) % 3);
+            world.count_answers(
+                vm, (static_cast<std::uint64_t>(at.count()) + vm) % 3);
         world.run(1s);
     }
-    set_faults(world, {}, busy_time);
-    world.run(recovery);
+    set_faults(world, {}, fault_phase);
+    world.run(recovery_time);
 }
 
-constexpr std::uint64_t most_seeds = 20;
+constexpr std::uint64_t max_seeds = 20;
 
 /// Whether one of some seeds shows a mutant to count twice or to lose.
-bool found(store_mutant mutant, schedule const& faults)
+bool is_mutant_detected(store_mutant mutant, schedule const& faults)
 {
-    for (std::uint64_t seed = 1; seed <= most_seeds; ++seed)
+    for (std::uint64_t seed = 1; seed <= max_seeds; ++seed)
     {
         quarter_world world(vms, seed, mutant);
-        live_through(world, faults);
+        run_schedule(world, faults);
         if (world.stored() > world.counted() ||
-            world.stored() + world.lost_at_most() < world.counted())
+            world.stored() + world.max_lost() < world.counted())
             return true;
     }
     return false;
@@ -157,16 +159,16 @@
 {
     quarter_world world(2, 1, mutant);
     world.table().delay_writes(write_delay);
-    world.answer(0, 10);
+    world.count_answers(0, 10);
     world.run(2s);
     world.table().delay_writes(duration(0));
     world.run(8s);
     world.crash(0);
-    world.run(recovery);
+    world.run(recovery_time);
     return world.stored();
 }
 
-target_standing only(std::vector<target_standing> const& all)
+target_standing sole_standing(std::vector<target_standing> const& all)
 {
     REQUIRE(all.size() == 1);
     return all.front();
@@ -181,7 +183,7 @@
         {
             schedule const faults = *any_schedule(all_faults);
             quarter_world world(vms, seed, store_mutant::none);
-            live_through(world, faults);
+            run_schedule(world, faults);
             RC_ASSERT(world.stored() <= world.counted());
         }));
 }
@@ -191,13 +193,14 @@
     CHECK(rc::check(
         [](std::uint64_t seed)
         {
-            schedule const faults = *any_schedule(faults_of_one_life);
+            schedule const faults =
+                *any_schedule(faults_without_reregistration);
             quarter_world world(vms, seed, store_mutant::none);
-            live_through(world, faults);
+            run_schedule(world, faults);
             RC_ASSERT(world.stored() <= world.counted());
-            RC_ASSERT(world.stored() + world.lost_at_most() >= world.counted());
+            RC_ASSERT(world.stored() + world.max_lost() >= world.counted());
             // One row for each VM and quarter: all others were folded.
-            RC_ASSERT(world.life_rows() <= 2 * vms);
+            RC_ASSERT(world.incarnation_rows() <= 2 * vms);
         }));
 }
 
@@ -207,11 +210,11 @@
     CHECK(rc::check(
         [](std::uint64_t seed)
         {
-            schedule const faults = *any_schedule(clear_faults);
+            schedule const faults = *any_schedule(unambiguous_faults);
             quarter_world world(vms, seed, store_mutant::none);
-            live_through(world, faults);
+            run_schedule(world, faults);
             RC_ASSERT(world.stored() <= world.counted());
-            RC_ASSERT(world.stored() + world.lost_at_most() >= world.counted());
+            RC_ASSERT(world.stored() + world.max_lost() >= world.counted());
         }));
 }
 
@@ -224,8 +227,8 @@
                           {fault_kind::crash, 1, 24s, 1s},
                           {fault_kind::crash, 0, 31s, 1s},
                           {fault_kind::lagging_reads, 0, 15s, 30s}};
-    CHECK_FALSE(found(store_mutant::none, faults));
-    CHECK(found(store_mutant::unconditional_folds, faults));
+    CHECK_FALSE(is_mutant_detected(store_mutant::none, faults));
+    CHECK(is_mutant_detected(store_mutant::unconditional_folds, faults));
 }
 
 TEST_CASE("a write without its condition is found", "[quarter]")
@@ -235,8 +238,8 @@
     // next fold counts it once more.
     schedule const faults{{fault_kind::late_writes, 0, 10s, 6s},
                           {fault_kind::crash, 0, 17s, 1s}};
-    CHECK_FALSE(found(store_mutant::none, faults));
-    CHECK(found(store_mutant::unconditional_writes, faults));
+    CHECK_FALSE(is_mutant_detected(store_mutant::none, faults));
+    CHECK(is_mutant_detected(store_mutant::unconditional_writes, faults));
 }
 
 TEST_CASE("a create that holds counts is found", "[quarter]")
@@ -251,27 +254,27 @@
 TEST_CASE("the last counts of a quarter go into its row", "[quarter]")
 {
     quarter_world world(1, 1, store_mutant::none);
-    world.answer(0, 5);
+    world.count_answers(0, 5);
     world.run(7s);
-    world.answer(0, 2);
+    world.count_answers(0, 2);
     world.begin_quarter("2027-Q1");
-    world.answer(0, 4);
+    world.count_answers(0, 4);
     world.run(15s);
     CHECK(world.stored("2026-Q4") == 7);
     CHECK(world.stored("2027-Q1") == 4);
-    CHECK(only(world.store(0).standings(world.now())).counted == 4);
+    CHECK(sole_standing(world.store(0).standings(world.now())).counted == 4);
 }
 
 TEST_CASE("a clock set back and forth loses no counts", "[quarter]")
 {
     quarter_world world(1, 1, store_mutant::none);
-    world.answer(0, 5);
+    world.count_answers(0, 5);
     world.run(12s);
     world.begin_quarter("2027-Q1");
-    world.answer(0, 1);
+    world.count_answers(0, 1);
     world.run(12s);
     world.begin_quarter("2026-Q4");
-    world.answer(0, 2);
+    world.count_answers(0, 2);
     world.run(12s);
     CHECK(world.stored("2026-Q4") == 7);
     CHECK(world.stored("2027-Q1") == 1);
@@ -282,9 +285,9 @@
     // The VM ends as soon as flushed() says so. What was not in the table by
     // then would be lost at each graceful shutdown.
     quarter_world world(1, 1, store_mutant::none);
-    world.answer(0, 3);
+    world.count_answers(0, 3);
     world.run(6s);
-    world.answer(0, 4);
+    world.count_answers(0, 4);
     world.table().lose_answers(true);
     world.flush(0);
     world.run(3s);
@@ -298,14 +301,14 @@
 TEST_CASE("a restarted VM shows the quarter of all", "[quarter]")
 {
     quarter_world world(2, 1, store_mutant::none);
-    world.answer(0, 30);
-    world.answer(1, 70);
+    world.count_answers(0, 30);
+    world.count_answers(1, 70);
     world.run(12s);
     world.crash(0);
-    CHECK_FALSE(only(world.store(0).standings(world.now())).reached);
+    CHECK_FALSE(sole_standing(world.store(0).standings(world.now())).reached);
     world.run(25s);
-    CHECK(only(world.store(0).standings(world.now())).counted == 100);
-    CHECK(only(world.store(1).standings(world.now())).counted == 100);
+    CHECK(sole_standing(world.store(0).standings(world.now())).counted == 100);
+    CHECK(sole_standing(world.store(1).standings(world.now())).counted == 100);
 }
 
 TEST_CASE("the budget and the forecast say when a target is at risk",
@@ -314,20 +317,20 @@
     // 1000 requests in time, then one late in four: the share to date is still
     // met when the pace says that the quarter will not be.
     quarter_world world(1, 1, store_mutant::none);
-    world.answer(0, 1000);
+    world.count_answers(0, 1000);
     world.run(12s);
-    auto const first = only(world.store(0).standings(world.now()));
+    auto const first = sole_standing(world.store(0).standings(world.now()));
     CHECK(first.left == 100);
     CHECK(first.forecast == 1.0);
     CHECK_FALSE(first.at_risk);
     for (int at = 0; at < 60; ++at)
     {
-        world.answer(0, 3);
+        world.count_answers(0, 3);
         world.store(0).count_answer(
             notes, at % 2 == 0 ? std::optional(duration(900ms)) : std::nullopt);
         world.run(1s);
     }
-    auto const second = only(world.store(0).standings(world.now()));
+    auto const second = sole_standing(world.store(0).standings(world.now()));
     CHECK(second.counted == 1240);
     CHECK(second.left == 124 - 60);
     CHECK(*second.reached > 0.95);
@@ -341,11 +344,11 @@
           "[quarter]")
 {
     quarter_world world(1, 1, store_mutant::none);
-    world.answer(0, 8);
+    world.count_answers(0, 8);
     world.store(0).count_withdrawn(notes, notes_bound - 1ms);
     world.store(0).count_withdrawn(notes, notes_bound + 1ms);
     world.run(12s);
-    auto const standing = only(world.store(0).standings(world.now()));
+    auto const standing = sole_standing(world.store(0).standings(world.now()));
     CHECK(standing.counted == 9);
     CHECK(*standing.reached == Approx(8.0 / 9));
     CHECK(world.stored() == 10);
@@ -361,7 +364,7 @@
                       {notes, target_measure::batch_efficiency, {}, 0.5}}));
     time_point const start(1h);
     store.set_quarter("2026-Q4", start + 24h, start);
-    store.set_life(incarnation(1));
+    store.set_incarnation(incarnation(1));
     action_list actions;
     store.tick(start, actions);
     REQUIRE(actions.size() == 1);
--- a/tests/quarter_world.cpp
+++ b/tests/quarter_world.cpp
@@ -38,7 +38,7 @@
     {
         vm one;
         one.id = vm_id("vm-" + std::to_string(at));
-        one.life = incarnation(1);
+        one.incarnation_number = incarnation(1);
         vms_.push_back(std::move(one));
     }
     for (vm& one : vms_)
@@ -56,14 +56,14 @@
     settings.vm = one.id;
     one.store = std::make_unique<quarter_store>(
         settings, *one.ids,
-        [this](vm_id const& who, incarnation life) {
-            return over_.contains({who, life});
+        [this](vm_id const& who, incarnation incarnation_number) {
+            return ended_incarnations_.contains({who, incarnation_number});
         });
     one.store->configure(with_targets(
         {{notes, target_measure::answered_within, notes_bound, 0.9}}));
-    one.store->set_life(one.life);
+    one.store->set_incarnation(one.incarnation_number);
     // All fold, so that they race.
-    one.store->set_folds(true);
+    one.store->set_folding_enabled(true);
     one.store->set_quarter(quarter_, time_.now() + 24h, time_.now());
 }
 
@@ -81,29 +81,29 @@
     time_.after(step, [this] { tick(); });
 }
 
-void quarter_world::mutate(vm const& one, transact& what) const
+void quarter_world::mutate(vm const& one, transact& request) const
 {
-    bool const folds = what.transaction.writes.size() > 1;
-    table_write& first = what.transaction.writes.front();
-    if (mutant_ == store_mutant::creates_with_counts && !folds &&
-        what.transaction.conditions.front().version.none())
+    bool const is_fold = request.transaction.writes.size() > 1;
+    table_write& first = request.transaction.writes.front();
+    if (mutant_ == store_mutant::creates_with_counts && !is_fold &&
+        request.transaction.conditions.front().version.none())
     {
         quarter_row row = *decode_quarter_row(*first.value);
         row.totals[notes].requests = one.counted.at(first.key);
         first.value = encode(row);
     }
-    if (folds ? mutant_ == store_mutant::unconditional_folds
-              : mutant_ == store_mutant::unconditional_writes)
-        what.transaction.conditions.clear();
+    if (is_fold ? mutant_ == store_mutant::unconditional_folds
+                : mutant_ == store_mutant::unconditional_writes)
+        request.transaction.conditions.clear();
 }
 
-void quarter_world::perform(vm& one, action what)
+void quarter_world::perform(vm& one, action request)
 {
     std::string key;
     std::uint64_t requests = 0;
     operation_id operation;
     time_point deadline{};
-    if (auto* const change = std::get_if<transact>(&what))
+    if (auto* const change = std::get_if<transact>(&request))
     {
         mutate(one, *change);
         table_write const& first = change->transaction.writes.front();
@@ -113,8 +113,8 @@
         deadline = change->deadline;
     }
     auto const answered = std::make_shared<bool>(false);
-    auto const hear = [this, &one, key, requests, answered,
-                       process = one.process](table_reply const& reply)
+    auto const deliver_reply = [this, &one, key, requests, answered,
+                                process = one.process](table_reply const& reply)
     {
         if (std::exchange(*answered, true) || one.process != process)
             return;
@@ -123,19 +123,20 @@
         action_list none;
         one.store->on_table(reply, time_.now(), none);
     };
-    table_.submit(one.id, what, hear);
+    table_.submit(one.id, request, deliver_reply);
     // The fake answers for a write that it holds back only when that lands.
     if (!operation.none())
         time_.at(deadline,
-                 [hear, operation] {
-                     hear({operation, table_outcome::unreachable, {}});
+                 [deliver_reply, operation] {
+                     deliver_reply({operation, table_outcome::unreachable, {}});
                  });
 }
 
-void quarter_world::answer(std::size_t at, std::uint64_t count)
+void quarter_world::count_answers(std::size_t at, std::uint64_t count)
 {
     vm& one = vms_.at(at);
-    std::string const key = quarter_key{quarter_, one.id, one.life}.str();
+    std::string const key =
+        quarter_key{quarter_, one.id, one.incarnation_number}.str();
     for (std::uint64_t each = 0; each < count; ++each)
         one.store->count_answer(notes, 100ms);
     one.counted[key] += count;
@@ -146,18 +147,18 @@
 {
     vm& one = vms_.at(at);
     for (auto const& [key, count] : one.counted)
-        lost_at_most_ += count - std::min(count, one.acknowledged[key]);
-    over_.insert({one.id, one.life});
-    one.life = incarnation(one.life.value() + 1);
+        max_lost_ += count - std::min(count, one.acknowledged[key]);
+    ended_incarnations_.insert({one.id, one.incarnation_number});
+    one.incarnation_number = incarnation(one.incarnation_number.value() + 1);
     start(one);
 }
 
 void quarter_world::register_anew(std::size_t at)
 {
     vm& one = vms_.at(at);
-    over_.insert({one.id, one.life});
-    one.life = incarnation(one.life.value() + 1);
-    one.store->set_life(one.life);
+    ended_incarnations_.insert({one.id, one.incarnation_number});
+    one.incarnation_number = incarnation(one.incarnation_number.value() + 1);
+    one.store->set_incarnation(one.incarnation_number);
 }
 
 void quarter_world::begin_quarter(std::string const& name)
@@ -177,7 +178,7 @@
     return sum;
 }
 
-std::size_t quarter_world::life_rows()
+std::size_t quarter_world::incarnation_rows()
 {
     auto const rows = table_.rows(quarter_prefix);
     return static_cast<std::size_t>(
--- a/tests/quarter_world.hpp
+++ b/tests/quarter_world.hpp
@@ -40,7 +40,7 @@
     quarter_world(std::size_t vms, std::uint64_t seed, store_mutant mutant);
 
     void run(duration span) { time_.run_until(time_.now() + span); }
-    void answer(std::size_t vm, std::uint64_t count);
+    void count_answers(std::size_t vm, std::uint64_t count);
     /// The process ends; another life of the VM begins.
     void crash(std::size_t vm);
     /// The others took the life to be over, and the process goes on in a new
@@ -55,16 +55,16 @@
     time_point now() const { return time_.now(); }
     std::uint64_t counted() const { return counted_; }
     /// Counted by lives that crashed and not acknowledged to them.
-    std::uint64_t lost_at_most() const { return lost_at_most_; }
+    std::uint64_t max_lost() const { return max_lost_; }
     /// The requests in all rows of a quarter, or of all.
     std::uint64_t stored(std::string const& quarter = "");
-    std::size_t life_rows();
+    std::size_t incarnation_rows();
 
 private:
     struct vm
     {
         vm_id id;
-        incarnation life;
+        incarnation incarnation_number;
         int process = 0;
         bool leaving = false;
         std::unique_ptr<id_source> ids;
@@ -76,17 +76,17 @@
 
     void start(vm& one);
     void tick();
-    void perform(vm& one, action what);
-    void mutate(vm const& one, transact& what) const;
+    void perform(vm& one, action request);
+    void mutate(vm const& one, transact& request) const;
 
     virtual_time time_;
     fake_table table_;
     store_mutant mutant_;
     std::string quarter_ = "2026-Q4";
     std::vector<vm> vms_;
-    std::set<std::pair<vm_id, incarnation>> over_;
+    std::set<std::pair<vm_id, incarnation>> ended_incarnations_;
     std::uint64_t counted_ = 0;
-    std::uint64_t lost_at_most_ = 0;
+    std::uint64_t max_lost_ = 0;
 };
 
 } // namespace mulberry::tests
