--- a/src/calendar_quarter.hpp
+++ b/src/calendar_quarter.hpp
@@ -10,15 +10,15 @@
 
 struct calendar_quarter
 {
-    /// 2026-Q4.
+    /// For example 2026-Q4.
     std::string name;
-    /// The first moment of the next one.
+    /// Start of the next quarter.
     std::chrono::sys_seconds ends;
     friend bool operator==(calendar_quarter const&,
                            calendar_quarter const&) = default;
 };
 
-/// The quarter that the moment lies in.
+/// The quarter that contains the moment.
 calendar_quarter quarter_of(std::chrono::system_clock::time_point moment);
 
 } // namespace mulberry
--- a/src/quarter_counts.hpp
+++ b/src/quarter_counts.hpp
@@ -1,4 +1,4 @@
-/// What counts towards the quarterly targets, by application.
+/// Counts towards the quarterly targets, per application.
 #ifndef MULBERRY_QUARTER_COUNTS_HPP
 #define MULBERRY_QUARTER_COUNTS_HPP
 
@@ -11,8 +11,8 @@
 namespace mulberry
 {
 
-/// Requests ended since a bound was declared, and those of them that were
-/// answered whole within it. Value.
+/// The number of requests that ended since a bound was declared, and how many
+/// of them were answered completely within the bound. Value.
 struct bound_counts
 {
     std::uint64_t counted = 0;
@@ -20,13 +20,14 @@
     friend bool operator==(bound_counts const&, bound_counts const&) = default;
 };
 
-/// Totals of one application that only rise. Value.
+/// Monotonically increasing totals of one application. Value.
 struct quarter_counts
 {
     std::uint64_t requests = 0;
     std::uint64_t stalled = 0;
-    /// By the bound of each target. Each counts from its own declaration on:
-    /// set in mid-quarter, it is not held against requests of before.
+    /// Counts per bound of an answered_within target. Each bound counts from
+    /// its own declaration on, so that a bound declared in mid-quarter does not
+    /// apply to earlier requests.
     std::map<duration, bound_counts> bounds;
     duration busy_slot_time{};
     duration open_slot_time{};
@@ -36,9 +37,10 @@
 
 using quarter_totals = std::map<application_id, quarter_counts>;
 
+/// Adds `more` to `sum`.
 void add(quarter_totals& sum, quarter_totals const& more);
 
-/// What `later` has beyond `earlier`; no count falls below 0.
+/// Returns `later` minus `earlier`; counts that would be negative become 0.
 quarter_totals difference(quarter_totals const& later,
                           quarter_totals const& earlier);
 
--- a/src/quarter_forecast.cpp
+++ b/src/quarter_forecast.cpp
@@ -10,10 +10,11 @@
 
 constexpr duration sample_interval = std::chrono::minutes(1);
 constexpr duration sample_window = std::chrono::hours(1);
-/// Less than this tells no pace.
+/// A shorter span is too short to compute a rate.
 constexpr duration min_sample_span = std::chrono::seconds(10);
 constexpr double at_risk_budget_fraction = 0.1;
-/// Sums of shares are a little off; a target met exactly is met.
+/// Tolerates floating-point rounding, so that a target met exactly counts as
+/// met.
 constexpr double rounding_tolerance = 1e-9;
 
 double seconds(duration span)
@@ -21,7 +22,7 @@
     return std::chrono::duration<double>(span).count();
 }
 
-/// A target's share as a fraction.
+/// A target's share as a fraction; no data if the denominator is 0.
 struct ratio
 {
     double numerator = 0;
--- a/src/quarter_forecast.hpp
+++ b/src/quarter_forecast.hpp
@@ -1,4 +1,4 @@
-/// Where targets stand, and where they will at the quarter's end.
+/// Progress towards targets to date, and projected to the end of the quarter.
 #ifndef MULBERRY_QUARTER_FORECAST_HPP
 #define MULBERRY_QUARTER_FORECAST_HPP
 
@@ -11,15 +11,17 @@
 namespace mulberry
 {
 
-/// Samples of the deployment's totals over the last hour. Thread safety: none.
+/// Samples of the deployment's totals over the last hour, for projections.
+/// Thread safety: none.
 class totals_history
 {
 public:
-    /// Remembers the totals, at most once a minute.
+    /// Records the totals, at most once a minute.
     void sample(quarter_totals const& totals, time_point now);
     void clear() { samples_.clear(); }
-    /// What the totals will be at `ends` if the pace since the oldest sample
-    /// goes on; as they are where there is nothing to tell a pace from.
+    /// Projects the totals to `quarter_end` at the average rate since the
+    /// oldest sample. Returns `totals` unchanged if the samples span too little
+    /// time to compute a rate, or if the quarter has ended.
     quarter_totals project_totals(quarter_totals const& totals, time_point now,
                                   time_point quarter_end) const;
 
@@ -32,7 +34,8 @@
     std::deque<timed_totals> samples_;
 };
 
-/// `expected` are the totals at the quarter's end.
+/// Computes the standing of a target. `expected` are the projected totals at
+/// the end of the quarter.
 target_standing evaluate_target(target_declaration const& target,
                                 quarter_totals const& totals,
                                 quarter_totals const& expected);
--- a/src/quarter_ledger.cpp
+++ b/src/quarter_ledger.cpp
@@ -55,7 +55,7 @@
     case table_outcome::conflict:
         return on_conflict(key, reply);
     case table_outcome::unreachable:
-        // Whether it took effect is learnt from the next write's conflict.
+        // A conflict of the next write shows whether this write took effect.
         return record_possible_write();
     case table_outcome::refused:
         return;
@@ -87,8 +87,8 @@
         row ? decode_quarter_row(row->value) : std::nullopt;
     if (creating_)
     {
-        // An earlier create of this ledger took effect. All its writes since
-        // the row was last known are creates, so none of them is a count.
+        // An earlier create of this ledger took effect. All writes since the
+        // row's version was last known are creates, so none contains counts.
         if (stored_row)
         {
             version_ = row->version;
@@ -103,15 +103,16 @@
         max_totals_in_row_ = stored_row->totals;
         return;
     }
-    // The row is gone, or one stands there that a late create left.
+    // The row was deleted, or a delayed create has recreated it.
     on_row_folded();
 }
 
 void quarter_ledger::on_row_folded()
 {
-    // Another VM took this life to be over. Its sum holds what the row held:
-    // the last answered write or a later one that was not answered. Were too
-    // little taken off, requests would count twice; so the most is.
+    // Another VM considered this incarnation ended and folded the row. The sum
+    // now includes the row's totals: those of the last answered write or of a
+    // later unanswered write. Subtract the larger totals, because subtracting
+    // too little would count requests twice.
     totals_ = difference(totals_, max_totals_in_row_);
     max_totals_in_row_.clear();
     version_ = row_version();
--- a/src/quarter_ledger.hpp
+++ b/src/quarter_ledger.hpp
@@ -1,4 +1,4 @@
-/// What one life of a VM counted in one quarter, and the writing of its row.
+/// Counts of one incarnation of a VM in one quarter, and the writes of its row.
 #ifndef MULBERRY_QUARTER_LEDGER_HPP
 #define MULBERRY_QUARTER_LEDGER_HPP
 
@@ -15,38 +15,42 @@
 namespace mulberry
 {
 
-/// Writes running totals, never increments: the same totals written twice
-/// count once. Each write names the version that it replaces, and versions are
-/// never used twice, so that a write whose answer was lost either takes effect
-/// before the next one or never.
+/// Writes running totals rather than increments, so that writes are idempotent.
+/// Each write is conditional on the row version that it replaces, and versions
+/// are never reused. A write whose answer was lost therefore takes effect
+/// before the next write or never.
 ///
-/// A row is created with no counts in it. A create names no version, so one
-/// that was lost on the way can take effect after the row was written and
-/// folded into the sum; counts in it would then be folded a second time.
+/// A row is created without counts. A create is conditional on no version, so
+/// that a delayed create can take effect after the row was written and folded
+/// into the sum; any counts in the create would then be folded a second time.
 ///
 /// Thread safety: none.
 class quarter_ledger
 {
 public:
-    /// The application's totals, to be raised by the caller.
+    /// The application's totals, for the caller to increase. Each call counts
+    /// as a change that must be written.
     quarter_counts& counts(application_id const& application);
-    /// What no fold has taken into the sum.
+    /// The totals that no fold has added to the sum row.
     quarter_totals const& totals() const { return totals_; }
 
     bool has_unwritten_changes() const { return changes_ != written_changes_; }
     /// Whether everything counted before mark_for_flush() is written.
     bool is_mark_written() const { return written_changes_ >= flush_mark_; }
-    /// Called once.
+    /// Marks the counts so far as those that a flush must write. Call once.
     void mark_for_flush() { flush_mark_ = changes_; }
 
     bool idle() const { return operation_.none(); }
     bool knows(operation_id operation) const { return operation_ == operation; }
-    /// Precondition: idle().
+    /// Starts a write of the totals, or of an empty row if the row's version is
+    /// unknown. Precondition: idle().
     void write(std::string const& key, operation_id operation,
                time_point deadline, action_list& actions);
-    /// Precondition: knows(reply.operation).
+    /// Handles the reply to the pending write. Precondition:
+    /// knows(reply.operation).
     void on_reply(std::string const& key, table_reply const& reply);
-    /// Whether the last write put its counts into the row for certain.
+    /// Whether the last write is known to have stored its counts in the row.
+    /// False after a create.
     bool last_write_confirmed() const { return last_write_confirmed_; }
 
 private:
@@ -60,21 +64,21 @@
     std::uint64_t written_changes_ = 0;
     std::uint64_t flush_mark_ = 0;
 
-    /// The row as last known; no version: to be created.
+    /// The row's last known version; empty if the row must be created.
     row_version version_;
-    /// The newest of this ledger's writes that is known to be over.
+    /// Number of this ledger's newest write whose outcome is known.
     std::uint64_t last_finished_write_ = 0;
     std::uint64_t last_write_ = 0;
     bool last_write_confirmed_ = true;
 
-    /// The write under way.
+    /// The pending write.
     operation_id operation_;
     bool creating_ = false;
     quarter_totals sent_totals_;
     std::uint64_t sent_changes_ = 0;
 
-    /// The most that the row can hold: a write that was answered, or a later
-    /// one that was not.
+    /// Upper bound of the totals in the row: those of the last answered write,
+    /// or of a later unanswered write.
     quarter_totals max_totals_in_row_;
 };
 
--- a/src/quarter_row.hpp
+++ b/src/quarter_row.hpp
@@ -1,4 +1,4 @@
-/// The table's rows of a quarter: their keys and their text.
+/// Keys and text format of a quarter's rows in the table.
 #ifndef MULBERRY_QUARTER_ROW_HPP
 #define MULBERRY_QUARTER_ROW_HPP
 
@@ -13,11 +13,11 @@
 namespace mulberry
 {
 
-/// All rows of all quarters begin with this.
+/// Key prefix of the rows of all quarters.
 inline constexpr char const* quarter_prefix = "quarter/";
 
-/// Names the row of a life (quarter/Q/VM/LIFE) or, without a VM, the row of
-/// all folded ones (quarter/Q/sum). Value.
+/// Key of the row of one incarnation (quarter/Q/VM/INCARNATION) or, if `vm` is
+/// empty, of the sum row, which holds all folded rows (quarter/Q/sum). Value.
 struct quarter_key
 {
     std::string quarter;
@@ -29,13 +29,14 @@
     friend auto operator<=>(quarter_key const&, quarter_key const&) = default;
 };
 
+/// Parses the output of quarter_key::str(). Returns nothing for other keys.
 std::optional<quarter_key> parse_quarter_key(std::string const& text);
 
-/// What such a row holds. Value.
+/// Contents of a row. Value.
 struct quarter_row
 {
-    /// Rises with each write of a life: tells the writes of one apart whose
-    /// answers were lost. 0 in a sum.
+    /// Increases with each write of an incarnation, to tell apart writes whose
+    /// answers were lost. 0 in a sum row.
     std::uint64_t write = 0;
     quarter_totals totals;
     friend bool operator==(quarter_row const&, quarter_row const&) = default;
@@ -43,7 +44,7 @@
 
 std::string encode(quarter_row const& row);
 
-/// None for anything that encode() does not write.
+/// Parses the output of encode(). Returns nothing for malformed text.
 std::optional<quarter_row> decode_quarter_row(std::string const& text);
 
 } // namespace mulberry
--- a/src/quarter_store.cpp
+++ b/src/quarter_store.cpp
@@ -47,7 +47,7 @@
     std::vector<target_standing> standings(time_point now) const;
 
 private:
-    /// A ledger and when it is next written.
+    /// A ledger and the time of its next write.
     struct own_row_state
     {
         quarter_ledger ledger;
@@ -79,13 +79,15 @@
     id_source* ids_;
     std::function<bool(vm_id const&, incarnation)> incarnation_ended_;
     std::shared_ptr<declaration const> configuration_;
-    /// The applications with targets, and the bounds of those.
+    /// The applications with targets, each with the bounds of its
+    /// answered_within targets.
     std::map<application_id, std::set<duration>> bounds_by_application_;
 
     incarnation incarnation_number_;
     std::string quarter_;
     time_point quarter_end_ = never;
-    /// A quarter that is over, or a life, stays until all of it is written.
+    /// Rows of this process. The row of an earlier incarnation stays until all
+    /// its counts are written; rows of ended quarters stay as well.
     std::map<quarter_key, own_row_state> own_rows_;
     bool folding_enabled_ = false;
     bool flushing_ = false;
@@ -93,11 +95,11 @@
     operation_id scan_operation_;
     time_point next_scan_at_{};
     operation_id fold_operation_;
-    /// The rows as last read; to be folded once.
+    /// The rows as last read. Each scan is used for one fold attempt at most.
     std::vector<scanned_row> scanned_rows_;
     bool fold_pending_ = false;
     bool has_read_rows_ = false;
-    /// Of the current quarter, all but this process's own rows.
+    /// Totals of the current quarter in all rows but this process's own.
     quarter_totals other_totals_;
     totals_history totals_history_;
 };
@@ -122,7 +124,8 @@
         return;
     if (incarnation_number_.none())
     {
-        // Counted before the first registration.
+        // Assign counts from before the first registration to this
+        // incarnation.
         std::map<quarter_key, own_row_state> renamed_rows;
         for (auto& [key, row] : own_rows_)
             renamed_rows.emplace(
@@ -231,7 +234,7 @@
     }
     if (reply.operation == fold_operation_)
     {
-        // Whatever became of it, the next read shows.
+        // The next scan shows whether the fold took effect.
         fold_operation_ = operation_id();
         return;
     }
@@ -299,7 +302,8 @@
         return;
     next_scan_at_ = now + settings_.read_interval;
     scan_operation_ = ids_->next_operation();
-    // Every quarter's: the last rows of one that is over are folded as well.
+    // Scan the rows of all quarters: the last rows of an ended quarter are
+    // folded as well.
     actions.push_back(scan_rows{scan_operation_, quarter_prefix,
                                 now + settings_.table_timeout});
 }
@@ -359,9 +363,10 @@
             continue;
         quarter_key const sum_key{quarter, {}, {}};
         quarter_row sum;
-        // Two VMs that fold the same row, or one that folds from an old read,
-        // would add it twice. A transaction takes effect only on the very rows
-        // that were read, and the first one changes all of them.
+        // Two VMs that fold the same row, or a VM that folds from a stale read,
+        // would add the row twice. The conditions let the transaction take
+        // effect only if all rows still have the versions that were read, and
+        // the first fold changes all of them.
         table_transaction change{{{sum_key.str(), row_version()}}, {}};
         for (scanned_row const& row : scanned_rows_)
             if (row.key == sum_key)
--- a/src/target_measure_text.hpp
+++ b/src/target_measure_text.hpp
@@ -1,4 +1,4 @@
-/// The names of the target measures, as in files and answers.
+/// Names of the target measures in declaration files and in HTTP answers.
 #ifndef MULBERRY_TARGET_MEASURE_TEXT_HPP
 #define MULBERRY_TARGET_MEASURE_TEXT_HPP
 
--- a/tests/quarter_store_test.cpp
+++ b/tests/quarter_store_test.cpp
@@ -96,7 +96,7 @@
 {
     auto const is_active = [&](fault_kind kind, std::size_t vm)
     {
-        return std::any_of(faults.apply_process_fault(), faults.end(),
+        return std::any_of(faults.begin(), faults.end(),
                            [&](fault const& one)
                            {
                                return one.kind == kind && at >= one.at &&
