--- a/tests/quarter_row_test.cpp
+++ b/tests/quarter_row_test.cpp
@@ -1,4 +1,5 @@
-// The rows of a quarter: what was written is read back, and nothing else is.
+// Checks that rows and keys of a quarter survive a round trip and that
+// malformed ones are rejected.
 #include "calendar_quarter.hpp"
 #include "quarter_row.hpp"
 
@@ -26,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("a row of the quarter is read back as it was written", "[quarter]")
+TEST_CASE("an encoded quarter row decodes to the same row", "[quarter]")
 {
     CHECK(rc::check(
         []
@@ -40,7 +41,7 @@
         }));
 }
 
-TEST_CASE("what is no row of the quarter is not taken for one", "[quarter]")
+TEST_CASE("malformed quarter rows and keys are rejected", "[quarter]")
 {
     char const* const bad_bounds = R"({"write":1,"applications":{"a":{
         "requests":1,"stalled":0,"busy_us":0,"open_us":0,
@@ -55,7 +56,8 @@
         CHECK_FALSE(parse_quarter_key(text));
 }
 
-TEST_CASE("keys of the quarter are read back, also odd ones", "[quarter]")
+TEST_CASE("quarter keys with slashes or a VM named sum parse and print back",
+          "[quarter]")
 {
     for (char const* const text :
          {"quarter/2026-Q4/sum", "quarter/2026-Q4/sum/3",
@@ -69,7 +71,8 @@
     CHECK_FALSE(parse_quarter_key("quarter/2026-Q4/sum/3")->is_sum());
 }
 
-TEST_CASE("quarters begin and end with the calendar's months", "[quarter]")
+TEST_CASE("quarters begin and end at calendar month boundaries in UTC",
+          "[quarter]")
 {
     using namespace std::chrono;
     sys_days const new_year = 2027y / January / 1;
--- a/tests/quarter_store_test.cpp
+++ b/tests/quarter_store_test.cpp
@@ -1,5 +1,6 @@
-// The quarter to date through faults of the table and ends of VMs: never
-// counted twice, and lost only where a process ended before it had written.
+// Checks the quarterly counts under table faults and VM crashes: nothing is
+// counted twice, and counts are lost only if a process ended before writing
+// them.
 #include "quarter_world.hpp"
 
 #include <catch2/catch.hpp>
@@ -48,7 +49,8 @@
 
 constexpr std::size_t vms = 3;
 constexpr auto fault_phase = 60s;
-/// The latest write lands, then every row is read and folded.
+/// Enough for the latest delayed write to take effect and for every row to be
+/// read and folded.
 constexpr auto recovery_time = 75s;
 constexpr auto write_delay = 18s;
 
@@ -118,7 +120,7 @@
                             !is_active(fault_kind::cut_off, vm));
 }
 
-/// Lets the world live through the schedule and settle.
+/// Runs the faults of the schedule, then recovers without faults.
 void run_schedule(quarter_world& world, schedule const& faults)
 {
     for (auto at = 0s; at < fault_phase; at += 1s)
@@ -140,7 +142,7 @@
 
 constexpr std::uint64_t max_seeds = 20;
 
-/// Whether one of some seeds shows a mutant to count twice or to lose.
+/// Whether the mutant counts twice or loses counts for any of the seeds.
 bool is_mutant_detected(store_mutant mutant, schedule const& faults)
 {
     for (std::uint64_t seed = 1; seed <= max_seeds; ++seed)
@@ -154,7 +156,8 @@
     return false;
 }
 
-/// What is stored of ten requests whose first write came late.
+/// The number of stored requests after ten were counted and the first write
+/// was delayed.
 std::uint64_t stored_after_late_create(store_mutant mutant)
 {
     quarter_world world(2, 1, mutant);
@@ -176,7 +179,7 @@
 
 } // namespace
 
-TEST_CASE("nothing is counted twice, whatever happens", "[quarter]")
+TEST_CASE("no request is counted twice under any faults", "[quarter]")
 {
     CHECK(rc::check(
         [](std::uint64_t seed)
@@ -188,7 +191,7 @@
         }));
 }
 
-TEST_CASE("only what a crashed life had not written is lost", "[quarter]")
+TEST_CASE("only unwritten counts of crashed VMs are lost", "[quarter]")
 {
     CHECK(rc::check(
         [](std::uint64_t seed)
@@ -199,13 +202,14 @@
             run_schedule(world, faults);
             RC_ASSERT(world.stored() <= world.counted());
             RC_ASSERT(world.stored() + world.max_lost() >= world.counted());
-            // One row for each VM and quarter: all others were folded.
+            // All but one row for each VM and quarter were folded.
             RC_ASSERT(world.incarnation_rows() <= 2 * vms);
         }));
 }
 
-TEST_CASE("a life taken to be over loses nothing while answers arrive",
-          "[quarter]")
+TEST_CASE(
+    "a live incarnation considered ended loses nothing while answers arrive",
+    "[quarter]")
 {
     CHECK(rc::check(
         [](std::uint64_t seed)
@@ -218,11 +222,11 @@
         }));
 }
 
-TEST_CASE("a fold without its conditions is found", "[quarter]")
+TEST_CASE("the checks detect folds without conditions", "[quarter]")
 {
-    // Two VMs crash one after the other. A third folds both; a fourth, whose
-    // read is old, folds the first alone and puts its smaller sum in place.
-    // The operators would see fewer requests than there were.
+    // Guards against lost counts through concurrent folds: after two VMs crash
+    // in turn, one VM folds both rows. Another VM with a stale read folds only
+    // the first row and overwrites the sum with a smaller one.
     schedule const faults{{fault_kind::crash, 0, 20s, 1s},
                           {fault_kind::crash, 1, 24s, 1s},
                           {fault_kind::crash, 0, 31s, 1s},
@@ -231,27 +235,29 @@
     CHECK(is_mutant_detected(store_mutant::unconditional_folds, faults));
 }
 
-TEST_CASE("a write without its condition is found", "[quarter]")
+TEST_CASE("the checks detect writes without conditions", "[quarter]")
 {
-    // The platform holds a write back for 18 s; meanwhile its VM crashes and
-    // its row is folded. Landing then, the write brings the row back, and the
-    // next fold counts it once more.
+    // Guards against double counts through a delayed write: the table delays a
+    // write by 18 s, while its VM crashes and its row is folded. The write then
+    // recreates the row, and the next fold counts the row again.
     schedule const faults{{fault_kind::late_writes, 0, 10s, 6s},
                           {fault_kind::crash, 0, 17s, 1s}};
     CHECK_FALSE(is_mutant_detected(store_mutant::none, faults));
     CHECK(is_mutant_detected(store_mutant::unconditional_writes, faults));
 }
 
-TEST_CASE("a create that holds counts is found", "[quarter]")
+TEST_CASE("the checks detect creates that contain counts", "[quarter]")
 {
-    // A VM's first write is held back, its next ones are not; it crashes and
-    // is folded; then the first one lands, since its row does not exist, and
-    // is folded too. The ten requests would be twenty.
+    // Guards against double counts through a delayed create: a VM's first
+    // write is delayed, its later writes are not, and the VM crashes and its
+    // row is folded. The first write then takes effect, because the row does
+    // not exist, and is folded too: ten requests become twenty.
     CHECK(stored_after_late_create(store_mutant::none) == 10);
     CHECK(stored_after_late_create(store_mutant::creates_with_counts) == 20);
 }
 
-TEST_CASE("the last counts of a quarter go into its row", "[quarter]")
+TEST_CASE("the last counts of a quarter go into that quarter's row",
+          "[quarter]")
 {
     quarter_world world(1, 1, store_mutant::none);
     world.count_answers(0, 5);
@@ -265,7 +271,8 @@
     CHECK(sole_standing(world.store(0).standings(world.now())).counted == 4);
 }
 
-TEST_CASE("a clock set back and forth loses no counts", "[quarter]")
+TEST_CASE("setting the clock across a quarter boundary loses no counts",
+          "[quarter]")
 {
     quarter_world world(1, 1, store_mutant::none);
     world.count_answers(0, 5);
@@ -280,10 +287,11 @@
     CHECK(world.stored("2027-Q1") == 1);
 }
 
-TEST_CASE("a leaving VM's counts are written at once", "[quarter]")
+TEST_CASE("flush writes a leaving VM's counts immediately", "[quarter]")
 {
-    // The VM ends as soon as flushed() says so. What was not in the table by
-    // then would be lost at each graceful shutdown.
+    // Guards against lost counts at graceful shutdown: the VM's process ends as
+    // soon as flushed() returns true, so everything must be in the table by
+    // then.
     quarter_world world(1, 1, store_mutant::none);
     world.count_answers(0, 3);
     world.run(6s);
@@ -298,7 +306,7 @@
     CHECK(world.stored() == 7);
 }
 
-TEST_CASE("a restarted VM shows the quarter of all", "[quarter]")
+TEST_CASE("a restarted VM reports the totals of all VMs", "[quarter]")
 {
     quarter_world world(2, 1, store_mutant::none);
     world.count_answers(0, 30);
@@ -311,11 +319,11 @@
     CHECK(sole_standing(world.store(1).standings(world.now())).counted == 100);
 }
 
-TEST_CASE("the budget and the forecast say when a target is at risk",
+TEST_CASE("a target met to date is at risk if its forecast misses it",
           "[quarter]")
 {
-    // 1000 requests in time, then one late in four: the share to date is still
-    // met when the pace says that the quarter will not be.
+    // After 1000 requests within the bound, one in four misses it: the share to
+    // date still meets the target, but the forecast for the quarter does not.
     quarter_world world(1, 1, store_mutant::none);
     world.count_answers(0, 1000);
     world.run(12s);
@@ -340,7 +348,7 @@
           std::vector<application_id>{notes});
 }
 
-TEST_CASE("a caller who gave up counts against the bounds that were past",
+TEST_CASE("a withdrawn request misses only the bounds that had passed",
           "[quarter]")
 {
     quarter_world world(1, 1, store_mutant::none);
@@ -354,7 +362,7 @@
     CHECK(world.stored() == 10);
 }
 
-TEST_CASE("stalls and efficiency have their own budgets", "[quarter]")
+TEST_CASE("stall share and batch efficiency have separate budgets", "[quarter]")
 {
     id_source ids;
     quarter_store store({}, ids,
--- a/tests/quarter_world.cpp
+++ b/tests/quarter_world.cpp
@@ -62,7 +62,7 @@
     one.store->configure(with_targets(
         {{notes, target_measure::answered_within, notes_bound, 0.9}}));
     one.store->set_incarnation(one.incarnation_number);
-    // All fold, so that they race.
+    // All VMs fold, so that concurrent folds race.
     one.store->set_folding_enabled(true);
     one.store->set_quarter(quarter_, time_.now() + 24h, time_.now());
 }
@@ -124,7 +124,8 @@
         one.store->on_table(reply, time_.now(), none);
     };
     table_.submit(one.id, request, deliver_reply);
-    // The fake answers for a write that it holds back only when that lands.
+    // The fake table answers a delayed write only when the write takes effect,
+    // so time out here at the deadline.
     if (!operation.none())
         time_.at(deadline,
                  [deliver_reply, operation] {
--- a/tests/quarter_world.hpp
+++ b/tests/quarter_world.hpp
@@ -1,4 +1,5 @@
-/// Several VMs that count into one table in virtual time, with their faults.
+/// Simulation of several VMs that count into one table in virtual time, with
+/// injected faults.
 #ifndef MULBERRY_TESTS_QUARTER_WORLD_HPP
 #define MULBERRY_TESTS_QUARTER_WORLD_HPP
 
@@ -25,7 +26,8 @@
 std::shared_ptr<declaration const>
 with_targets(std::vector<target_declaration> targets);
 
-/// A rule of the store left out, to see that the check notices.
+/// A rule of the store that is disabled, to show that the checks detect its
+/// absence.
 enum class store_mutant
 {
     none,
@@ -41,23 +43,26 @@
 
     void run(duration span) { time_.run_until(time_.now() + span); }
     void count_answers(std::size_t vm, std::uint64_t count);
-    /// The process ends; another life of the VM begins.
+    /// Ends the VM's process and starts the VM's next incarnation.
     void crash(std::size_t vm);
-    /// The others took the life to be over, and the process goes on in a new
-    /// one.
+    /// Marks the VM's incarnation as ended for all VMs, while its process
+    /// continues under a new incarnation.
     void register_anew(std::size_t vm);
     void begin_quarter(std::string const& name);
-    /// From now on the VM is leaving.
+    /// Makes the VM flush at each tick from now on, as a leaving VM does.
     void flush(std::size_t vm) { vms_.at(vm).leaving = true; }
 
     fake_table& table() { return table_; }
     quarter_store& store(std::size_t vm) { return *vms_.at(vm).store; }
     time_point now() const { return time_.now(); }
     std::uint64_t counted() const { return counted_; }
-    /// Counted by lives that crashed and not acknowledged to them.
+    /// Upper bound of the lost requests: those that crashed processes counted
+    /// and whose writes were not acknowledged.
     std::uint64_t max_lost() const { return max_lost_; }
-    /// The requests in all rows of a quarter, or of all.
+    /// Sum of the requests in all rows of a quarter, or of all quarters if
+    /// `quarter` is empty.
     std::uint64_t stored(std::string const& quarter = "");
+    /// Number of rows that are not folded.
     std::size_t incarnation_rows();
 
 private:
@@ -69,7 +74,7 @@
         bool leaving = false;
         std::unique_ptr<id_source> ids;
         std::unique_ptr<quarter_store> store;
-        /// Of this process, by row.
+        /// Requests counted and acknowledged in this process, by row key.
         std::map<std::string, std::uint64_t> counted;
         std::map<std::string, std::uint64_t> acknowledged;
     };
