--- a/src/quarter_ledger.cpp
+++ b/src/quarter_ledger.cpp
@@ -33,7 +33,7 @@
     operation_ = operation;
     creating_ = version_.none();
     quarter_row row;
-    row.write = ++last_write_;
+    row.write_number = ++last_write_;
     if (!creating_)
     {
         sent_totals_ = totals_;
@@ -96,10 +96,10 @@
         }
         return;
     }
-    if (stored_row && stored_row->write > last_finished_write_)
+    if (stored_row && stored_row->write_number > last_finished_write_)
     {
         version_ = row->version;
-        last_finished_write_ = stored_row->write;
+        last_finished_write_ = stored_row->write_number;
         max_totals_in_row_ = stored_row->totals;
         return;
     }
--- a/src/quarter_row.cpp
+++ b/src/quarter_row.cpp
@@ -128,7 +128,7 @@
 std::string encode(quarter_row const& row)
 {
     Json::Value json(Json::objectValue);
-    json["write"] = Json::UInt64(row.write);
+    json["write"] = Json::UInt64(row.write_number);
     json["applications"] = Json::Value(Json::objectValue);
     for (auto const& [application, counts] : row.totals)
         json["applications"][application.str()] = counts_json(counts);
@@ -140,12 +140,12 @@
     auto const json = parse_row_text(text);
     if (!json)
         return std::nullopt;
-    auto const write = number_member(*json, "write");
+    auto const write_number = number_member(*json, "write");
     Json::Value const& applications = (*json)["applications"];
-    if (!write || !applications.isObject())
+    if (!write_number || !applications.isObject())
         return std::nullopt;
     quarter_row row;
-    row.write = *write;
+    row.write_number = *write_number;
     for (std::string const& name : applications.getMemberNames())
     {
         auto counts = counts_from(applications[name]);
--- a/src/quarter_row.hpp
+++ b/src/quarter_row.hpp
@@ -37,7 +37,7 @@
 {
     /// Increases with each write of an incarnation, to tell apart writes whose
     /// answers were lost. 0 in a sum row.
-    std::uint64_t write = 0;
+    std::uint64_t write_number = 0;
     quarter_totals totals;
     friend bool operator==(quarter_row const&, quarter_row const&) = default;
 };
--- a/src/quarter_store.cpp
+++ b/src/quarter_store.cpp
@@ -31,7 +31,7 @@
     void set_quarter(std::string name, time_point quarter_end, time_point now);
 
     void count_answer(application_id const& application,
-                      std::optional<duration> took);
+                      std::optional<duration> elapsed);
     void count_withdrawn(application_id const& application, duration waited);
     void count_stalls(application_id const& application, std::uint64_t count);
     void add_slot_time(application_id const& application, duration busy,
@@ -161,7 +161,7 @@
 }
 
 void quarter_store::implementation::count_answer(
-    application_id const& application, std::optional<duration> took)
+    application_id const& application, std::optional<duration> elapsed)
 {
     if (!is_counted(application))
         return;
@@ -171,7 +171,7 @@
     {
         bound_counts& each = counts.bounds[bound];
         ++each.counted;
-        if (took && *took <= bound)
+        if (elapsed && *elapsed <= bound)
             ++each.within;
     }
 }
@@ -460,9 +460,9 @@
 }
 
 void quarter_store::count_answer(application_id const& application,
-                                 std::optional<duration> took)
+                                 std::optional<duration> elapsed)
 {
-    implementation_->count_answer(application, took);
+    implementation_->count_answer(application, elapsed);
 }
 
 void quarter_store::count_withdrawn(application_id const& application,
--- a/src/quarter_store.hpp
+++ b/src/quarter_store.hpp
@@ -105,10 +105,10 @@
     /// the caller reads the calendar. Nothing is counted before the first call.
     void set_quarter(std::string name, time_point quarter_end, time_point now);
 
-    /// Counts a request that was answered completely after `took`, or, without
-    /// `took`, one that failed through no fault of the caller.
+    /// Counts a request that was answered completely after `elapsed`, or,
+    /// without `elapsed`, one that failed through no fault of the caller.
     void count_answer(application_id const& application,
-                      std::optional<duration> took);
+                      std::optional<duration> elapsed);
     /// Counts a request whose caller disconnected after `waited`. The request
     /// counts as a request, because it may have stalled, and as a miss of each
     /// bound shorter than `waited`. The request does not count towards longer
--- a/tests/quarter_row_test.cpp
+++ b/tests/quarter_row_test.cpp
@@ -33,7 +33,7 @@
         []
         {
             quarter_row row;
-            row.write = *rc::gen::arbitrary<std::uint64_t>();
+            row.write_number = *rc::gen::arbitrary<std::uint64_t>();
             for (auto const& name : *rc::gen::arbitrary<std::vector<int>>())
                 row.totals[application_id("app \"" + std::to_string(name))] =
                     any_counts();
--- a/tests/quarter_store_test.cpp
+++ b/tests/quarter_store_test.cpp
@@ -21,7 +21,7 @@
 enum class fault_kind
 {
     crash,
-    register_anew,
+    reregister,
     refused,
     lagging_reads,
     down,
@@ -74,23 +74,23 @@
 }
 
 std::vector<fault_kind> const unambiguous_faults{
-    fault_kind::crash, fault_kind::register_anew, fault_kind::refused,
+    fault_kind::crash, fault_kind::reregister, fault_kind::refused,
     fault_kind::lagging_reads};
 std::vector<fault_kind> const faults_without_reregistration{
     fault_kind::crash,      fault_kind::refused, fault_kind::lagging_reads,
     fault_kind::down,       fault_kind::cut_off, fault_kind::lost_answers,
     fault_kind::late_writes};
 std::vector<fault_kind> const all_faults{
-    fault_kind::crash,         fault_kind::register_anew, fault_kind::refused,
-    fault_kind::lagging_reads, fault_kind::down,          fault_kind::cut_off,
+    fault_kind::crash,         fault_kind::reregister, fault_kind::refused,
+    fault_kind::lagging_reads, fault_kind::down,       fault_kind::cut_off,
     fault_kind::lost_answers,  fault_kind::late_writes};
 
 void apply_process_fault(quarter_world& world, fault const& one)
 {
     if (one.kind == fault_kind::crash)
         world.crash(one.vm);
-    if (one.kind == fault_kind::register_anew)
-        world.register_anew(one.vm);
+    if (one.kind == fault_kind::reregister)
+        world.reregister(one.vm);
 }
 
 void set_faults(quarter_world& world, schedule const& faults,
--- a/tests/quarter_world.cpp
+++ b/tests/quarter_world.cpp
@@ -56,8 +56,8 @@
     settings.vm = one.id;
     one.store = std::make_unique<quarter_store>(
         settings, *one.ids,
-        [this](vm_id const& who, incarnation incarnation_number) {
-            return ended_incarnations_.contains({who, incarnation_number});
+        [this](vm_id const& id, incarnation incarnation_number) {
+            return ended_incarnations_.contains({id, incarnation_number});
         });
     one.store->configure(with_targets(
         {{notes, target_measure::answered_within, notes_bound, 0.9}}));
@@ -154,7 +154,7 @@
     start(one);
 }
 
-void quarter_world::register_anew(std::size_t at)
+void quarter_world::reregister(std::size_t at)
 {
     vm& one = vms_.at(at);
     ended_incarnations_.insert({one.id, one.incarnation_number});
--- a/tests/quarter_world.hpp
+++ b/tests/quarter_world.hpp
@@ -47,7 +47,7 @@
     void crash(std::size_t vm);
     /// Marks the VM's incarnation as ended for all VMs, while its process
     /// continues under a new incarnation.
-    void register_anew(std::size_t vm);
+    void reregister(std::size_t vm);
     void begin_quarter(std::string const& name);
     /// Makes the VM flush at each tick from now on, as a leaving VM does.
     void flush(std::size_t vm) { vms_.at(vm).leaving = true; }
