--- a/src/collected_exchange.cpp
+++ b/src/collected_exchange.cpp
@@ -23,12 +23,12 @@
     {
         running_ = pool.start(call_.to, std::move(call_.bytes), call_.options,
                               shared_from_this());
-        wait();
+        start_deadline_timer();
     }
 
     void cancel() override
     {
-        if (std::exchange(over_, true))
+        if (std::exchange(finished_, true))
             return;
         timer_.cancel();
         running_->cancel();
@@ -41,32 +41,32 @@
             call_.on_head(status);
     }
     void on_body(std::string_view bytes) override { answer_.body += bytes; }
-    void on_end(bool) override { tell(std::move(answer_)); }
-    void on_failure(call_stage, std::string const&) override { tell({}); }
+    void on_end(bool) override { complete(std::move(answer_)); }
+    void on_failure(call_stage, std::string const&) override { complete({}); }
 
 private:
-    void wait()
+    void start_deadline_timer()
     {
-        timer_.expires_at(call_.ends_at());
+        timer_.expires_at(call_.current_deadline());
         timer_.async_wait(
             [self = shared_from_this()](asio::error_code const& cancelled)
             {
-                if (!cancelled && !self->over_)
-                    self->on_time();
+                if (!cancelled && !self->finished_)
+                    self->on_deadline_timer();
             });
     }
 
-    void on_time()
+    void on_deadline_timer()
     {
-        if (call_.ends_at() > std::chrono::steady_clock::now())
-            return wait();
+        if (call_.current_deadline() > std::chrono::steady_clock::now())
+            return start_deadline_timer();
         running_->cancel();
-        tell({0, {}, true});
+        complete({0, {}, true});
     }
 
-    void tell(collected_answer answer)
+    void complete(collected_answer answer)
     {
-        if (std::exchange(over_, true))
+        if (std::exchange(finished_, true))
             return;
         timer_.cancel();
         call_.on_end(std::move(answer));
@@ -76,7 +76,7 @@
     asio::steady_timer timer_;
     std::shared_ptr<backend_exchange> running_;
     collected_answer answer_;
-    bool over_ = false;
+    bool finished_ = false;
 };
 
 } // namespace
--- a/src/collected_exchange.hpp
+++ b/src/collected_exchange.hpp
@@ -32,7 +32,7 @@
     exchange_options options;
     /// When the call is given up, as of now; asked again when that moment is
     /// there, so that it may move on. Steady clock.
-    std::function<std::chrono::steady_clock::time_point()> ends_at;
+    std::function<std::chrono::steady_clock::time_point()> current_deadline;
     /// The head of the answer came. May be empty.
     std::function<void(int status)> on_head;
     /// Called once, unless the call is cancelled; never within the start.
--- a/src/event_log.cpp
+++ b/src/event_log.cpp
@@ -56,43 +56,43 @@
 {
 }
 
-bool event_log::take(quota& from, time_point now)
+bool event_log::try_take(token_budget& from, time_point now)
 {
     double const passed =
         std::chrono::duration<double>(now - from.filled_at).count();
-    from.left = std::min(rate_, from.left + passed * rate_);
+    from.tokens = std::min(rate_, from.tokens + passed * rate_);
     from.filled_at = now;
-    if (from.left < 1)
+    if (from.tokens < 1)
     {
-        ++left_out_;
-        ++left_out_total_;
+        ++lines_left_out_;
+        ++total_lines_left_out_;
         return false;
     }
-    from.left -= 1;
+    from.tokens -= 1;
     return true;
 }
 
 void event_log::write(log_level level, std::string_view event,
                       log_fields const& fields)
 {
-    if (left_out_ == 0)
+    if (lines_left_out_ == 0)
         return write_(level, part_, event, fields.str());
     log_fields with_count = fields;
-    with_count.add("lines_left_out", std::exchange(left_out_, 0));
+    with_count.add("lines_left_out", std::exchange(lines_left_out_, 0));
     write_(level, part_, event, with_count.str());
 }
 
 void event_log::routine(std::string_view event, log_fields const& fields,
                         time_point now)
 {
-    if (take(routine_, now))
+    if (try_take(routine_, now))
         write(log_level::info, event, fields);
 }
 
 void event_log::notable(std::string_view event, log_fields const& fields,
                         time_point now)
 {
-    if (take(notable_, now))
+    if (try_take(notable_, now))
         write(log_level::warning, event, fields);
 }
 
--- a/src/event_log.hpp
+++ b/src/event_log.hpp
@@ -56,26 +56,26 @@
     /// A request that was rejected, repeated or failed, or a belief changed.
     void notable(std::string_view event, log_fields const& fields,
                  time_point now);
-    std::uint64_t left_out() const { return left_out_total_; }
+    std::uint64_t lines_left_out() const { return total_lines_left_out_; }
 
 private:
-    struct quota
+    struct token_budget
     {
-        double left = 0;
+        double tokens = 0;
         time_point filled_at{};
     };
 
-    bool take(quota& from, time_point now);
+    bool try_take(token_budget& from, time_point now);
     void write(log_level level, std::string_view event,
                log_fields const& fields);
 
     std::string part_;
     double rate_;
     writer write_;
-    quota routine_;
-    quota notable_;
-    std::uint64_t left_out_ = 0;
-    std::uint64_t left_out_total_ = 0;
+    token_budget routine_;
+    token_budget notable_;
+    std::uint64_t lines_left_out_ = 0;
+    std::uint64_t total_lines_left_out_ = 0;
 };
 
 } // namespace mulberry
--- a/src/event_splitter.cpp
+++ b/src/event_splitter.cpp
@@ -28,11 +28,11 @@
 
 std::string event_splitter::feed(std::string_view bytes)
 {
-    rest_ += bytes;
-    std::string whole = rest_.substr(0, end_of_events(rest_));
-    rest_.erase(0, whole.size());
-    read_ids(whole);
-    return whole;
+    incomplete_ += bytes;
+    std::string complete = incomplete_.substr(0, end_of_events(incomplete_));
+    incomplete_.erase(0, complete.size());
+    read_ids(complete);
+    return complete;
 }
 
 void event_splitter::read_ids(std::string_view events)
--- a/src/event_splitter.hpp
+++ b/src/event_splitter.hpp
@@ -22,14 +22,14 @@
     std::string feed(std::string_view bytes);
     /// The bytes of an unfinished event, which are dropped when a stream goes
     /// on elsewhere.
-    void drop_rest() { rest_.clear(); }
-    std::size_t rest_bytes() const { return rest_.size(); }
+    void discard_incomplete() { incomplete_.clear(); }
+    std::size_t incomplete_bytes() const { return incomplete_.size(); }
     std::optional<std::uint64_t> last_id() const { return last_id_; }
 
 private:
     void read_ids(std::string_view events);
 
-    std::string rest_;
+    std::string incomplete_;
     std::optional<std::uint64_t> last_id_;
 };
 
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -18,7 +18,7 @@
 /// How often idle connections and other slow things are looked at.
 constexpr milliseconds sweep_interval{500};
 /// Of the numbers that requests are given; half of what JSON can carry.
-constexpr std::uint64_t highest_first = std::uint64_t{1} << 52U;
+constexpr std::uint64_t max_first_ticket = std::uint64_t{1} << 52U;
 
 std::string_view outcome_name(relay_outcome outcome)
 {
@@ -59,7 +59,7 @@
     // Failure: a VM restarts, and another tells it that a grant of its earlier
     // process is over; a grant of this one with the same number ends early.
     // Numbers that begin anywhere do not meet.
-    std::uniform_int_distribution<std::uint64_t> anywhere(1, highest_first);
+    std::uniform_int_distribution<std::uint64_t> anywhere(1, max_first_ticket);
     last_ticket_ = anywhere(random_);
     allotments_ =
         std::make_unique<pooled_allotment>(options_.vm, options_.allotments);
@@ -92,15 +92,15 @@
     settings.domain = options_.domain;
     settings.release_grace = options_.release_grace;
     settings.release_begin = options_.release_begin;
-    auto const made =
+    auto const added =
         services_.try_emplace(config.name, settings, config, options_.retries)
             .first;
-    made->second.scheduler.set_members(members_);
+    added->second.scheduler.set_members(members_);
     releases_.for_each(
-        [&made](model_target const& target, declared_version const& declared)
+        [&added](model_target const& target, declared_version const& declared)
         {
-            made->second.scheduler.on_release(target, declared.version,
-                                              declared.heard_at);
+            added->second.scheduler.on_release(target, declared.version,
+                                               declared.heard_at);
         });
 }
 
@@ -112,18 +112,18 @@
     for (auto const& [name, service] : config_->services)
         add_service(service);
     routes_ = std::make_unique<route_table>(config_);
-    share_teams();
+    update_teams();
     log_fields taken;
     taken.add("version", config_->version.value())
         .add("routes", std::uint64_t{config_->routes.size()});
     if (!config_->teams.empty())
         taken.add("teams", std::uint64_t{config_->teams.size()});
     log_.notable("configuration taken", taken, now());
-    share_backends();
-    review_early();
+    update_schedulers();
+    process_early_requests();
 }
 
-void relay::note_worker(std::string_view event, backend_entry const& worker)
+void relay::log_worker(std::string_view event, backend_entry const& worker)
 {
     log_.notable(event,
                  log_fields()
@@ -137,8 +137,8 @@
 
 /// Tells whether an answer was made from memory that the worker itself did not
 /// make, and under which weights each of the two ran.
-void relay::note_copy(relay_exchange const& exchange,
-                      place_request const& placed)
+void relay::log_prompt_copy(relay_exchange const& exchange,
+                            place_request const& placed)
 {
     backend_entry const& source = *placed.prefix_source;
     auto const& model = exchange.request().model;
@@ -157,10 +157,10 @@
 
 /// Tells why a request began on a replaced version: for how long this VM knew
 /// that it was, and how old what it knows is.
-void relay::note_replaced(relay_exchange const& exchange,
-                          place_request const& placed)
+void relay::log_superseded_send(relay_exchange const& exchange,
+                                place_request const& placed)
 {
-    ++counts_.sent_to_replaced;
+    ++counts_.sent_to_superseded;
     replaced_copy const& copy = *placed.replaced;
     time_point const at = now();
     log_fields fields;
@@ -178,28 +178,29 @@
     log_.notable("sent to replaced version", fields, at);
 }
 
-void relay::said_leaving(relay_exchange const& exchange)
+void relay::on_worker_leaving(relay_exchange const& exchange)
 {
     backend_entry const& worker = exchange.worker_entry();
     if (!find(exchange.terms().service)->scheduler.on_leaving(worker, now()))
         return;
-    ++counts_.leaving_heard;
+    ++counts_.leaving_reported;
     log_.notable("worker says it leaves",
                  log_fields()
                      .add("request", exchange.request().id.str())
                      .add("worker", worker.id.str())
                      .add("service", worker.service.str()),
                  now());
-    run_soon();
+    schedule_run();
 }
 
-void relay::asked_for_rest(relay_exchange const& exchange, time_point until)
+void relay::on_backoff_requested(relay_exchange const& exchange,
+                                 time_point until)
 {
     time_point const at = now();
     worker_id const& worker = exchange.worker();
     if (!find(exchange.terms().service)->scheduler.on_rest(worker, until, at))
         return;
-    ++counts_.rests;
+    ++counts_.backoffs;
     log_.notable("worker asks for rest",
                  log_fields()
                      .add("request", exchange.request().id.str())
@@ -217,12 +218,12 @@
             std::find_if(backends_.begin(), backends_.end(),
                          [&](auto const& each) { return each.id == entry.id; });
         if (before == backends_.end() || before->draining != entry.draining)
-            note_worker(entry.draining ? "worker drains" : "worker listed",
-                        entry);
+            log_worker(entry.draining ? "worker drains" : "worker listed",
+                       entry);
         else if (before->started != entry.started)
-            note_worker("worker started again", entry);
+            log_worker("worker started again", entry);
         else if (weights_text(*before) != weights_text(entry))
-            note_worker("worker weights listed", entry);
+            log_worker("worker weights listed", entry);
     }
     for (backend_entry const& entry : backends_)
         if (std::none_of(entries.begin(), entries.end(),
@@ -231,11 +232,11 @@
                          log_fields().add("worker", entry.id.str()), now());
     backends_ = std::move(entries);
     backends_known_ = true;
-    share_backends();
-    review_early();
+    update_schedulers();
+    process_early_requests();
 }
 
-void relay::share_backends()
+void relay::update_schedulers()
 {
     std::map<service_id, std::vector<backend_entry>> by_service;
     for (backend_entry const& entry : backends_)
@@ -243,10 +244,10 @@
     for (auto& [name, service] : services_)
     {
         service.scheduler.set_backends(by_service[name]);
-        service.scheduler.set_grants(grants_);
+        service.scheduler.set_grants(owned_workers_);
         service.scheduler.set_owners(owners_);
     }
-    run_soon();
+    schedule_run();
 }
 
 void relay::on_release(adapter_release const& release)
@@ -264,15 +265,15 @@
                  now());
     for (auto& [name, service] : services_)
         service.scheduler.on_release(release.target, release.version, at);
-    run_soon();
+    schedule_run();
 }
 
-void relay::set_grants(std::map<worker_id, order_grant> grants)
+void relay::set_owned_workers(std::map<worker_id, order_grant> grants)
 {
-    grants_ = std::move(grants);
+    owned_workers_ = std::move(grants);
     for (auto& [name, service] : services_)
-        service.scheduler.set_grants(grants_);
-    run_soon();
+        service.scheduler.set_grants(owned_workers_);
+    schedule_run();
 }
 
 void relay::wait_for_worker(relay_exchange& exchange,
@@ -294,53 +295,54 @@
     item.objective_at = terms.arrived_at + terms.matched->latency_objective;
     item.excluded = excluded;
     find(terms.service)->scheduler.submit(std::move(item), now());
-    run_soon();
+    schedule_run();
 }
 
 void relay::stop_waiting(relay_exchange& exchange)
 {
-    if (auto const ask = asks_.find(exchange.terms().ticket);
-        ask != asks_.end())
+    if (auto const ask = grant_requests_.find(exchange.terms().ticket);
+        ask != grant_requests_.end())
     {
         ask->second->cancel();
-        asks_.erase(ask);
+        grant_requests_.erase(ask);
     }
     allotments_->withdraw(exchange.terms().ticket);
     find(exchange.terms().service)
         ->scheduler.withdraw(exchange.terms().ticket, now());
 }
 
-void relay::first_byte(relay_exchange& exchange)
+void relay::on_first_byte(relay_exchange& exchange)
 {
     time_point const at = now();
     find(exchange.terms().service)
         ->scheduler.first_byte(exchange.terms().ticket, at);
-    first_byte_.add(at - exchange.terms().arrived_at);
+    first_byte_latency_.add(at - exchange.terms().arrived_at);
 }
 
-void relay::send_ended(relay_exchange& exchange, send_outcome outcome)
+void relay::on_send_ended(relay_exchange& exchange, send_outcome outcome)
 {
-    if (exchange.answered_whole() && !crashes_.idle())
+    if (exchange.answer_complete() && !crashes_.idle())
         crashes_.answered(exchange.identity());
-    free_place(exchange, outcome);
+    release_worker_slot(exchange, outcome);
 }
 
-void relay::free_place(relay_exchange const& exchange, send_outcome outcome)
+void relay::release_worker_slot(relay_exchange const& exchange,
+                                send_outcome outcome)
 {
     find(exchange.terms().service)
         ->scheduler.ended(exchange.terms().ticket, outcome, now());
     if (auto const grant = held_grants_.find(exchange.terms().ticket);
         grant != held_grants_.end())
     {
-        give_back(grant->second, outcome);
+        return_grant(grant->second, outcome);
         held_grants_.erase(grant);
     }
-    run_soon();
+    schedule_run();
 }
 
 /// A worker that leaves, or has left the registry, closes connections on
 /// purpose.
-void relay::broke_off(relay_exchange const& exchange)
+void relay::on_connection_lost(relay_exchange const& exchange)
 {
     backend_entry const& worker = exchange.worker_entry();
     bool const stays =
@@ -362,22 +364,22 @@
                  now());
 }
 
-duration relay::patience(relay_exchange const& exchange) const
+duration relay::first_byte_timeout(relay_exchange const& exchange) const
 {
     auto const service = services_.find(exchange.terms().service);
     return service->second.scheduler.patience(exchange.worker());
 }
 
-duration relay::retry_after(relay_exchange const& exchange, duration least)
+duration relay::retry_after(relay_exchange const& exchange, duration min_delay)
 {
     std::optional<model_target> const target =
         exchange.terms().engine ? exchange.request().model : std::nullopt;
-    return spread(std::max(
-        least,
+    return add_jitter(std::max(
+        min_delay,
         find(exchange.terms().service)->scheduler.rest_left(target, now())));
 }
 
-bool relay::take_retry(relay_exchange const& exchange)
+bool relay::try_take_retry(relay_exchange const& exchange)
 {
     bool const taken =
         find(exchange.terms().service)->retries.try_take(members_, now());
@@ -389,11 +391,11 @@
 {
     due_.set(exchange.terms().ticket, when);
     if (when < timer_at_)
-        run_soon();
+        schedule_run();
 }
 
-void relay::note(relay_exchange const& exchange, std::string_view event,
-                 std::string_view reason)
+void relay::log_request_event(relay_exchange const& exchange,
+                              std::string_view event, std::string_view reason)
 {
     time_point const at = now();
     log_.notable(
@@ -405,7 +407,7 @@
             .add("status", exchange.status())
             .add("reason", reason)
             .add("sends", exchange.sends())
-            .add("waited_ms", exchange.waited())
+            .add("waited_ms", exchange.queueing_delay())
             .add("adapter", exchange.request().model
                                 ? exchange.request().model->adapter.str()
                                 : "")
@@ -415,7 +417,7 @@
         at);
 }
 
-void relay::finished(relay_exchange& exchange, relay_outcome outcome)
+void relay::on_finished(relay_exchange& exchange, relay_outcome outcome)
 {
     switch (outcome)
     {
@@ -436,9 +438,10 @@
         break;
     }
     if (outcome == relay_outcome::caller_gone)
-        note(exchange, outcome_name(outcome), "the connection closed");
+        log_request_event(exchange, outcome_name(outcome),
+                          "the connection closed");
     ticket_id const ticket = exchange.terms().ticket;
-    if (auto const metered = metered_.extract(ticket);
+    if (auto const metered = metered_requests_.extract(ticket);
         !metered.empty() && !metered.mapped().waits && exchange.never_ran())
         allotments_->give_back(metered.mapped().team, metered.mapped().units,
                                now());
@@ -447,7 +450,7 @@
 }
 
 /// Decisions are made once for all that happened in one turn of the loop.
-void relay::run_soon()
+void relay::schedule_run()
 {
     if (std::exchange(run_posted_, true))
         return;
@@ -471,12 +474,12 @@
             exchange->on_due();
         }
         else
-            forget_peer_request(*ticket, send_outcome::abandoned);
+            end_peer_request(*ticket, send_outcome::abandoned);
     }
-    review_early();
+    process_early_requests();
     run_allotments();
-    if (at >= tell_done_at_)
-        tell_done();
+    if (at >= send_ended_grants_at_)
+        send_ended_grants();
     for (auto& [name, service] : services_)
         run_service(service);
     if (at >= sweep_at_)
@@ -489,12 +492,12 @@
 
 void relay::run_service(service_state& service)
 {
-    tell_registry_moment(service);
+    update_registry_moment(service);
     for (placement_action const& action : service.scheduler.run(now()))
-        carry_out(service, action);
+        execute(service, action);
 }
 
-void relay::tell_registry_moment(service_state& service) const
+void relay::update_registry_moment(service_state& service) const
 {
     if (options_.registry_as_of)
         service.scheduler.set_registry_moment(options_.registry_as_of());
@@ -509,33 +512,33 @@
         return service.scheduler.ended(placed.ticket, send_outcome::abandoned,
                                        now());
     auto const exchange = found->second;
-    auto refused = refused_for_crashes(*exchange);
+    auto refused = check_quarantine(*exchange);
     if (!refused)
-        refused = refused_for_key(*exchange);
+        refused = check_key(*exchange);
     if (refused)
     {
-        free_place(*exchange, send_outcome::abandoned);
+        release_worker_slot(*exchange, send_outcome::abandoned);
         return exchange->on_refused(*refused);
     }
     if (exchange->sends() == 0)
-        waits_.add(now() - exchange->terms().arrived_at);
+        queueing_delays_.add(now() - exchange->terms().arrived_at);
     if (placed.prefix_source)
-        note_copy(*exchange, placed);
+        log_prompt_copy(*exchange, placed);
     if (placed.replaced && placed.version != placed.replaced->newest)
-        note_replaced(*exchange, placed);
+        log_superseded_send(*exchange, placed);
 
     exchange->on_placed(placed);
 }
 
 /// So that those turned away do not come back in one wave.
-duration relay::spread(duration retry_after)
+duration relay::add_jitter(duration retry_after)
 {
     double const part = std::uniform_real_distribution<double>(0, 0.5)(random_);
     return retry_after + duration(static_cast<duration::rep>(
                              part * double(retry_after.count())));
 }
 
-void relay::carry_out(service_state& service, placement_action const& action)
+void relay::execute(service_state& service, placement_action const& action)
 {
     if (auto const* placed = std::get_if<place_request>(&action))
         return place(service, *placed);
@@ -543,11 +546,12 @@
     {
         auto const found = exchanges_.find(refused->ticket);
         if (found == exchanges_.end())
-            return answer_peer(refused->ticket, false, {}, refused->load);
+            return answer_grant_request(refused->ticket, false, {},
+                                        refused->load);
         auto const exchange = found->second;
         return exchange->on_refused(error(refused->kind,
                                           std::string(refused->reason), ran::no,
-                                          spread(refused->retry_after)));
+                                          add_jitter(refused->retry_after)));
     }
     if (auto const* late = std::get_if<withdraw_request>(&action))
     {
@@ -560,23 +564,25 @@
         return;
     }
     if (auto const* ask = std::get_if<ask_owner>(&action))
-        return send_ask(service, *ask);
+        return send_grant_request(service, *ask);
     if (auto const* granted = std::get_if<grant_ask>(&action))
-        return answer_peer(granted->ticket, true, granted->copy, granted->load);
+        return answer_grant_request(granted->ticket, true, granted->copy,
+                                    granted->load);
     if (auto const* order = std::get_if<give_order>(&action))
         return send_order(*order);
-    send_report(std::get<ask_report>(action));
+    send_report_request(std::get<ask_report>(action));
 }
 
 void relay::arm_timer()
 {
-    time_point next = std::min({now() + duration(sweep_interval), tell_done_at_,
-                                allotments_->next_due()});
+    time_point next =
+        std::min({now() + duration(sweep_interval), send_ended_grants_at_,
+                  allotments_->next_due()});
     if (auto const due = due_.next())
         next = std::min(next, *due);
     for (auto const& [name, service] : services_)
         next = std::min(next, service.scheduler.next_due());
-    for (early_request const& each : early_)
+    for (early_request const& each : early_requests_)
         next = std::min(next, each.keep_until);
     if (next == timer_at_)
         return;
--- a/src/relay.hpp
+++ b/src/relay.hpp
@@ -65,11 +65,11 @@
     std::uint64_t caller_gone = 0;
     std::uint64_t retries = 0;
     /// Sends that may begin on a version that is not the newest.
-    std::uint64_t sent_to_replaced = 0;
+    std::uint64_t sent_to_superseded = 0;
     /// Workers that said that they leave before the registry listed it.
-    std::uint64_t leaving_heard = 0;
+    std::uint64_t leaving_reported = 0;
     /// Times that a worker asked for rest.
-    std::uint64_t rests = 0;
+    std::uint64_t backoffs = 0;
 
     std::uint64_t orders = 0;
     std::uint64_t orders_unknown = 0;
@@ -78,7 +78,7 @@
     std::uint64_t key_missing = 0;
     std::uint64_t key_unknown = 0;
     /// Since a key may have been added or taken away.
-    std::uint64_t key_in_doubt = 0;
+    std::uint64_t key_unverified = 0;
     std::uint64_t over_allotment = 0;
     std::uint64_t allotment_unknown = 0;
     friend bool operator==(relay_counts const&, relay_counts const&) = default;
@@ -102,7 +102,7 @@
     void set_config(std::shared_ptr<routing_config const> config);
     void set_backends(std::vector<backend_entry> entries);
     void on_release(adapter_release const& release);
-    void set_grants(std::map<worker_id, order_grant> grants);
+    void set_owned_workers(std::map<worker_id, order_grant> grants);
     /// The VMs there are, this one among them. `registered`: this process has
     /// written its own row; one that is there before is an earlier process's.
     void set_members(std::vector<member_view> members, bool registered);
@@ -121,11 +121,11 @@
 
     /// From now on callers' requests are rejected at once: this VM is about to
     /// end. What is in progress goes on.
-    void refuse_new() { refuses_new_ = true; }
+    void reject_new_requests() { rejects_new_requests_ = true; }
 
     bool has_config() const { return routes_ != nullptr; }
     /// Whether requests can be decided on: routes and workers are known.
-    bool informed() const { return has_config() && backends_known_; }
+    bool is_initialized() const { return has_config() && backends_known_; }
     config_version version() const;
     std::size_t in_progress() const { return exchanges_.size(); }
     relay_counts const& counts() const { return counts_; }
@@ -138,21 +138,22 @@
     void wait_for_worker(relay_exchange& exchange,
                          std::set<worker_id> const& excluded) override;
     void stop_waiting(relay_exchange& exchange) override;
-    void first_byte(relay_exchange& exchange) override;
-    void stream_went_on(duration gap) override { stream_gaps_.add(gap); }
-    void send_ended(relay_exchange& exchange, send_outcome outcome) override;
-    void said_leaving(relay_exchange const& exchange) override;
-    void asked_for_rest(relay_exchange const& exchange,
-                        time_point until) override;
-    void broke_off(relay_exchange const& exchange) override;
-    duration patience(relay_exchange const& exchange) const override;
+    void on_first_byte(relay_exchange& exchange) override;
+    void on_stream_bytes(duration gap) override { stream_gaps_.add(gap); }
+    void on_send_ended(relay_exchange& exchange, send_outcome outcome) override;
+    void on_worker_leaving(relay_exchange const& exchange) override;
+    void on_backoff_requested(relay_exchange const& exchange,
+                              time_point until) override;
+    void on_connection_lost(relay_exchange const& exchange) override;
+    duration first_byte_timeout(relay_exchange const& exchange) const override;
     duration retry_after(relay_exchange const& exchange,
-                         duration least) override;
-    bool take_retry(relay_exchange const& exchange) override;
+                         duration min_delay) override;
+    bool try_take_retry(relay_exchange const& exchange) override;
     void wake_at(relay_exchange& exchange, time_point when) override;
-    void note(relay_exchange const& exchange, std::string_view event,
-              std::string_view reason) override;
-    void finished(relay_exchange& exchange, relay_outcome outcome) override;
+    void log_request_event(relay_exchange const& exchange,
+                           std::string_view event,
+                           std::string_view reason) override;
+    void on_finished(relay_exchange& exchange, relay_outcome outcome) override;
     void tell_all(crash_news const& news,
                   std::function<void(bool by_all)> done) override;
 
@@ -168,7 +169,7 @@
         time_point arrived_at{};
     };
     /// What other VMs are owed: which of their grants are over.
-    struct peer_link
+    struct peer_state
     {
         backend_address address;
         std::vector<peer_done> done;
@@ -213,63 +214,66 @@
 
     void admit(relay_request request, std::shared_ptr<http_answer> answer,
                time_point arrived_at);
-    void keep_early(relay_request request, std::shared_ptr<http_answer> answer);
-    void refuse_uninformed(early_request const& early);
-    void review_early();
-    void refuse_at_once(relay_request const& request, http_answer& answer,
+    void hold_early_request(relay_request request,
+                            std::shared_ptr<http_answer> answer);
+    void reject_early_request(early_request const& early);
+    void process_early_requests();
+    void reject_request(relay_request const& request, http_answer& answer,
                         error const& problem);
     /// Whose the request is, or why it is not to be sent now; counted.
-    access_decision access_to(relay_request const& request,
-                              route const& matched);
+    access_decision check_access(relay_request const& request,
+                                 route const& matched);
     /// Whether the key it came with is still its team's; logged.
-    std::optional<error> refused_for_key(relay_exchange const& exchange);
+    std::optional<error> check_key(relay_exchange const& exchange);
     /// Takes what the request counts out of its team's allotment, then starts
     /// it, at once or when that is known to fit.
-    void start_metered(std::shared_ptr<relay_exchange> const& exchange,
-                       team const* holder);
-    void on_allotment(allotment_settled const& settled);
+    void acquire_allotment(std::shared_ptr<relay_exchange> const& exchange,
+                           team const* holder);
+    void on_allotment_decision(allotment_settled const& settled);
     void run_allotments();
-    void share_teams();
-    void share_members(std::vector<member_view> const& members,
-                       bool registered);
-    void send_question(ask_pool const& ask);
+    void update_teams();
+    void update_allotment_members(std::vector<member_view> const& members,
+                                  bool registered);
+    void send_allotment_query(ask_pool const& ask);
     /// Whether the request is not to be sent since workers crashed under it;
     /// logged.
-    std::optional<error> refused_for_crashes(relay_exchange const& exchange);
+    std::optional<error> check_quarantine(relay_exchange const& exchange);
     void place(service_state& service, place_request const& placed);
     /// The request does not take its place at its worker any more.
-    void free_place(relay_exchange const& exchange, send_outcome outcome);
+    void release_worker_slot(relay_exchange const& exchange,
+                             send_outcome outcome);
     service_state* find(service_id const& service);
     void add_service(service_config const& config);
-    void note_worker(std::string_view event, backend_entry const& worker);
-    void note_copy(relay_exchange const& exchange, place_request const& placed);
-    void note_replaced(relay_exchange const& exchange,
-                       place_request const& placed);
+    void log_worker(std::string_view event, backend_entry const& worker);
+    void log_prompt_copy(relay_exchange const& exchange,
+                         place_request const& placed);
+    void log_superseded_send(relay_exchange const& exchange,
+                             place_request const& placed);
 
-    void share_backends();
-    void run_soon();
+    void update_schedulers();
+    void schedule_run();
     void run();
     void run_service(service_state& service);
-    void tell_registry_moment(service_state& service) const;
-    void carry_out(service_state& service, placement_action const& action);
+    void update_registry_moment(service_state& service) const;
+    void execute(service_state& service, placement_action const& action);
     void send_order(give_order const& order);
-    void send_report(ask_report const& question);
-    void send_ask(service_state& service, ask_owner const& ask);
-    void on_ask(service_id const& service, ask_owner const& ask,
-                time_point asked_at, ask_outcome outcome,
-                peer_reply const& reply);
-    void note_ask(ask_owner const& ask, time_point asked_at,
-                  ask_outcome outcome, peer_reply const& reply);
-    void give_back(held_grant const& grant, send_outcome outcome);
-    void tell_done();
-    void answer_peer(ticket_id ticket, bool granted, granted_copy const& copy,
-                     double load);
-    void forget_peer_request(ticket_id ticket, send_outcome outcome);
+    void send_report_request(ask_report const& question);
+    void send_grant_request(service_state& service, ask_owner const& ask);
+    void on_grant_reply(service_id const& service, ask_owner const& ask,
+                        time_point asked_at, ask_outcome outcome,
+                        peer_reply const& reply);
+    void log_grant_reply(ask_owner const& ask, time_point asked_at,
+                         ask_outcome outcome, peer_reply const& reply);
+    void return_grant(held_grant const& grant, send_outcome outcome);
+    void send_ended_grants();
+    void answer_grant_request(ticket_id ticket, bool granted,
+                              granted_copy const& copy, double load);
+    void end_peer_request(ticket_id ticket, send_outcome outcome);
     void on_order(service_id const& service, worker_order const& order,
                   order_outcome outcome);
     void on_report(service_id const& service, worker_id const& worker,
                    std::optional<worker_report> const& report);
-    duration spread(duration retry_after);
+    duration add_jitter(duration retry_after);
     void arm_timer();
 
     asio::io_context& io_;
@@ -286,31 +290,32 @@
     crash_watch crashes_;
     bool backends_known_ = false;
     start_hold const start_;
-    std::vector<early_request> early_;
-    std::map<worker_id, order_grant> grants_;
+    std::vector<early_request> early_requests_;
+    std::map<worker_id, order_grant> owned_workers_;
     adapter_releases releases_;
     std::size_t members_ = 1;
     std::unique_ptr<team_directory> teams_;
     std::unique_ptr<allotment_keeper> allotments_;
     /// What requests in progress took out of allotments.
-    std::unordered_map<ticket_id, metered_request> metered_;
+    std::unordered_map<ticket_id, metered_request> metered_requests_;
     std::map<worker_id, vm_id> owners_;
-    std::map<vm_id, peer_link> peers_;
+    std::map<vm_id, peer_state> peers_;
     std::unordered_map<ticket_id, peer_request> peer_requests_;
     std::unordered_map<ticket_id, held_grant> held_grants_;
-    std::unordered_map<ticket_id, std::shared_ptr<backend_exchange>> asks_;
-    time_point tell_done_at_ = never;
+    std::unordered_map<ticket_id, std::shared_ptr<backend_exchange>>
+        grant_requests_;
+    time_point send_ended_grants_at_ = never;
     std::unordered_map<ticket_id, std::shared_ptr<relay_exchange>> exchanges_;
     due_index<ticket_id> due_;
     std::uint64_t last_ticket_ = 0;
     bool run_posted_ = false;
-    bool refuses_new_ = false;
+    bool rejects_new_requests_ = false;
     time_point sweep_at_{};
     std::mt19937_64 random_;
     relay_counts counts_;
-    latency_meter first_byte_;
+    latency_meter first_byte_latency_;
     /// From a request's arrival to its first send.
-    latency_meter waits_;
+    latency_meter queueing_delays_;
     latency_meter stream_gaps_;
 };
 
--- a/src/relay_admission.cpp
+++ b/src/relay_admission.cpp
@@ -13,19 +13,19 @@
 using std::chrono::milliseconds;
 
 /// A caller that named no deadline waits as long as its route allows.
-constexpr std::chrono::seconds no_deadline{3600};
+constexpr std::chrono::seconds default_time_left{3600};
 /// A route names a service that is not known yet: a configuration is on its
 /// way.
-constexpr milliseconds not_ready_retry{200};
+constexpr milliseconds unknown_service_retry_delay{200};
 /// Requests kept while a VM starts; at a few kilobytes each they are the least
 /// part of its memory.
-constexpr std::size_t most_early = 512;
+constexpr std::size_t max_early_requests = 512;
 /// Other VMs take the caller's next connection at once.
-constexpr milliseconds leaving_retry{20};
+constexpr milliseconds leaving_retry_delay{20};
 
 } // namespace
 
-void relay::refuse_at_once(relay_request const& request, http_answer& answer,
+void relay::reject_request(relay_request const& request, http_answer& answer,
                            error const& problem)
 {
     ++counts_.refused;
@@ -44,33 +44,33 @@
 {
     ++counts_.requests;
     relay_request request = codec_.decode_request(std::move(received));
-    if (refuses_new_)
-        return refuse_at_once(request, *answer,
+    if (rejects_new_requests_)
+        return reject_request(request, *answer,
                               error(error_kind::draining, "this VM is leaving",
-                                    ran::no, leaving_retry));
-    if (!informed())
-        return keep_early(std::move(request), std::move(answer));
+                                    ran::no, leaving_retry_delay));
+    if (!is_initialized())
+        return hold_early_request(std::move(request), std::move(answer));
     admit(std::move(request), std::move(answer), now());
 }
 
 /// See start_hold.hpp.
-void relay::keep_early(relay_request request,
-                       std::shared_ptr<http_answer> answer)
+void relay::hold_early_request(relay_request request,
+                               std::shared_ptr<http_answer> answer)
 {
     time_point const at = now();
     time_point const until = start_.keep_until(at, request.time_left);
     early_request early{std::move(request), std::move(answer), at, until,
                         std::make_shared<bool>(false)};
-    if (early.keep_until <= at || early_.size() >= most_early)
-        return refuse_uninformed(early);
+    if (early.keep_until <= at || early_requests_.size() >= max_early_requests)
+        return reject_early_request(early);
     early.answer->on_closed([gone = early.gone] { *gone = true; });
-    early_.push_back(std::move(early));
-    run_soon();
+    early_requests_.push_back(std::move(early));
+    schedule_run();
 }
 
-void relay::refuse_uninformed(early_request const& early)
+void relay::reject_early_request(early_request const& early)
 {
-    refuse_at_once(early.request, *early.answer,
+    reject_request(early.request, *early.answer,
                    error(error_kind::configuration_stale,
                          has_config() ? "the workers are not known yet"
                                       : "no configuration is known yet",
@@ -79,21 +79,21 @@
 
 /// Those that wait for what is known now are decided on, those that have waited
 /// long enough are turned away.
-void relay::review_early()
+void relay::process_early_requests()
 {
     time_point const at = now();
-    std::vector<early_request> waiting = std::exchange(early_, {});
+    std::vector<early_request> waiting = std::exchange(early_requests_, {});
     for (early_request& each : waiting)
     {
         if (*each.gone)
             ++counts_.caller_gone;
-        else if (informed())
+        else if (is_initialized())
             admit(std::move(each.request), std::move(each.answer),
                   each.arrived_at);
-        else if (at >= each.keep_until || refuses_new_)
-            refuse_uninformed(each);
+        else if (at >= each.keep_until || rejects_new_requests_)
+            reject_early_request(each);
         else
-            early_.push_back(std::move(each));
+            early_requests_.push_back(std::move(each));
     }
 }
 
@@ -102,12 +102,12 @@
 {
     route const* const matched = routes_->find(request.host, request.path);
     if (matched == nullptr)
-        return refuse_at_once(
+        return reject_request(
             request, *answer,
             error(error_kind::not_found, "no route has that host and path"));
-    auto const access = access_to(request, *matched);
+    auto const access = check_access(request, *matched);
     if (auto const* refused = std::get_if<error>(&access))
-        return refuse_at_once(request, *answer, *refused);
+        return reject_request(request, *answer, *refused);
     team const* const holder = std::get<access_granted>(access).holder;
     exchange_terms terms;
     if (!teams_->empty())
@@ -122,19 +122,19 @@
     terms.give_up_at =
         terms.arrived_at +
         std::min<duration>(matched->timeout,
-                           request.time_left.value_or(no_deadline));
+                           request.time_left.value_or(default_time_left));
     service_state* const service = find(terms.service);
     if (service == nullptr)
-        return refuse_at_once(request, *answer,
+        return reject_request(request, *answer,
                               error(error_kind::back_end_unavailable,
                                     "the route's service is not known", ran::no,
-                                    not_ready_retry));
+                                    unknown_service_retry_delay));
     terms.engine = service->engine;
     ticket_id const ticket = terms.ticket;
     auto const exchange = std::make_shared<relay_exchange>(
         *this, std::move(terms), std::move(request), answer);
-    if (auto const refused = refused_for_crashes(*exchange))
-        return refuse_at_once(exchange->request(), *answer, *refused);
+    if (auto const refused = check_quarantine(*exchange))
+        return reject_request(exchange->request(), *answer, *refused);
     service->retries.count_request(now());
     exchanges_.emplace(ticket, exchange);
     answer->on_closed(
@@ -143,10 +143,10 @@
             if (auto const open = weak.lock())
                 open->on_caller_gone();
         });
-    start_metered(exchange, holder);
+    acquire_allotment(exchange, holder);
 }
 
-std::optional<error> relay::refused_for_crashes(relay_exchange const& exchange)
+std::optional<error> relay::check_quarantine(relay_exchange const& exchange)
 {
     if (crashes_.idle())
         return std::nullopt;
--- a/src/relay_daemon.cpp
+++ b/src/relay_daemon.cpp
@@ -33,8 +33,8 @@
 
 /// The balancer asks once a second and drops a VM after two misses: until then
 /// it sends new connections, which must be accepted.
-constexpr milliseconds balancer_notice{2500};
-constexpr milliseconds stop_review{50};
+constexpr milliseconds balancer_detection_time{2500};
+constexpr milliseconds stop_check_interval{50};
 /// Kept back from the stop bound, so that the process ends by itself.
 constexpr milliseconds stop_margin{700};
 /// The lease in multiples of the gap between two owners' orders: the holder
@@ -42,10 +42,10 @@
 /// store before that, which is longer than most cuts. With three, a VM whose
 /// writes are all left unanswered never holds it; with five, the workers of a
 /// VM that is gone for good are without orders for three seconds more.
-constexpr int lease_gaps = 4;
+constexpr int lease_order_gaps = 4;
 /// The share of the gap by which it is kept longer than asked: an order is on
 /// its way for some time.
-constexpr int gap_slack = 15;
+constexpr int order_gap_extension_divisor = 15;
 /// Five renewals fit into what a holder may count on; each costs the store two
 /// calls.
 constexpr double heartbeats_per_gap = 1.5;
@@ -59,19 +59,19 @@
 constexpr double millicores_per_core = 1000;
 /// What a VM needs before its workers have an owner is tried so many times as
 /// often as its heartbeat: each tenth of a second or two.
-constexpr int first_retries = 10;
+constexpr int first_retry_divisor = 10;
 /// A call of the store that takes longer is as good as lost, and VMs that
 /// start together have registered within the same time: of the gap.
-constexpr int gap_shares = 3;
+constexpr int order_gap_divisor = 3;
 /// An older version may be used for that part of the bound on a new one's being
 /// in force. Failure: a request that was sent to an old copy after half of the
 /// bound waited 2.7 s at its worker and began too late. Four fifths are left
 /// for hearing of the version, a second at most, and for such a wait; the new
 /// copy is there after a quarter of a second.
-constexpr int grace_share = 5;
+constexpr int release_grace_divisor = 5;
 /// By so many quarters of that bound a request has begun that was sent to an
 /// older version; what is left is for hearing of the new one.
-constexpr int begin_quarters = 3;
+constexpr int release_begin_quarters = 3;
 /// Callers keep connections as long as the operator's limits say; nothing is
 /// gained by closing sooner.
 constexpr std::chrono::seconds idle_timeout{60};
@@ -82,12 +82,12 @@
     return (std::uint64_t{source()} << 32) ^ source();
 }
 
-std::string bound_text(listen_address const& at, http_server const& server)
+std::string bound_address(listen_address const& at, http_server const& server)
 {
     return at.address + ":" + std::to_string(server.port());
 }
 
-duration heartbeat_of(relay_settings const& value)
+duration heartbeat_interval(relay_settings const& value)
 {
     return std::chrono::duration_cast<duration>(value.order_gap /
                                                 heartbeats_per_gap);
@@ -101,18 +101,19 @@
     options.keeper.vm = value.vm;
     options.keeper.domain = value.domain;
     options.keeper.address = peers_address;
-    options.keeper.lease = value.order_gap * lease_gaps;
-    duration const gap = value.order_gap + value.order_gap / gap_slack;
+    options.keeper.lease = value.order_gap * lease_order_gaps;
+    duration const gap =
+        value.order_gap + value.order_gap / order_gap_extension_divisor;
     options.keeper.lease_margin = gap;
-    options.keeper.heartbeat = heartbeat_of(value);
-    options.keeper.table_timeout = value.order_gap / gap_shares;
-    options.keeper.settle = value.order_gap / gap_shares;
+    options.keeper.heartbeat = heartbeat_interval(value);
+    options.keeper.table_timeout = value.order_gap / order_gap_divisor;
+    options.keeper.settle = value.order_gap / order_gap_divisor;
     // A worker that changes hands takes no orders for the gap: one at a time.
     options.keeper.handover_interval = gap;
     options.keeper.seed = seed;
     options.keeper.order_gap = gap;
     options.keeper.owners = relay_owners;
-    options.keeper.first_retry = options.keeper.heartbeat / first_retries;
+    options.keeper.first_retry = options.keeper.heartbeat / first_retry_divisor;
     options.keeper.millicores = static_cast<unsigned>(
         std::lround(value.processor_share * millicores_per_core));
     options.order_gap = gap;
@@ -131,15 +132,15 @@
         options.oldest_declarations = value.keys.revocation * 3 / 4;
     options.answer_time = value.configuration_bound * 3 / 10;
     options.worker_interval = value.drain_bound / 2;
-    options.own_interval = heartbeat_of(value);
+    options.own_interval = heartbeat_interval(value);
     options.worker_essence = [&codec](stored_row const& row)
     { return worker_essence(codec, row); };
     return options;
 }
 
 /// Workers of engines take orders; plain services do not.
-std::vector<backend_entry> engines_among(std::vector<backend_entry> entries,
-                                         routing_config const& config)
+std::vector<backend_entry> engine_workers(std::vector<backend_entry> entries,
+                                          routing_config const& config)
 {
     std::erase_if(entries,
                   [&config](backend_entry const& each)
@@ -157,7 +158,7 @@
 {
 public:
     relay_process(relay_settings const& value, relay_codec const& codec,
-                  row_store& store, settings_reader const& read_again);
+                  row_store& store, settings_reader const& reload_settings);
 
     int run();
 
@@ -169,21 +170,21 @@
     void on_signal(int number);
     void reload();
     void begin_stop();
-    void review_stop();
+    void check_stop();
     bool ready() const;
     bool registry_known() const;
     registry_moment registry_as_of() const;
     void write_rows(table_transaction const& transaction,
                     std::function<void(bool)> const& done);
     void on_rows(row_set set, std::vector<stored_row> const& rows);
-    void share_workers();
+    void update_ownership_workers();
     void start_ownership();
-    void tell_addresses() const;
+    void print_addresses() const;
 
     relay_settings const settings_;
     relay_codec const& codec_;
     store_meter store_;
-    settings_reader const& read_again_;
+    settings_reader const& reload_settings_;
     std::uint64_t const seed_;
     asio::io_context io_{1};
     asio::signal_set signals_;
@@ -206,11 +207,12 @@
     time_point exit_at_ = never;
 };
 
-relay_options options_of(relay_settings const& value, std::uint64_t seed,
-                         std::function<bool(worker_id const&)> may_order,
-                         std::function<registry_moment()> registry_as_of,
-                         std::function<declarations_known()> declarations_as_of,
-                         crash_row_writer write_rows)
+relay_options
+make_relay_options(relay_settings const& value, std::uint64_t seed,
+                   std::function<bool(worker_id const&)> may_order,
+                   std::function<registry_moment()> registry_as_of,
+                   std::function<declarations_known()> declarations_as_of,
+                   crash_row_writer write_rows)
 {
     relay_options options;
     options.crashes.write_rows = std::move(write_rows);
@@ -223,8 +225,8 @@
     options.vm = value.vm;
     options.domain = value.domain;
     options.retries = value.retries;
-    options.release_grace = value.release_bound / grace_share;
-    options.release_begin = value.release_bound / 4 * begin_quarters;
+    options.release_grace = value.release_bound / release_grace_divisor;
+    options.release_begin = value.release_bound / 4 * release_begin_quarters;
     options.may_order = std::move(may_order);
     options.seed = seed;
     return options;
@@ -232,17 +234,17 @@
 
 relay_process::relay_process(relay_settings const& value,
                              relay_codec const& codec, row_store& store,
-                             settings_reader const& read_again)
-    : settings_(value), codec_(codec), store_(store), read_again_(read_again),
-      seed_(random_seed()), signals_(io_, SIGTERM, SIGINT, SIGHUP),
-      stop_timer_(io_),
+                             settings_reader const& reload_settings)
+    : settings_(value), codec_(codec), store_(store),
+      reload_settings_(reload_settings), seed_(random_seed()),
+      signals_(io_, SIGTERM, SIGINT, SIGHUP), stop_timer_(io_),
       log_("relay", value.log_lines_per_second,
            [](log_level level, std::string_view part, std::string_view event,
               std::string const& fields)
            { log_event(level, part, event, fields); }),
       relay_(
           io_, codec,
-          options_of(
+          make_relay_options(
               value, seed_,
               [this](worker_id const& worker)
               { return ownership_ && ownership_->may_order(worker); },
@@ -262,7 +264,7 @@
                  {
                      config_ = config;
                      relay_.set_config(std::move(config));
-                     share_workers();
+                     update_ownership_workers();
                  },
                  [this](adapter_release const& release)
                  { relay_.on_release(release); },
@@ -270,7 +272,7 @@
                  {
                      backends_ = std::move(entries);
                      relay_.set_backends(backends_);
-                     share_workers();
+                     update_ownership_workers();
                  }}),
       mirror_(io_, store_, relay_.pool(), mirror_options(value, codec), log_,
               {[this](row_set set, std::vector<stored_row> const& rows)
@@ -299,7 +301,7 @@
 void relay_process::write_rows(table_transaction const& transaction,
                                std::function<void(bool)> const& done)
 {
-    store_.transact(transaction, settings_.order_gap / gap_shares,
+    store_.transact(transaction, settings_.order_gap / order_gap_divisor,
                     [this, done](store_reply const& reply)
                     {
                         bool const written =
@@ -318,10 +320,10 @@
                       (away ? now : mirror_.returned_at()) + lapse_grace);
 }
 
-void relay_process::share_workers()
+void relay_process::update_ownership_workers()
 {
     if (config_ && registry_known())
-        ownership_->set_workers(engines_among(backends_, *config_));
+        ownership_->set_workers(engine_workers(backends_, *config_));
 }
 
 http_server_options relay_process::server_options(listen_address const& at)
@@ -391,7 +393,7 @@
 /// but the knowledge that they are sound; the rest holds from its next start.
 void relay_process::reload()
 {
-    auto const read = read_again_();
+    auto const read = reload_settings_();
     log_.notable("reload",
                  log_fields().add("outcome", !read                ? "faulty"
                                              : *read == settings_ ? "unchanged"
@@ -408,8 +410,8 @@
 {
     time_point const now = boot_clock::now();
     stopping_ = true;
-    stop_accepting_at_ =
-        now + std::min<duration>(balancer_notice, settings_.stop_bound / 2);
+    stop_accepting_at_ = now + std::min<duration>(balancer_detection_time,
+                                                  settings_.stop_bound / 2);
     exit_at_ = now + std::max<duration>(settings_.stop_bound - stop_margin,
                                         settings_.stop_bound / 2);
     callers_->close_after_answers();
@@ -417,10 +419,10 @@
         "stopping",
         log_fields().add("in_progress", std::uint64_t{relay_.in_progress()}),
         now);
-    review_stop();
+    check_stop();
 }
 
-void relay_process::review_stop()
+void relay_process::check_stop()
 {
     time_point const now = boot_clock::now();
     // Failure: a connection that was taken before brings its request after the
@@ -429,7 +431,7 @@
     // elsewhere.
     if (now >= stop_accepting_at_)
     {
-        relay_.refuse_new();
+        relay_.reject_new_requests();
         callers_->stop_accepting();
         callers_->close_idle();
         bool const idle = relay_.in_progress() == 0 && !callers_->has_unsent();
@@ -445,12 +447,12 @@
         }
         was_idle_ = idle;
     }
-    stop_timer_.expires_after(stop_review);
+    stop_timer_.expires_after(stop_check_interval);
     stop_timer_.async_wait(
         [this](asio::error_code const& cancelled)
         {
             if (!cancelled)
-                review_stop();
+                check_stop();
         });
 }
 
@@ -459,11 +461,11 @@
 {
     ownership_.emplace(
         io_, store_, mirror_,
-        ownership_options(settings_, bound_text(settings_.peers, *peers_),
+        ownership_options(settings_, bound_address(settings_.peers, *peers_),
                           seed_),
         log_,
         ownership_listener{[this](std::map<worker_id, order_grant> grants)
-                           { relay_.set_grants(std::move(grants)); },
+                           { relay_.set_owned_workers(std::move(grants)); },
                            [this](std::vector<member_view> members)
                            {
                                mirror_.set_members(members);
@@ -476,14 +478,14 @@
 }
 
 /// One line for whoever started the process, with the ports that were bound.
-void relay_process::tell_addresses() const
+void relay_process::print_addresses() const
 {
     std::string line =
-        "listening callers " + bound_text(settings_.callers, *callers_) +
-        " readiness " + bound_text(settings_.readiness, *readiness_) +
-        " peers " + bound_text(settings_.peers, *peers_);
+        "listening callers " + bound_address(settings_.callers, *callers_) +
+        " readiness " + bound_address(settings_.readiness, *readiness_) +
+        " peers " + bound_address(settings_.peers, *peers_);
     if (metrics_)
-        line += " metrics " + bound_text(settings_.metrics, *metrics_);
+        line += " metrics " + bound_address(settings_.metrics, *metrics_);
     write_line(line);
 }
 
@@ -513,7 +515,7 @@
             server_options(settings_.metrics),
             [this](http_request request, std::shared_ptr<http_answer> answer)
             { answer_metrics(request, *answer); });
-    tell_addresses();
+    print_addresses();
     log_.notable("started", log_fields().add("domain", settings_.domain.str()),
                  boot_clock::now());
     start_ownership();
@@ -525,10 +527,10 @@
 } // namespace
 
 int run_relay(relay_settings const& value, relay_codec const& codec,
-              row_store& store, settings_reader const& read_again)
+              row_store& store, settings_reader const& reload_settings)
 {
     start_logging(value.vm.str(), value.log_level, value.log_format);
-    relay_process process(value, codec, store, read_again);
+    relay_process process(value, codec, store, reload_settings);
     int const status = process.run();
     // Its answers are posted to the process's io_context.
     store.close();
--- a/src/relay_daemon.hpp
+++ b/src/relay_daemon.hpp
@@ -21,7 +21,7 @@
 /// again. Returns the exit status. Throws std::runtime_error if an address
 /// cannot be bound. Precondition: called once, on the main thread.
 int run_relay(relay_settings const& value, relay_codec const& codec,
-              row_store& store, settings_reader const& read_again);
+              row_store& store, settings_reader const& reload_settings);
 
 } // namespace mulberry
 
--- a/src/relay_exchange.cpp
+++ b/src/relay_exchange.cpp
@@ -10,33 +10,33 @@
 
 using std::chrono::milliseconds;
 
-constexpr int first_failure_status = 300;
+constexpr int first_non_success_status = 300;
 constexpr int first_server_error = 500;
 /// A request that workers reject one after the other is not sent to more: the
 /// view of the workers is out of date, and the caller may do better elsewhere.
-constexpr int most_sends = 4;
+constexpr int max_sends = 4;
 /// A plain answer larger than that is not kept in memory; the largest that
 /// the services give are some kilobytes.
-constexpr std::size_t most_buffered = 8UL * 1024 * 1024;
+constexpr std::size_t max_buffered_bytes = 8UL * 1024 * 1024;
 /// A stream that pauses for so long goes on at another worker, where that is
 /// allowed: callers give up after two seconds without an event.
-constexpr milliseconds longest_pause{900};
+constexpr milliseconds max_stream_gap{900};
 /// The answer to a request that was not run and may do better elsewhere.
-constexpr milliseconds soon{60};
+constexpr milliseconds overload_retry_delay{60};
 /// Callers that read nothing hold their streams' bytes here; one that lags by
 /// so much is cut off.
-constexpr std::size_t most_unsent = 1UL * 1024 * 1024;
+constexpr std::size_t max_unsent_bytes = 1UL * 1024 * 1024;
 
 /// How long opening a connection to a worker may take. Within a region it
 /// takes milliseconds; one that is not open after this long will not be.
 constexpr milliseconds connect_timeout{300};
 /// A kept connection may have been dropped without a word. What may run once
 /// only is sent over one that was in use a moment ago.
-constexpr milliseconds repeatable_idle{3000};
-constexpr milliseconds once_idle{1000};
+constexpr milliseconds max_idle_if_retryable{3000};
+constexpr milliseconds max_idle_if_not_retryable{1000};
 
 /// Statuses that callers take for "not run, and never will be".
-bool promises_not_run(int status)
+bool implies_not_run(int status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
@@ -48,34 +48,34 @@
 {
 public:
     attempt(std::shared_ptr<relay_exchange> of, std::uint64_t number)
-        : of_(std::move(of)), number_(number)
+        : exchange_(std::move(of)), number_(number)
     {
     }
     void on_head(int status, http_headers headers) override
     {
         if (current())
-            of_->on_head(status, std::move(headers));
+            exchange_->on_head(status, std::move(headers));
     }
     void on_body(std::string_view bytes) override
     {
         if (current())
-            of_->on_body(bytes);
+            exchange_->on_body(bytes);
     }
     void on_end(bool framed) override
     {
         if (current())
-            of_->on_end(framed);
+            exchange_->on_end(framed);
     }
     void on_failure(call_stage at, std::string const& reason) override
     {
         if (current())
-            of_->on_failure(at, reason);
+            exchange_->on_failure(at, reason);
     }
 
 private:
-    bool current() const { return of_->attempt_number_ == number_; }
+    bool current() const { return exchange_->attempt_number_ == number_; }
 
-    std::shared_ptr<relay_exchange> of_;
+    std::shared_ptr<relay_exchange> exchange_;
     std::uint64_t number_;
 };
 
@@ -103,15 +103,15 @@
 void relay_exchange::schedule_wake()
 {
     time_point when = terms_.give_up_at;
-    if (stage_ == stage::sent && repeatable() &&
+    if (stage_ == stage::sent && is_retryable() &&
         runs_ <= terms_.matched->worker_limit)
-        when = std::min(when, sent_at_ + host_.patience(*this));
-    if (stage_ == stage::streaming && repeatable())
-        when = std::min(when, last_byte_at_ + longest_pause);
+        when = std::min(when, sent_at_ + host_.first_byte_timeout(*this));
+    if (stage_ == stage::streaming && is_retryable())
+        when = std::min(when, last_byte_at_ + max_stream_gap);
     host_.wake_at(*this, when);
 }
 
-bool relay_exchange::repeatable() const
+bool relay_exchange::is_retryable() const
 {
     route const& matched = *terms_.matched;
     return matched.repeats == repeat_rule::idempotent ||
@@ -124,7 +124,7 @@
     worker_ = worker;
     stage_ = stage::sent;
     sent_at_ = host_.now();
-    placed_reason_ = placed.reason;
+    placement_reason_ = placed.reason;
     reply_ = {};
     answer_framed_ = false;
     headers_ = {};
@@ -147,14 +147,15 @@
         terms.resume_after = events_.last_id();
     exchange_options options;
     options.connect_timeout = connect_timeout;
-    options.max_idle = repeatable() ? repeatable_idle : once_idle;
+    options.max_idle =
+        is_retryable() ? max_idle_if_retryable : max_idle_if_not_retryable;
     ++attempt_number_;
     running_ = host_.pool().start(
         {worker.address, worker.port},
         host_.codec().encode_request(request_, terms), options,
         std::make_shared<attempt>(shared_from_this(), attempt_number_));
     if (sends_ > 1)
-        host_.note(*this, "sent again", placed.reason);
+        host_.log_request_event(*this, "sent again", placed.reason);
     schedule_wake();
 }
 
@@ -162,16 +163,16 @@
 {
     if (stream_begun_)
     {
-        host_.note(*this, "stream cut", why.text());
+        host_.log_request_event(*this, "stream cut", why.text());
         answer_->abort();
         return end(relay_outcome::failed);
     }
     // A request that may have run before is never said not to have run.
     if (runs_ > 0)
-        return give_error(error(error_kind::outcome_unknown,
-                                "no worker is left to try again"),
-                          relay_outcome::failed, why.text());
-    give_error(why, relay_outcome::refused, why.text());
+        return respond_with_error(error(error_kind::outcome_unknown,
+                                        "no worker is left to try again"),
+                                  relay_outcome::failed, why.text());
+    respond_with_error(why, relay_outcome::refused, why.text());
 }
 
 void relay_exchange::on_due()
@@ -181,45 +182,47 @@
     time_point const now = host_.now();
     if (now < terms_.give_up_at)
     {
-        bool const silent = (stage_ == stage::sent && repeatable() &&
-                             now >= sent_at_ + host_.patience(*this)) ||
-                            (stage_ == stage::streaming &&
-                             now >= last_byte_at_ + longest_pause);
-        if (silent && may_repeat())
+        bool const silent =
+            (stage_ == stage::sent && is_retryable() &&
+             now >= sent_at_ + host_.first_byte_timeout(*this)) ||
+            (stage_ == stage::streaming &&
+             now >= last_byte_at_ + max_stream_gap);
+        if (silent && try_reserve_retry())
         {
             end_send(send_outcome::silent);
             return resubmit("the worker is silent");
         }
         // Not silent, or not to be repeated: on until the deadline.
         return host_.wake_at(*this, stage_ == stage::streaming && !silent
-                                        ? last_byte_at_ + longest_pause
+                                        ? last_byte_at_ + max_stream_gap
                                         : terms_.give_up_at);
     }
     if (stage_ == stage::waiting)
     {
         host_.stop_waiting(*this);
         if (runs_ == 0 && !stream_begun_)
-            return give_error(error(error_kind::overloaded,
-                                    "no worker was free in time", ran::no,
-                                    soon),
-                              relay_outcome::refused, "deadline while waiting");
+            return respond_with_error(
+                error(error_kind::overloaded, "no worker was free in time",
+                      ran::no, overload_retry_delay),
+                relay_outcome::refused, "deadline while waiting");
     }
     else
         end_send(send_outcome::silent);
     if (stream_begun_)
     {
-        host_.note(*this, "stream cut", "deadline");
+        host_.log_request_event(*this, "stream cut", "deadline");
         answer_->abort();
         return end(relay_outcome::failed);
     }
-    give_error(error(error_kind::deadline_passed, "the worker gave no answer"),
-               relay_outcome::failed, "deadline");
+    respond_with_error(
+        error(error_kind::deadline_passed, "the worker gave no answer"),
+        relay_outcome::failed, "deadline");
 }
 
 void relay_exchange::on_withdrawn()
 {
     if (stage_ == stage::sent)
-        recover(send_outcome::abandoned, "its version was replaced");
+        retry_or_fail(send_outcome::abandoned, "its version was replaced");
 }
 
 void relay_exchange::on_caller_gone()
@@ -241,37 +244,39 @@
         // The answer to some other request came late on this connection. What
         // became of ours cannot be told.
         running_->cancel();
-        return recover(send_outcome::broken, "an answer to another request");
+        return retry_or_fail(send_outcome::broken,
+                             "an answer to another request");
     }
     last_byte_at_ = host_.now();
     if (reply_.leaving && !reply_.other_worker)
-        host_.said_leaving(*this);
+        host_.on_worker_leaving(*this);
     if (reply_.rest)
-        host_.asked_for_rest(*this, last_byte_at_ + *reply_.rest);
+        host_.on_backoff_requested(*this, last_byte_at_ + *reply_.rest);
     headers_ = host_.codec().answer_headers(headers);
     stage_ = stage::buffering;
     if (!reply_.not_run)
     {
-        host_.first_byte(*this);
+        host_.on_first_byte(*this);
         if (last_byte_at_ - terms_.arrived_at >
             terms_.matched->latency_objective / 2)
-            host_.note(*this, "slow", placed_reason_);
+            host_.log_request_event(*this, "slow", placement_reason_);
     }
-    if (status < first_failure_status && reply_.event_stream)
+    if (status < first_non_success_status && reply_.event_stream)
     {
-        if (!answer_acceptable())
+        if (!is_answer_acceptable())
         {
             running_->cancel();
-            return recover(send_outcome::broken, "the answer has no proof");
+            return retry_or_fail(send_outcome::broken,
+                                 "the answer has no proof");
         }
         return begin_stream();
     }
     host_.wake_at(*this, terms_.give_up_at);
 }
 
-bool relay_exchange::answer_acceptable() const
+bool relay_exchange::is_answer_acceptable() const
 {
-    return reply_.status >= first_failure_status ||
+    return reply_.status >= first_non_success_status ||
            (reply_.sealed && !reply_.encoded);
 }
 
@@ -281,33 +286,34 @@
     if (!stream_begun_)
         answer_->start_stream(reply_.status, headers_);
     stream_begun_ = true;
-    events_.drop_rest();
+    events_.discard_incomplete();
     schedule_wake();
 }
 
 void relay_exchange::on_body(std::string_view bytes)
 {
     if (stage_ == stage::streaming)
-        return pass_on(bytes);
-    if (body_.size() + bytes.size() > most_buffered)
+        return forward_stream(bytes);
+    if (body_.size() + bytes.size() > max_buffered_bytes)
     {
         running_->cancel();
-        return recover(send_outcome::broken, "the answer is too large");
+        return retry_or_fail(send_outcome::broken, "the answer is too large");
     }
     body_ += bytes;
 }
 
-void relay_exchange::pass_on(std::string_view bytes)
+void relay_exchange::forward_stream(std::string_view bytes)
 {
     time_point const at = host_.now();
-    host_.stream_went_on(at - std::exchange(last_byte_at_, at));
-    if (!repeatable())
+    host_.on_stream_bytes(at - std::exchange(last_byte_at_, at));
+    if (!is_retryable())
         answer_->write(std::string(bytes));
-    else if (std::string whole = events_.feed(bytes); !whole.empty())
-        answer_->write(std::move(whole));
-    if (answer_->unsent_bytes() > most_unsent)
+    else if (std::string complete = events_.feed(bytes); !complete.empty())
+        answer_->write(std::move(complete));
+    if (answer_->unsent_bytes() > max_unsent_bytes)
     {
-        host_.note(*this, "stream cut", "the caller does not read");
+        host_.log_request_event(*this, "stream cut",
+                                "the caller does not read");
         end_send(send_outcome::abandoned);
         answer_->abort();
         end(relay_outcome::caller_gone);
@@ -327,9 +333,10 @@
 void relay_exchange::finish_stream()
 {
     end_send(send_outcome::served);
-    if (events_.rest_bytes() > 0)
+    if (events_.incomplete_bytes() > 0)
     {
-        host_.note(*this, "stream cut", "it ended within an event");
+        host_.log_request_event(*this, "stream cut",
+                                "it ended within an event");
         answer_->abort();
         return end(relay_outcome::failed);
     }
@@ -346,24 +353,24 @@
                                                       : send_outcome::full;
     excluded_.insert(worker_.id);
     end_send(outcome);
-    if (sends_ < most_sends && host_.take_retry(*this))
+    if (sends_ < max_sends && host_.try_take_retry(*this))
         return resubmit("rejected by the worker");
     stage_ = stage::waiting;
     on_refused(error(error_kind::overloaded, "workers rejected it", ran::no,
-                     host_.retry_after(*this, soon)));
+                     host_.retry_after(*this, overload_retry_delay)));
 }
 
 void relay_exchange::finish_answer()
 {
-    if (!answer_acceptable())
-        return recover(send_outcome::broken, "the answer has no proof");
+    if (!is_answer_acceptable())
+        return retry_or_fail(send_outcome::broken, "the answer has no proof");
     // Failure: a worker ran the request and answers with a status that callers
     // take for "not run"; they send it again and it runs twice.
-    if (promises_not_run(reply_.status))
-        return recover(send_outcome::failed,
-                       "the worker does not state that it did not run");
+    if (implies_not_run(reply_.status))
+        return retry_or_fail(send_outcome::failed,
+                             "the worker does not state that it did not run");
     bool const failed = reply_.status >= first_server_error;
-    if (failed && may_repeat())
+    if (failed && try_reserve_retry())
     {
         end_send(send_outcome::failed);
         return resubmit("the worker failed");
@@ -376,7 +383,8 @@
         return end(relay_outcome::failed);
     }
     if (failed)
-        host_.note(*this, "worker failed", "its own answer is passed on");
+        host_.log_request_event(*this, "worker failed",
+                                "its own answer is passed on");
     answer_->respond({reply_.status, std::move(headers_), std::move(body_)});
     end(failed ? relay_outcome::worker_failed : relay_outcome::served);
 }
@@ -392,29 +400,30 @@
         end_send(send_outcome::unreachable);
         return resubmit(reason);
     }
-    host_.broke_off(*this);
-    recover(send_outcome::broken, reason);
+    host_.on_connection_lost(*this);
+    retry_or_fail(send_outcome::broken, reason);
 }
 
-bool relay_exchange::may_repeat()
+bool relay_exchange::try_reserve_retry()
 {
-    return repeatable() && runs_ < terms_.matched->worker_limit &&
-           sends_ < most_sends && host_.take_retry(*this);
+    return is_retryable() && runs_ < terms_.matched->worker_limit &&
+           sends_ < max_sends && host_.try_take_retry(*this);
 }
 
-void relay_exchange::recover(send_outcome outcome, std::string_view reason)
+void relay_exchange::retry_or_fail(send_outcome outcome,
+                                   std::string_view reason)
 {
     end_send(outcome);
-    if (may_repeat())
+    if (try_reserve_retry())
         return resubmit(reason);
     if (stream_begun_)
     {
-        host_.note(*this, "stream cut", reason);
+        host_.log_request_event(*this, "stream cut", reason);
         answer_->abort();
         return end(relay_outcome::failed);
     }
-    give_error(error(error_kind::outcome_unknown, std::string(reason)),
-               relay_outcome::failed, reason);
+    respond_with_error(error(error_kind::outcome_unknown, std::string(reason)),
+                       relay_outcome::failed, reason);
 }
 
 void relay_exchange::end_send(send_outcome outcome)
@@ -423,23 +432,24 @@
     if (running_)
         running_->cancel();
     running_.reset();
-    host_.send_ended(*this, outcome);
+    host_.on_send_ended(*this, outcome);
 }
 
 void relay_exchange::resubmit(std::string_view reason)
 {
-    host_.note(*this, "tries again", reason);
+    host_.log_request_event(*this, "tries again", reason);
     excluded_.insert(worker_.id);
     stage_ = stage::waiting;
     schedule_wake();
     host_.wait_for_worker(*this, excluded_);
 }
 
-void relay_exchange::give_error(error problem, relay_outcome outcome,
-                                std::string_view reason)
+void relay_exchange::respond_with_error(error problem, relay_outcome outcome,
+                                        std::string_view reason)
 {
-    host_.note(*this, outcome == relay_outcome::refused ? "rejected" : "failed",
-               reason);
+    host_.log_request_event(
+        *this, outcome == relay_outcome::refused ? "rejected" : "failed",
+        reason);
     answer_->respond(host_.codec().error_response(request_, problem));
     end(outcome);
 }
@@ -449,7 +459,7 @@
     stage_ = stage::over;
     ++attempt_number_;
     host_.wake_at(*this, never);
-    host_.finished(*this, outcome);
+    host_.on_finished(*this, outcome);
 }
 
 } // namespace mulberry
--- a/src/relay_exchange.hpp
+++ b/src/relay_exchange.hpp
@@ -42,32 +42,36 @@
     virtual void wait_for_worker(relay_exchange& exchange,
                                  std::set<worker_id> const& excluded) = 0;
     virtual void stop_waiting(relay_exchange& exchange) = 0;
-    virtual void first_byte(relay_exchange& exchange) = 0;
+    virtual void on_first_byte(relay_exchange& exchange) = 0;
     /// More of a stream came, that long after what came before it.
-    virtual void stream_went_on(duration gap) = 0;
+    virtual void on_stream_bytes(duration gap) = 0;
     /// The send to the worker is over.
-    virtual void send_ended(relay_exchange& exchange, send_outcome outcome) = 0;
+    virtual void on_send_ended(relay_exchange& exchange,
+                               send_outcome outcome) = 0;
     /// The worker said that it leaves.
-    virtual void said_leaving(relay_exchange const& exchange) = 0;
+    virtual void on_worker_leaving(relay_exchange const& exchange) = 0;
     /// The worker turned the request away, and wants none from this VM until
     /// then.
-    virtual void asked_for_rest(relay_exchange const& exchange,
-                                time_point until) = 0;
+    virtual void on_backoff_requested(relay_exchange const& exchange,
+                                      time_point until) = 0;
     /// The connection closed before the worker's answer was whole.
-    virtual void broke_off(relay_exchange const& exchange) = 0;
-    virtual duration patience(relay_exchange const& exchange) const = 0;
+    virtual void on_connection_lost(relay_exchange const& exchange) = 0;
+    virtual duration
+    first_byte_timeout(relay_exchange const& exchange) const = 0;
     /// When its caller is to come back: when some worker of its service takes
     /// requests of this VM again, after `least` at the earliest.
     virtual duration retry_after(relay_exchange const& exchange,
-                                 duration least) = 0;
+                                 duration min_delay) = 0;
     /// Takes one repeated send of the service, if the limit allows.
-    virtual bool take_retry(relay_exchange const& exchange) = 0;
+    virtual bool try_take_retry(relay_exchange const& exchange) = 0;
     /// Calls back on_due() at that moment; `never` for not at all.
     virtual void wake_at(relay_exchange& exchange, time_point when) = 0;
-    virtual void note(relay_exchange const& exchange, std::string_view event,
-                      std::string_view reason) = 0;
+    virtual void log_request_event(relay_exchange const& exchange,
+                                   std::string_view event,
+                                   std::string_view reason) = 0;
     /// Nothing more will happen; the exchange may be destroyed after return.
-    virtual void finished(relay_exchange& exchange, relay_outcome outcome) = 0;
+    virtual void on_finished(relay_exchange& exchange,
+                             relay_outcome outcome) = 0;
 };
 
 /// What was decided on a request's arrival. Immutable.
@@ -119,10 +123,10 @@
     bool never_ran() const { return runs_ == 0; }
     /// Whether the worker of the last send ran the request to the end of an
     /// answer. One that ends with its connection may have been cut short.
-    bool answered_whole() const { return answer_framed_ && !reply_.not_run; }
+    bool answer_complete() const { return answer_framed_ && !reply_.not_run; }
     time_point sent_at() const { return sent_at_; }
     /// How long it waited before it was last sent; 0 if it never was.
-    duration waited() const
+    duration queueing_delay() const
     {
         return sent_at_ == time_point() ? duration(0)
                                         : sent_at_ - terms_.arrived_at;
@@ -145,22 +149,22 @@
     void on_end(bool framed);
     void on_failure(call_stage at, std::string const& reason);
 
-    bool repeatable() const;
-    bool may_repeat();
+    bool is_retryable() const;
+    bool try_reserve_retry();
     void begin_stream();
-    void pass_on(std::string_view bytes);
+    void forward_stream(std::string_view bytes);
     void finish_stream();
     void finish_rejected();
     void finish_answer();
     void end_send(send_outcome outcome);
     /// Sends again where that is allowed; else ends with an error that fits.
-    void recover(send_outcome outcome, std::string_view reason);
+    void retry_or_fail(send_outcome outcome, std::string_view reason);
     void resubmit(std::string_view reason);
-    void give_error(error problem, relay_outcome outcome,
-                    std::string_view reason);
+    void respond_with_error(error problem, relay_outcome outcome,
+                            std::string_view reason);
     void end(relay_outcome outcome);
     void schedule_wake();
-    bool answer_acceptable() const;
+    bool is_answer_acceptable() const;
 
     exchange_host& host_;
     exchange_terms const terms_;
@@ -177,7 +181,7 @@
     /// Sends that may have run.
     int runs_ = 0;
     time_point sent_at_{};
-    std::string placed_reason_;
+    std::string placement_reason_;
     time_point last_byte_at_{};
     worker_reply reply_;
     bool answer_framed_ = false;
--- a/src/relay_metrics.cpp
+++ b/src/relay_metrics.cpp
@@ -26,20 +26,20 @@
     };
     rejected("key_missing", counts_.key_missing);
     rejected("key_unknown", counts_.key_unknown);
-    rejected("key_in_doubt", counts_.key_in_doubt);
+    rejected("key_in_doubt", counts_.key_unverified);
     rejected("over_allotment", counts_.over_allotment);
     rejected("allotment_unknown", counts_.allotment_unknown);
     add("retries_total", "", counts_.retries);
-    add("sent_to_replaced_version_total", "", counts_.sent_to_replaced);
-    add("workers_leaving_heard_total", "", counts_.leaving_heard);
-    add("worker_rests_total", "", counts_.rests);
+    add("sent_to_replaced_version_total", "", counts_.sent_to_superseded);
+    add("workers_leaving_heard_total", "", counts_.leaving_reported);
+    add("worker_rests_total", "", counts_.backoffs);
 
     add("orders_total", "", counts_.orders);
     add("orders_unknown_total", "", counts_.orders_unknown);
     add("orders_conflict_total", "", counts_.orders_conflict);
     add("worker_reports_total", "", counts_.reports);
     add("connections_opened_total", "", pool_.connections_opened());
-    add("log_lines_left_out_total", "", log_.left_out());
+    add("log_lines_left_out_total", "", log_.lines_left_out());
     add("config_version", "", version().value());
     add("members", "", members_);
     add("requests_in_progress", "", exchanges_.size());
@@ -52,8 +52,8 @@
         add(name + "_count", "", seen.count);
         add(name + "_sum", "", seen.sum);
     };
-    spans("first_byte_seconds", first_byte_);
-    spans("waited_seconds", waits_);
+    spans("first_byte_seconds", first_byte_latency_);
+    spans("waited_seconds", queueing_delays_);
     spans("stream_gap_seconds", stream_gaps_);
     for (auto const& [name, service] : services_)
     {
--- a/src/relay_orders.cpp
+++ b/src/relay_orders.cpp
@@ -49,7 +49,7 @@
     call.to = {worker.address, worker.port};
     call.bytes = std::move(bytes);
     call.options.connect_timeout = timeout;
-    call.ends_at = [ends = std::chrono::steady_clock::now() + timeout]
+    call.current_deadline = [ends = std::chrono::steady_clock::now() + timeout]
     { return ends; };
     return call;
 }
@@ -75,7 +75,7 @@
     start_collected(io_, pool_, std::move(call));
 }
 
-void relay::send_report(ask_report const& question)
+void relay::send_report_request(ask_report const& question)
 {
     ++counts_.reports;
     collected_call call =
@@ -115,7 +115,7 @@
         log_.notable("order answered", fields(), now());
     else if (changed)
         log_.routine("order answered", fields(), now());
-    run_soon();
+    schedule_run();
 }
 
 void relay::on_report(service_id const& service, worker_id const& worker,
@@ -130,7 +130,7 @@
         now());
     if (service_state* const known = find(service))
         known->scheduler.on_report(worker, report, now());
-    run_soon();
+    schedule_run();
 }
 
 } // namespace mulberry
--- a/src/relay_peers.cpp
+++ b/src/relay_peers.cpp
@@ -20,15 +20,15 @@
 constexpr int status_bad_request = 400;
 /// Grants that are over are told with the next question to their VM, or after
 /// this: until then the worker's room counts as taken.
-constexpr milliseconds tell_done_delay{30};
-constexpr milliseconds tell_done_timeout{500};
+constexpr milliseconds ended_grants_delay{30};
+constexpr milliseconds peer_update_timeout{500};
 constexpr milliseconds peer_connect_timeout{250};
-constexpr milliseconds peer_idle{3000};
+constexpr milliseconds peer_max_idle{3000};
 /// A grant whose end was never told is over so long after its deadline.
-constexpr milliseconds grant_slack{500};
+constexpr milliseconds grant_expiry_margin{500};
 
 /// An answer that takes longer is always logged.
-constexpr milliseconds slow_answer{200};
+constexpr milliseconds slow_answer_threshold{200};
 
 std::string_view outcome_name(ask_outcome outcome)
 {
@@ -52,14 +52,14 @@
     call.to = to;
     call.bytes = encode_peer_call(message, to.ip, boot_clock::now());
     call.options.connect_timeout = peer_connect_timeout;
-    call.options.max_idle = peer_idle;
+    call.options.max_idle = peer_max_idle;
     return call;
 }
 
 } // namespace
 
-void relay::share_members(std::vector<member_view> const& members,
-                          bool registered)
+void relay::update_allotment_members(std::vector<member_view> const& members,
+                                     bool registered)
 {
     allotment_members shared;
     shared.count = members_;
@@ -80,19 +80,19 @@
     members_ = std::max<std::size_t>(members.size(), 1);
     for (auto& [name, service] : services_)
         service.scheduler.set_members(members_);
-    share_members(members, registered);
-    std::map<vm_id, peer_link> links;
+    update_allotment_members(members, registered);
+    std::map<vm_id, peer_state> states;
     for (member_view const& member : members)
     {
         auto const address = parse_address(member.address);
         if (member.vm == options_.vm || !address)
             continue;
-        peer_link& link = links[member.vm];
+        peer_state& link = states[member.vm];
         link.address = *address;
         if (auto const known = peers_.find(member.vm); known != peers_.end())
             link.done = std::move(known->second.done);
     }
-    peers_ = std::move(links);
+    peers_ = std::move(states);
 }
 
 void relay::set_owners(std::map<worker_id, vm_id> owners)
@@ -100,7 +100,7 @@
     owners_ = std::move(owners);
     for (auto& [name, service] : services_)
         service.scheduler.set_owners(owners_);
-    run_soon();
+    schedule_run();
 }
 
 void relay::handle_peer(http_request const& received,
@@ -112,7 +112,7 @@
     if (!message)
         return answer->respond({status_bad_request, {}, {}});
     for (peer_done const& done : message->done)
-        forget_peer_request(ticket_id(done.grant), done.outcome);
+        end_peer_request(ticket_id(done.grant), done.outcome);
     if (!message->crashes.empty())
         crashes_.on_news(message->crashes);
     if (!message->ask)
@@ -140,17 +140,16 @@
     if (ask.begins_elsewhere)
         item.begins_elsewhere_at = at + *ask.begins_elsewhere;
     ticket_id const ticket = item.ticket;
-    due_.set(ticket, item.give_up_at + grant_slack);
+    due_.set(ticket, item.give_up_at + grant_expiry_margin);
     peer_requests_[ticket] = {ask.service, answer, ask.request, ask.worker, at};
     service->scheduler.submit(std::move(item), at);
-    answer->on_closed(
-        [this, ticket]
-        { forget_peer_request(ticket, send_outcome::abandoned); });
-    run_soon();
+    answer->on_closed([this, ticket]
+                      { end_peer_request(ticket, send_outcome::abandoned); });
+    schedule_run();
 }
 
 /// Withdraws a request that waits, ends one that was granted.
-void relay::forget_peer_request(ticket_id ticket, send_outcome outcome)
+void relay::end_peer_request(ticket_id ticket, send_outcome outcome)
 {
     auto const found = peer_requests_.find(ticket);
     if (found == peer_requests_.end())
@@ -162,11 +161,11 @@
     }
     due_.erase(ticket);
     peer_requests_.erase(found);
-    run_soon();
+    schedule_run();
 }
 
-void relay::answer_peer(ticket_id ticket, bool granted,
-                        granted_copy const& copy, double load)
+void relay::answer_grant_request(ticket_id ticket, bool granted,
+                                 granted_copy const& copy, double load)
 {
     auto const found = peer_requests_.find(ticket);
     if (found == peer_requests_.end())
@@ -183,7 +182,7 @@
             .add("waited_ms", waited)
             .add("load_percent", static_cast<int>(load * 100));
     };
-    if (!granted || waited >= slow_answer)
+    if (!granted || waited >= slow_answer_threshold)
         log_.notable("room for another VM", fields(), at);
     else
         log_.routine("room for another VM", fields(), at);
@@ -200,7 +199,7 @@
 }
 
 /// May be called within a decision, so nothing is told before it is over.
-void relay::send_ask(service_state& service, ask_owner const& ask)
+void relay::send_grant_request(service_state& service, ask_owner const& ask)
 {
     auto const found = exchanges_.find(ask.ticket);
     auto const peer = peers_.find(ask.owner);
@@ -209,8 +208,11 @@
     service_id const name = found->second->terms().service;
     if (peer == peers_.end())
     {
-        asio::post(io_, [this, name, ask]
-                   { on_ask(name, ask, now(), ask_outcome::unreachable, {}); });
+        asio::post(io_,
+                   [this, name, ask] {
+                       on_grant_reply(name, ask, now(),
+                                      ask_outcome::unreachable, {});
+                   });
         return;
     }
     peer_call message;
@@ -232,7 +234,7 @@
         message.ask->begins_elsewhere = ask.begins_elsewhere_at - now();
     message.done = std::exchange(peer->second.done, {});
     collected_call call = call_to(peer->second.address, message);
-    call.ends_at = [this, name, ticket = ask.ticket] {
+    call.current_deadline = [this, name, ticket = ask.ticket] {
         return boot_clock::to_steady(find(name)->scheduler.ask_ends_at(ticket));
     };
     call.on_head = [this, name, ticket = ask.ticket](int status)
@@ -250,13 +252,14 @@
                                     : !reply         ? ask_outcome::unreachable
                                     : reply->granted ? ask_outcome::granted
                                                      : ask_outcome::refused;
-        on_ask(name, ask, asked_at, outcome, reply.value_or(peer_reply()));
+        on_grant_reply(name, ask, asked_at, outcome,
+                       reply.value_or(peer_reply()));
     };
-    asks_[ask.ticket] = start_collected(io_, pool_, std::move(call));
+    grant_requests_[ask.ticket] = start_collected(io_, pool_, std::move(call));
 }
 
-void relay::note_ask(ask_owner const& ask, time_point asked_at,
-                     ask_outcome outcome, peer_reply const& reply)
+void relay::log_grant_reply(ask_owner const& ask, time_point asked_at,
+                            ask_outcome outcome, peer_reply const& reply)
 {
     auto const found = exchanges_.find(ask.ticket);
     if (found == exchanges_.end())
@@ -272,41 +275,43 @@
             .add("outcome", outcome_name(outcome))
             .add("took_ms", at - asked_at);
     };
-    if (outcome != ask_outcome::granted || at - asked_at >= slow_answer)
+    if (outcome != ask_outcome::granted ||
+        at - asked_at >= slow_answer_threshold)
         log_.notable("owner answered", fields(), at);
     else
         log_.routine("owner answered", fields(), at);
 }
 
-void relay::on_ask(service_id const& service, ask_owner const& ask,
-                   time_point asked_at, ask_outcome outcome,
-                   peer_reply const& reply)
+void relay::on_grant_reply(service_id const& service, ask_owner const& ask,
+                           time_point asked_at, ask_outcome outcome,
+                           peer_reply const& reply)
 {
-    asks_.erase(ask.ticket);
-    note_ask(ask, asked_at, outcome, reply);
+    grant_requests_.erase(ask.ticket);
+    log_grant_reply(ask, asked_at, outcome, reply);
     bool const wanted = exchanges_.count(ask.ticket) > 0;
     if (outcome == ask_outcome::granted)
     {
         if (!wanted)
-            return give_back({ask.owner, reply.grant}, send_outcome::abandoned);
+            return return_grant({ask.owner, reply.grant},
+                                send_outcome::abandoned);
         held_grants_[ask.ticket] = {ask.owner, reply.grant};
     }
     service_state& state = *find(service);
-    tell_registry_moment(state);
+    update_registry_moment(state);
     bool const used = state.scheduler.on_owner(
         ask.ticket, outcome, {reply.worker, reply.version}, now());
     if (!used && outcome == ask_outcome::granted)
     {
-        give_back({ask.owner, reply.grant}, send_outcome::abandoned);
+        return_grant({ask.owner, reply.grant}, send_outcome::abandoned);
         held_grants_.erase(ask.ticket);
     }
-    run_soon();
+    schedule_run();
 }
 
 void relay::tell_all(crash_news const& news,
                      std::function<void(bool by_all)> done)
 {
-    struct round
+    struct pending_broadcast
     {
         std::size_t open = 0;
         bool by_all = true;
@@ -314,38 +319,39 @@
     };
     if (peers_.empty())
         return asio::post(io_, [done = std::move(done)] { done(false); });
-    auto const told = std::make_shared<round>();
-    told->open = peers_.size();
-    told->done = std::move(done);
+    auto const broadcast_state = std::make_shared<pending_broadcast>();
+    broadcast_state->open = peers_.size();
+    broadcast_state->done = std::move(done);
     for (auto const& [vm, peer] : peers_)
     {
         peer_call message;
         message.crashes = news;
         collected_call call = call_to(peer.address, message);
-        call.ends_at = [ends = std::chrono::steady_clock::now() +
-                               tell_done_timeout] { return ends; };
-        call.on_end = [told](collected_answer const& answer)
+        call.current_deadline = [ends = std::chrono::steady_clock::now() +
+                                        peer_update_timeout] { return ends; };
+        call.on_end = [broadcast_state](collected_answer const& answer)
         {
-            told->by_all &= answer.status == status_ok;
-            if (--told->open == 0)
-                told->done(told->by_all);
+            broadcast_state->by_all &= answer.status == status_ok;
+            if (--broadcast_state->open == 0)
+                broadcast_state->done(broadcast_state->by_all);
         };
         start_collected(io_, pool_, std::move(call));
     }
 }
 
-void relay::give_back(held_grant const& grant, send_outcome outcome)
+void relay::return_grant(held_grant const& grant, send_outcome outcome)
 {
     auto const peer = peers_.find(grant.owner);
     if (peer == peers_.end())
         return;
     peer->second.done.push_back({grant.number, outcome});
-    tell_done_at_ = std::min(tell_done_at_, now() + tell_done_delay);
+    send_ended_grants_at_ =
+        std::min(send_ended_grants_at_, now() + ended_grants_delay);
 }
 
-void relay::tell_done()
+void relay::send_ended_grants()
 {
-    tell_done_at_ = never;
+    send_ended_grants_at_ = never;
     for (auto& [vm, peer] : peers_)
     {
         if (peer.done.empty())
@@ -353,8 +359,8 @@
         peer_call message;
         message.done = std::exchange(peer.done, {});
         collected_call call = call_to(peer.address, message);
-        call.ends_at = [ends = std::chrono::steady_clock::now() +
-                               tell_done_timeout] { return ends; };
+        call.current_deadline = [ends = std::chrono::steady_clock::now() +
+                                        peer_update_timeout] { return ends; };
         // Nothing follows from it: a grant that is not given back expires.
         call.on_end = [](collected_answer const&) {};
         start_collected(io_, pool_, std::move(call));
--- a/src/relay_settings.cpp
+++ b/src/relay_settings.cpp
@@ -13,7 +13,7 @@
 using enum presence;
 
 constexpr std::uint64_t max_port = 65535;
-constexpr milliseconds longest_bound{60'000};
+constexpr milliseconds max_bound{60'000};
 
 /// IP:PORT, as one text.
 void read_address(json_object& root, char const* key, listen_address& into,
@@ -38,9 +38,8 @@
 
 void read_bounds(json_object& root, relay_settings& value)
 {
-    auto const read = [&](char const* key, duration& into)
-    {
-        root.read_milliseconds(key, into, {milliseconds(1), longest_bound},
+    auto const read = [&](char const* key, duration& into) {
+        root.read_milliseconds(key, into, {milliseconds(1), max_bound},
                                optional);
     };
     read("order_gap_ms", value.order_gap);
--- a/src/relay_teams.cpp
+++ b/src/relay_teams.cpp
@@ -27,13 +27,13 @@
                         error_kind kind)
 {
     if (kind == error_kind::configuration_stale)
-        return counts.key_in_doubt;
+        return counts.key_unverified;
     return request.key ? counts.key_unknown : counts.key_missing;
 }
 
 } // namespace
 
-access_decision relay::access_to(relay_request const& request,
+access_decision relay::check_access(relay_request const& request,
                                  route const& matched)
 {
     time_point const at = now();
@@ -58,13 +58,13 @@
     return decision;
 }
 
-std::optional<error> relay::refused_for_key(relay_exchange const& exchange)
+std::optional<error> relay::check_key(relay_exchange const& exchange)
 {
     auto const& team = exchange.terms().team;
     if (!team || team->empty())
         return std::nullopt;
     auto const access =
-        access_to(exchange.request(), *exchange.terms().matched);
+        check_access(exchange.request(), *exchange.terms().matched);
     if (auto const* refused = std::get_if<error>(&access))
         return *refused;
     auto const* const holder = std::get<access_granted>(access).holder;
@@ -73,7 +73,7 @@
     return error(error_kind::unauthorized, "the key is another team's now");
 }
 
-void relay::share_teams()
+void relay::update_teams()
 {
     teams_ = std::make_unique<team_directory>(config_);
     std::map<team_id, allotment> limits;
@@ -81,37 +81,37 @@
         if (each.limit)
             limits.emplace(each.name, *each.limit);
     allotments_->set_teams(limits, now());
-    run_soon();
+    schedule_run();
 }
 
-void relay::start_metered(std::shared_ptr<relay_exchange> const& exchange,
+void relay::acquire_allotment(std::shared_ptr<relay_exchange> const& exchange,
                           team const* holder)
 {
     if (holder == nullptr || !holder->limit)
         return exchange->start();
     exchange_terms const& terms = exchange->terms();
     double const units = allotment_cost(exchange->request(), *holder->limit);
-    metered_[terms.ticket] = {holder->name, units};
+    metered_requests_[terms.ticket] = {holder->name, units};
     allotments_->request(terms.ticket, holder->name, units, terms.give_up_at,
                          now());
     run_allotments();
-    run_soon();
+    schedule_run();
 }
 
 void relay::run_allotments()
 {
     for (allotment_action const& action : allotments_->run(now()))
         if (auto const* ask = std::get_if<ask_pool>(&action))
-            send_question(*ask);
+            send_allotment_query(*ask);
         else
-            on_allotment(std::get<allotment_settled>(action));
+            on_allotment_decision(std::get<allotment_settled>(action));
 }
 
-void relay::on_allotment(allotment_settled const& settled)
+void relay::on_allotment_decision(allotment_settled const& settled)
 {
     auto const found = exchanges_.find(settled.ticket);
-    auto const metered = metered_.find(settled.ticket);
-    if (found == exchanges_.end() || metered == metered_.end())
+    auto const metered = metered_requests_.find(settled.ticket);
+    if (found == exchanges_.end() || metered == metered_requests_.end())
         return;
     auto const exchange = found->second;
     if (!settled.refused)
@@ -134,18 +134,18 @@
                  at);
     exchange->on_refused(
         error(why.kind(), why.text(), why.request_ran(),
-              spread(why.retry_after().value_or(duration(0)))));
+              add_jitter(why.retry_after().value_or(duration(0)))));
 }
 
 /// A question to this VM's own pool takes the same way, without the network.
-void relay::send_question(ask_pool const& ask)
+void relay::send_allotment_query(ask_pool const& ask)
 {
     auto const told =
         [this, number = ask.number](std::optional<allotment_reply> const& reply)
     {
         allotments_->on_reply(number, reply, now());
         run_allotments();
-        run_soon();
+        schedule_run();
     };
     auto const peer = peers_.find(ask.pool);
     if (ask.pool == options_.vm || peer == peers_.end())
@@ -162,7 +162,7 @@
     call.bytes = encode_allotment_question(ask.question, call.to.ip);
     call.options.connect_timeout = question_connect_timeout;
     call.options.max_idle = question_idle;
-    call.ends_at = [ends = std::chrono::steady_clock::now() + question_timeout]
+    call.current_deadline = [ends = std::chrono::steady_clock::now() + question_timeout]
     { return ends; };
     call.on_end = [told](collected_answer const& answer)
     {
--- a/src/row_mirror_peers.cpp
+++ b/src/row_mirror_peers.cpp
@@ -70,7 +70,7 @@
     call.bytes = encode_rows_question(question, call.to.ip);
     call.options.connect_timeout = reader_connect_timeout;
     call.options.max_idle = reader_idle;
-    call.ends_at = [ends = std::chrono::steady_clock::now() + question.wait +
+    call.current_deadline = [ends = std::chrono::steady_clock::now() + question.wait +
                            options_.worker_interval / reader_answer_part]
     { return ends; };
     call.on_end = [this, reader = reader_,
--- a/tests/backend_pool_test.cpp
+++ b/tests/backend_pool_test.cpp
@@ -283,7 +283,7 @@
             collected_call call;
             call.to = {"127.0.0.1", world.listener.port()};
             call.bytes = "GET / HTTP/1.1\r\nHost: w\r\n\r\n";
-            call.ends_at = [ends = std::chrono::steady_clock::now() + 30ms]
+            call.current_deadline = [ends = std::chrono::steady_clock::now() + 30ms]
             { return ends; };
             call.on_end = [&promise](collected_answer answer)
             { promise.set_value(std::move(answer)); };
--- a/tests/event_log_test.cpp
+++ b/tests/event_log_test.cpp
@@ -41,7 +41,7 @@
     for (int number = 0; number < 100; ++number)
         log.notable("rejected", log_fields(), start);
     CHECK(written.lines.size() == 10);
-    CHECK(log.left_out() == 90);
+    CHECK(log.lines_left_out() == 90);
     log.notable("rejected", log_fields(), start + 1s);
     CHECK(written.lines.back() == R"(rejected "lines_left_out":90)");
 }
--- a/tests/event_splitter_test.cpp
+++ b/tests/event_splitter_test.cpp
@@ -11,11 +11,11 @@
     {
         event_splitter events;
         std::string const first = events.feed(stream.substr(0, cut));
-        bool const whole = first.empty() || first.ends_with("\n\n");
-        CHECK(whole);
+        bool const complete = first.empty() || first.ends_with("\n\n");
+        CHECK(complete);
         CHECK(first + events.feed(stream.substr(cut)) == stream);
         CHECK(events.last_id() == 2U);
-        CHECK(events.rest_bytes() == 0);
+        CHECK(events.incomplete_bytes() == 0);
     }
 }
 
@@ -27,8 +27,8 @@
     event_splitter events;
     CHECK(events.feed("id: 7\ndata: a\n\nid: 8\nda") == "id: 7\ndata: a\n\n");
     CHECK(events.last_id() == 7U);
-    CHECK(events.rest_bytes() > 0);
-    events.drop_rest();
+    CHECK(events.incomplete_bytes() > 0);
+    events.discard_incomplete();
     CHECK(events.feed("id: 8\ndata: b\n\n") == "id: 8\ndata: b\n\n");
     CHECK(events.last_id() == 8U);
 }
--- a/tests/relay_settings_test.cpp
+++ b/tests/relay_settings_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-std::string with(std::string const& more)
+std::string settings_with(std::string const& more)
 {
     return R"({ // one VM
         "vm": "vm-1", "domain": "a", "callers": "10.0.0.1:80",
@@ -19,7 +19,7 @@
            more + "}";
 }
 
-std::size_t faults_of(std::string const& text)
+std::size_t fault_count(std::string const& text)
 {
     auto const parsed = parse_relay_settings(text, "file");
     auto const* faults = std::get_if<std::vector<text_fault>>(&parsed);
@@ -31,7 +31,8 @@
 TEST_CASE("settings are read with their defaults", "[relay_settings]")
 {
     auto const parsed = parse_relay_settings(
-        with(R"(, "order_gap_ms": 2000, "stop_bound_s": 4.5)"), "file");
+        settings_with(R"(, "order_gap_ms": 2000, "stop_bound_s": 4.5)"),
+        "file");
     auto const& value = std::get<relay_settings>(parsed);
     CHECK(value.vm == vm_id("vm-1"));
     CHECK(value.callers.address == "10.0.0.1");
@@ -44,10 +45,11 @@
 
 TEST_CASE("every fault is told", "[relay_settings]")
 {
-    CHECK(faults_of("{") > 0);
-    CHECK(faults_of("{}") == 6);
-    CHECK(faults_of(with(R"(, "colour": 1)")) == 1);
-    CHECK(faults_of(with(R"(, "metrics": "here")")) == 1);
-    CHECK(faults_of(with(R"(, "metrics": "10.0.0.1:99999")")) == 1);
-    CHECK(faults_of(with(R"(, "retry_ratio": 2, "drain_bound_ms": 0)")) == 2);
+    CHECK(fault_count("{") > 0);
+    CHECK(fault_count("{}") == 6);
+    CHECK(fault_count(settings_with(R"(, "colour": 1)")) == 1);
+    CHECK(fault_count(settings_with(R"(, "metrics": "here")")) == 1);
+    CHECK(fault_count(settings_with(R"(, "metrics": "10.0.0.1:99999")")) == 1);
+    CHECK(fault_count(settings_with(
+              R"(, "retry_ratio": 2, "drain_bound_ms": 0)")) == 2);
 }
--- a/tests/relay_start_test.cpp
+++ b/tests/relay_start_test.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-constexpr std::chrono::seconds generous_wait{20};
+constexpr std::chrono::seconds answer_timeout{20};
 
 /// A VM whose route leads to a service without workers: once it knows that, it
 /// says so.
@@ -33,7 +33,7 @@
         options.start.longest_hold = longest_hold;
         return options;
     }
-    std::shared_ptr<recorded_answer> ask()
+    std::shared_ptr<recorded_answer> send_request()
     {
         auto const answer = std::make_shared<recorded_answer>();
         http_request request;
@@ -41,7 +41,7 @@
         vm.handle(std::move(request), answer);
         return answer;
     }
-    void learn()
+    void configure()
     {
         routing_config config;
         config.version = config_version(1);
@@ -58,9 +58,9 @@
         vm.set_config(std::make_shared<routing_config const>(config));
         vm.set_backends({});
     }
-    bool until_answered(recorded_answer const& answer)
+    bool run_until_answered(recorded_answer const& answer)
     {
-        auto const limit = std::chrono::steady_clock::now() + generous_wait;
+        auto const limit = std::chrono::steady_clock::now() + answer_timeout;
         while (!answer.response && std::chrono::steady_clock::now() < limit)
             io.run_one_for(10ms);
         return answer.response.has_value();
@@ -81,20 +81,20 @@
 TEST_CASE("a request that comes before the configuration waits for it",
           "[relay_start]")
 {
-    starting_vm world(60s);
-    auto const answer = world.ask();
-    world.io.poll();
+    starting_vm vm_under_test(60s);
+    auto const answer = vm_under_test.send_request();
+    vm_under_test.io.poll();
     CHECK_FALSE(answer->response);
-    world.learn();
-    REQUIRE(world.until_answered(*answer));
+    vm_under_test.configure();
+    REQUIRE(vm_under_test.run_until_answered(*answer));
     CHECK(answer->response->body == "no worker can serve it here");
 }
 
 TEST_CASE("a VM that knows nothing for long turns requests away at once",
           "[relay_start]")
 {
-    starting_vm world(0s);
-    auto const answer = world.ask();
+    starting_vm vm_under_test(0s);
+    auto const answer = vm_under_test.send_request();
     REQUIRE(answer->response);
     CHECK(answer->response->status == 503);
     CHECK(answer->response->body == "no configuration is known yet");
@@ -105,12 +105,12 @@
 // The caller leaves while its request is kept: no worker is to see it.
 TEST_CASE("a request whose caller has left is not decided on", "[relay_start]")
 {
-    starting_vm world(60s);
-    auto const answer = world.ask();
+    starting_vm vm_under_test(60s);
+    auto const answer = vm_under_test.send_request();
     answer->closed();
-    world.learn();
-    world.io.poll();
+    vm_under_test.configure();
+    vm_under_test.io.poll();
     CHECK_FALSE(answer->response);
-    CHECK(world.vm.counts().caller_gone == 1);
-    CHECK(world.vm.in_progress() == 0);
+    CHECK(vm_under_test.vm.counts().caller_gone == 1);
+    CHECK(vm_under_test.vm.in_progress() == 0);
 }
--- a/tests/row_mirror_test.cpp
+++ b/tests/row_mirror_test.cpp
@@ -396,7 +396,7 @@
     call.to = *parse_address(world.vms[0]->member().address);
     call.bytes =
         "POST /rows HTTP/1.1\r\nHost: vm\r\nContent-Length: 2\r\n\r\n{}";
-    call.ends_at = [ends = std::chrono::steady_clock::now() + generous_wait]
+    call.current_deadline = [ends = std::chrono::steady_clock::now() + generous_wait]
     { return ends; };
     call.on_end = [&](collected_answer const& answer)
     {
