--- a/src/relay_exchange.cpp
+++ b/src/relay_exchange.cpp
@@ -12,30 +12,33 @@
 
 constexpr int first_non_success_status = 300;
 constexpr int first_server_error = 500;
-/// A request that workers reject one after the other is not sent to more: the
-/// view of the workers is out of date, and the caller may do better elsewhere.
+/// A request is sent at most this often: when several workers in turn reject
+/// it, this VM's view of the workers is stale and the caller may do better at
+/// another VM.
 constexpr int max_sends = 4;
-/// A plain answer larger than that is not kept in memory; the largest that
-/// the services give are some kilobytes.
+/// Limit on a buffered (not streamed) answer; the largest that the services
+/// give are some kilobytes.
 constexpr std::size_t max_buffered_bytes = 8UL * 1024 * 1024;
-/// A stream that pauses for so long goes on at another worker, where that is
-/// allowed: callers give up after two seconds without an event.
+/// A resumable stream with a longer gap is resumed at another worker: callers
+/// give up after two seconds without an event.
 constexpr milliseconds max_stream_gap{900};
-/// The answer to a request that was not run and may do better elsewhere.
+/// Retry-After for a request that was not run and may succeed elsewhere.
 constexpr milliseconds overload_retry_delay{60};
-/// Callers that read nothing hold their streams' bytes here; one that lags by
-/// so much is cut off.
+/// Limit on the bytes of a stream that its caller has not read; a caller that
+/// lags further behind is disconnected.
 constexpr std::size_t max_unsent_bytes = 1UL * 1024 * 1024;
 
-/// How long opening a connection to a worker may take. Within a region it
-/// takes milliseconds; one that is not open after this long will not be.
+/// Within a region, connecting takes milliseconds; a connection that is not
+/// open after this time will not open.
 constexpr milliseconds connect_timeout{300};
-/// A kept connection may have been dropped without a word. What may run once
-/// only is sent over one that was in use a moment ago.
+/// The peer may have dropped an idle pooled connection without notice. A
+/// request that must not run twice is sent only on a connection that was used
+/// recently.
 constexpr milliseconds max_idle_if_retryable{3000};
 constexpr milliseconds max_idle_if_not_retryable{1000};
 
-/// Statuses that callers take for "not run, and never will be".
+/// True for statuses by which callers conclude that the request was not run and
+/// never will be.
 bool implies_not_run(int status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
@@ -43,7 +46,7 @@
 
 } // namespace
 
-/// Hears of one send, and nothing once another follows.
+/// Forwards the events of one send; ignores them once another send has started.
 class relay_exchange::attempt final : public exchange_observer
 {
 public:
@@ -167,7 +170,8 @@
         answer_->abort();
         return end(relay_outcome::failed);
     }
-    // A request that may have run before is never said not to have run.
+    // An answer must not claim that a request did not run if an earlier send
+    // may have run.
     if (runs_ > 0)
         return respond_with_error(error(error_kind::outcome_unknown,
                                         "no worker is left to try again"),
@@ -192,7 +196,8 @@
             end_send(send_outcome::silent);
             return resubmit("the worker is silent");
         }
-        // Not silent, or not to be repeated: on until the deadline.
+        // The worker is not silent, or the request must not be sent again: wait
+        // until the deadline.
         return host_.wake_at(*this, stage_ == stage::streaming && !silent
                                         ? last_byte_at_ + max_stream_gap
                                         : terms_.give_up_at);
@@ -241,8 +246,8 @@
     reply_ = host_.codec().decode_reply(status, headers, request_);
     if (reply_.foreign)
     {
-        // The answer to some other request came late on this connection. What
-        // became of ours cannot be told.
+        // This connection delivered the late answer to another request. Whether
+        // this request ran is unknown.
         running_->cancel();
         return retry_or_fail(send_outcome::broken,
                              "an answer to another request");
@@ -344,7 +349,8 @@
     end(relay_outcome::served);
 }
 
-/// The worker states that it did not run the request, so it may go to another.
+/// The worker states that it did not run the request, so another worker may get
+/// the request.
 void relay_exchange::finish_rejected()
 {
     --runs_;
@@ -364,8 +370,8 @@
 {
     if (!is_answer_acceptable())
         return retry_or_fail(send_outcome::broken, "the answer has no proof");
-    // Failure: a worker ran the request and answers with a status that callers
-    // take for "not run"; they send it again and it runs twice.
+    // Failure: a worker runs the request but answers with a status that callers
+    // take for "not run"; the callers send the request again and it runs twice.
     if (implies_not_run(reply_.status))
         return retry_or_fail(send_outcome::failed,
                              "the worker does not state that it did not run");
@@ -378,7 +384,7 @@
     end_send(failed ? send_outcome::failed : send_outcome::served);
     if (stream_begun_)
     {
-        // A stream that was to go on got a plain answer instead.
+        // The stream was to be resumed, but the worker sent a plain answer.
         answer_->abort();
         return end(relay_outcome::failed);
     }
@@ -393,7 +399,7 @@
 {
     if (at == call_stage::not_sent)
     {
-        // Nothing reached the worker: no run, and no arrival either.
+        // Nothing reached the worker, so neither a run nor a send is counted.
         --runs_;
         --sends_;
         excluded_.insert(worker_.id);
--- a/src/relay_exchange.hpp
+++ b/src/relay_exchange.hpp
@@ -23,14 +23,15 @@
 enum class relay_outcome
 {
     served,
-    /// The worker's own answer says failure.
+    /// The worker answered with an error status, which was passed on.
     worker_failed,
     refused,
     failed,
     caller_gone
 };
 
-/// What an exchange needs of the relay.
+/// Services that the relay provides to its exchanges. Thread safety: none;
+/// called on the relay's thread.
 class exchange_host
 {
 public:
@@ -38,48 +39,55 @@
     virtual time_point now() const = 0;
     virtual relay_codec const& codec() const = 0;
     virtual backend_pool& pool() = 0;
-    /// Waits for a worker that is not excluded.
+    /// Queues the request until a worker that is not excluded accepts it.
     virtual void wait_for_worker(relay_exchange& exchange,
                                  std::set<worker_id> const& excluded) = 0;
+    /// Removes the request from the queue.
     virtual void stop_waiting(relay_exchange& exchange) = 0;
+    /// The worker has begun to answer a request that it runs.
     virtual void on_first_byte(relay_exchange& exchange) = 0;
-    /// More of a stream came, that long after what came before it.
+    /// More bytes of a stream arrived; `gap` is the time since the previous
+    /// bytes.
     virtual void on_stream_bytes(duration gap) = 0;
-    /// The send to the worker is over.
+    /// The current send to the worker has ended.
     virtual void on_send_ended(relay_exchange& exchange,
                                send_outcome outcome) = 0;
-    /// The worker said that it leaves.
+    /// The worker announced in its answer that it is about to leave.
     virtual void on_worker_leaving(relay_exchange const& exchange) = 0;
-    /// The worker turned the request away, and wants none from this VM until
-    /// then.
+    /// The worker asked in its answer that this VM sends it no requests before
+    /// `until`.
     virtual void on_backoff_requested(relay_exchange const& exchange,
                                       time_point until) = 0;
-    /// The connection closed before the worker's answer was whole.
+    /// The connection closed before the worker's answer was complete.
     virtual void on_connection_lost(relay_exchange const& exchange) = 0;
     virtual duration
     first_byte_timeout(relay_exchange const& exchange) const = 0;
-    /// When its caller is to come back: when some worker of its service takes
-    /// requests of this VM again, after `least` at the earliest.
+    /// Returns the Retry-After for the caller, with jitter: the time until some
+    /// worker of the service ends its backoff towards this VM, at least
+    /// `min_delay`.
     virtual duration retry_after(relay_exchange const& exchange,
                                  duration min_delay) = 0;
-    /// Takes one repeated send of the service, if the limit allows.
+    /// Takes one retry from the service's retry budget. Returns false if the
+    /// budget is used up.
     virtual bool try_take_retry(relay_exchange const& exchange) = 0;
-    /// Calls back on_due() at that moment; `never` for not at all.
+    /// Schedules a call of exchange.on_due() at `when`, in place of an earlier
+    /// one; `never` cancels it.
     virtual void wake_at(relay_exchange& exchange, time_point when) = 0;
+    /// Logs the event with the state of the request.
     virtual void log_request_event(relay_exchange const& exchange,
                                    std::string_view event,
                                    std::string_view reason) = 0;
-    /// Nothing more will happen; the exchange may be destroyed after return.
+    /// The exchange is over. It may be destroyed once this call has returned.
     virtual void on_finished(relay_exchange& exchange,
                              relay_outcome outcome) = 0;
 };
 
-/// What was decided on a request's arrival. Immutable.
+/// What was decided when a request arrived. Immutable.
 struct exchange_terms
 {
     ticket_id ticket;
     service_id service;
-    /// Kept alive by `config`.
+    /// Owned by `config`.
     route const* matched = nullptr;
     std::shared_ptr<routing_config const> config;
     time_point arrived_at{};
@@ -91,10 +99,11 @@
     int priority = 0;
 };
 
-/// A request is sent again only where it did not run, by the worker's own word
-/// or because nothing reached it, or where it may run twice. Everything else
-/// ends at once with an answer that does not promise that it did not run.
-/// Thread safety: none; used on the relay's thread.
+/// Relays one request of a caller to a worker and the answer back. A request is
+/// sent again only if it did not run (the worker says so, or nothing reached
+/// the worker) or if running it twice is allowed. Any other failure ends the
+/// request at once with an error that does not claim that the request did not
+/// run. Thread safety: none; used on the relay's thread.
 class relay_exchange : public std::enable_shared_from_this<relay_exchange>
 {
 public:
@@ -102,30 +111,40 @@
     relay_exchange(exchange_host& host, exchange_terms terms,
                    relay_request request, std::shared_ptr<http_answer> answer);
 
+    /// Queues the request for a worker. Called once.
     void start();
+    /// Sends the request to the chosen worker.
     void on_placed(place_request const& placed);
+    /// No worker will be chosen; ends the request with `why`, or with
+    /// error_kind::outcome_unknown if an earlier send may have run.
     void on_refused(error const& why);
+    /// Handles timeouts; called at the time given to exchange_host::wake_at.
     void on_due();
-    /// It may not begin at its worker any more.
+    /// The request's adapter version was superseded before its answer began:
+    /// the send is ended, and the request is sent again if it is retryable.
     void on_withdrawn();
     void on_caller_gone();
 
     exchange_terms const& terms() const { return terms_; }
     relay_request const& request() const { return request_; }
-    /// Computed when it is first asked for.
+    /// Computed on the first call.
     request_identity const& identity() const;
     worker_id const& worker() const { return worker_.id; }
-    /// The worker's entry as of the last send.
+    /// The worker's registry entry as of the last send.
     backend_entry const& worker_entry() const { return worker_; }
+    /// Sends that reached a worker, rejected ones included.
     int sends() const { return sends_; }
+    /// HTTP status of the current worker's answer.
     int status() const { return reply_.status; }
-    /// Whether no worker may have begun to run it.
+    /// True if no worker can have begun to run the request.
     bool never_ran() const { return runs_ == 0; }
-    /// Whether the worker of the last send ran the request to the end of an
-    /// answer. One that ends with its connection may have been cut short.
+    /// True if the worker of the last send ran the request and completed its
+    /// answer. An answer that is delimited only by the end of its connection
+    /// does not count, since it may have been cut short.
     bool answer_complete() const { return answer_framed_ && !reply_.not_run; }
     time_point sent_at() const { return sent_at_; }
-    /// How long it waited before it was last sent; 0 if it never was.
+    /// Time from the request's arrival to its last send; 0 if the request was
+    /// never sent.
     duration queueing_delay() const
     {
         return sent_at_ == time_point() ? duration(0)
@@ -138,7 +157,7 @@
     {
         waiting,
         sent,
-        /// The worker's answer has begun; nothing is passed on yet.
+        /// The worker's answer has begun; nothing has been passed on yet.
         buffering,
         streaming,
         over
@@ -149,7 +168,10 @@
     void on_end(bool framed);
     void on_failure(call_stage at, std::string const& reason);
 
+    /// True if the route allows running the request twice.
     bool is_retryable() const;
+    /// Takes a retry from the budget if the request may be sent again after a
+    /// send that may have run.
     bool try_reserve_retry();
     void begin_stream();
     void forward_stream(std::string_view bytes);
@@ -157,13 +179,16 @@
     void finish_rejected();
     void finish_answer();
     void end_send(send_outcome outcome);
-    /// Sends again where that is allowed; else ends with an error that fits.
+    /// Sends the request again if that is allowed; otherwise ends it with an
+    /// error.
     void retry_or_fail(send_outcome outcome, std::string_view reason);
     void resubmit(std::string_view reason);
     void respond_with_error(error problem, relay_outcome outcome,
                             std::string_view reason);
     void end(relay_outcome outcome);
     void schedule_wake();
+    /// True for an error status, or if the answer carries the proof that it is
+    /// the worker's and is not content-encoded.
     bool is_answer_acceptable() const;
 
     exchange_host& host_;
@@ -176,7 +201,7 @@
     std::shared_ptr<backend_exchange> running_;
     std::uint64_t attempt_number_ = 0;
     std::set<worker_id> excluded_;
-    /// Sends that reached a worker, rejected ones among them.
+    /// Sends that reached a worker, rejected ones included.
     int sends_ = 0;
     /// Sends that may have run.
     int runs_ = 0;
