--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -15,9 +15,10 @@
 
 using std::chrono::milliseconds;
 
-/// How often idle connections and other slow things are looked at.
+/// Interval at which idle pooled connections are closed.
 constexpr milliseconds sweep_interval{500};
-/// Of the numbers that requests are given; half of what JSON can carry.
+/// Upper bound of the first ticket number: half of the integers that JSON
+/// represents exactly.
 constexpr std::uint64_t max_first_ticket = std::uint64_t{1} << 52U;
 
 std::string_view outcome_name(relay_outcome outcome)
@@ -38,7 +39,8 @@
     return "failed";
 }
 
-/// MODEL@VERSION of each model that the worker holds.
+/// Returns MODEL@VERSION of each model that the worker holds, separated by
+/// commas.
 std::string weights_text(backend_entry const& worker)
 {
     std::string text;
@@ -56,9 +58,9 @@
       pool_(io), timer_(io), crashes_(io, *this, options_.crashes, log),
       start_(options_.start, boot_clock::now()), random_(options_.seed)
 {
-    // Failure: a VM restarts, and another tells it that a grant of its earlier
-    // process is over; a grant of this one with the same number ends early.
-    // Numbers that begin anywhere do not meet.
+    // Failure: a VM restarts, and another VM reports that a grant of the
+    // earlier process has ended; a grant of the new process with the same
+    // number ends early. A random first number makes equal numbers unlikely.
     std::uniform_int_distribution<std::uint64_t> anywhere(1, max_first_ticket);
     last_ticket_ = anywhere(random_);
     allotments_ =
@@ -135,8 +137,8 @@
                  now());
 }
 
-/// Tells whether an answer was made from memory that the worker itself did not
-/// make, and under which weights each of the two ran.
+/// Logs that a worker may reuse a prompt prefix computed by another worker, and
+/// the weights of both workers.
 void relay::log_prompt_copy(relay_exchange const& exchange,
                             place_request const& placed)
 {
@@ -155,8 +157,8 @@
                  now());
 }
 
-/// Tells why a request began on a replaced version: for how long this VM knew
-/// that it was, and how old what it knows is.
+/// Logs why a request was sent to a superseded version: how long this VM has
+/// known of the newer version, and how old its knowledge is.
 void relay::log_superseded_send(relay_exchange const& exchange,
                                 place_request const& placed)
 {
@@ -340,8 +342,8 @@
     schedule_run();
 }
 
-/// A worker that leaves, or has left the registry, closes connections on
-/// purpose.
+/// Only a connection lost by a worker that stays counts as a possible crash: a
+/// worker that drains or has left the registry closes connections on purpose.
 void relay::on_connection_lost(relay_exchange const& exchange)
 {
     backend_entry const& worker = exchange.worker_entry();
@@ -445,11 +447,11 @@
         !metered.empty() && !metered.mapped().waits && exchange.never_ran())
         allotments_->give_back(metered.mapped().team, metered.mapped().units,
                                now());
-    // The caller of this is still within the exchange.
+    // The exchange is still on the call stack, so it is destroyed later.
     asio::post(io_, [this, ticket] { exchanges_.erase(ticket); });
 }
 
-/// Decisions are made once for all that happened in one turn of the loop.
+/// All events of one turn of the event loop are decided on together.
 void relay::schedule_run()
 {
     if (std::exchange(run_posted_, true))
@@ -503,8 +505,9 @@
         service.scheduler.set_registry_moment(options_.registry_as_of());
 }
 
-/// Asked again for each send: while it waited, others may have crashed their
-/// workers, its own earlier sends too, and its key may have been taken away.
+/// Quarantine and key are checked again for each send: while the request
+/// waited, workers may have crashed under requests like it or under its own
+/// earlier sends, and its key may have been revoked.
 void relay::place(service_state& service, place_request const& placed)
 {
     auto const found = exchanges_.find(placed.ticket);
@@ -530,7 +533,7 @@
     exchange->on_placed(placed);
 }
 
-/// So that those turned away do not come back in one wave.
+/// Jitter keeps rejected callers from returning all at once.
 duration relay::add_jitter(duration retry_after)
 {
     double const part = std::uniform_real_distribution<double>(0, 0.5)(random_);
--- a/src/relay.hpp
+++ b/src/relay.hpp
@@ -1,4 +1,5 @@
-/// The data path of one VM: callers' requests in, workers' answers out.
+/// The data path of one VM: relays callers' requests to workers and the answers
+/// back.
 #ifndef MULBERRY_RELAY_HPP
 #define MULBERRY_RELAY_HPP
 
@@ -34,27 +35,31 @@
     vm_id vm;
     domain_id domain;
     retry_limits retries;
-    /// How long an older version of an adapter may be used.
+    /// How long after a newer version was learned a request may still be sent
+    /// to a copy of an older version.
     duration release_grace = std::chrono::milliseconds(2000);
-    /// How long after a newer version was heard of a stream that was sent to an
-    /// older copy may begin; one that has not is withdrawn.
+    /// How long after a newer version was learned a stream that was sent to an
+    /// older copy may begin. A stream that has not begun by then is withdrawn
+    /// from its worker.
     duration release_begin = std::chrono::milliseconds(7500);
-    /// Orders are sent only while this holds, asked right before each.
+    /// Whether this VM may give orders to the worker; called right before each
+    /// order is sent. Empty: always.
     std::function<bool(worker_id const&)> may_order;
-    /// As of when configuration, versions and workers are known; asked before
-    /// requests are placed.
+    /// The time as of which configuration, versions and workers are known;
+    /// called before requests are placed.
     std::function<registry_moment()> registry_as_of;
-    /// As of when the declarations are known. Empty: they always are.
+    /// The time as of which the declarations are known. Empty: they are always
+    /// current.
     std::function<declarations_known()> declarations_as_of;
     key_bounds keys;
     allotment_terms allotments;
     std::uint64_t seed = 1;
     start_limits start;
-    /// What is known of requests that crash workers.
+    /// Detection of requests that crash workers.
     crash_watch_options crashes;
 };
 
-/// Counts since the start; only rise. Value.
+/// Counters since the start of the process; they never decrease. Value.
 struct relay_counts
 {
     std::uint64_t requests = 0;
@@ -66,9 +71,10 @@
     std::uint64_t retries = 0;
     /// Sends that may begin on a version that is not the newest.
     std::uint64_t sent_to_superseded = 0;
-    /// Workers that said that they leave before the registry listed it.
+    /// Workers that announced in an answer that they leave, before the registry
+    /// listed them as draining.
     std::uint64_t leaving_reported = 0;
-    /// Times that a worker asked for rest.
+    /// Backoffs that workers asked for.
     std::uint64_t backoffs = 0;
 
     std::uint64_t orders = 0;
@@ -77,59 +83,72 @@
     std::uint64_t reports = 0;
     std::uint64_t key_missing = 0;
     std::uint64_t key_unknown = 0;
-    /// Since a key may have been added or taken away.
+    /// Rejected because this VM's knowledge is too old to decide on the key:
+    /// the key may have been added or removed since.
     std::uint64_t key_unverified = 0;
     std::uint64_t over_allotment = 0;
     std::uint64_t allotment_unknown = 0;
     friend bool operator==(relay_counts const&, relay_counts const&) = default;
 };
 
-/// Thread safety: none; every member on the thread that runs the io_context.
+/// Thread safety: none; every member is called on the thread that runs the
+/// io_context.
 class relay final : public exchange_host, public crash_peers
 {
 public:
-    /// The references outlive this object.
+    /// `io`, `codec` and `log` outlive this object.
     relay(asio::io_context& io, relay_codec const& codec, relay_options options,
           event_log& log);
     ~relay() override;
     relay(relay const&) = delete;
     relay& operator=(relay const&) = delete;
 
-    /// Takes a caller's request.
+    /// Handles a request of a caller; `answer` gets exactly one response unless
+    /// the caller disconnects.
     void handle(http_request received, std::shared_ptr<http_answer> answer);
 
-    /// A newer configuration. An older one, or the same, is ignored.
+    /// Applies a configuration. A version that is not newer than the current
+    /// one is ignored.
     void set_config(std::shared_ptr<routing_config const> config);
+    /// Replaces the list of workers.
     void set_backends(std::vector<backend_entry> entries);
+    /// Declares a version of an adapter or of a model's weights. A version that
+    /// is not newer is ignored.
     void on_release(adapter_release const& release);
+    /// Replaces the set of workers that this VM owns.
     void set_owned_workers(std::map<worker_id, order_grant> grants);
-    /// The VMs there are, this one among them. `registered`: this process has
-    /// written its own row; one that is there before is an earlier process's.
+    /// Replaces the list of VMs, which includes this one. `registered`: this
+    /// process has written its own row. A row of this VM that exists before
+    /// that is an earlier process's.
     void set_members(std::vector<member_view> members, bool registered);
+    /// Replaces the map from workers to their owners.
     void set_owners(std::map<worker_id, vm_id> owners);
-    /// Changed rows of the product's own set.
+    /// Applies changed rows of the relay's own row set (requests that crash
+    /// workers).
     void on_own_rows(std::vector<stored_row> const& rows)
     {
         crashes_.on_rows(rows);
     }
-    /// Takes a call of another VM; see peer_ask.hpp.
+    /// Handles a call of another VM; see peer_ask.hpp.
     void handle_peer(http_request const& received,
                      std::shared_ptr<http_answer> answer);
 
-    /// Takes a question about allotments; see peer_allotment.hpp.
+    /// Handles another VM's query about allotments; see peer_allotment.hpp.
     void handle_allotment(http_request const& received, http_answer& answer);
 
-    /// From now on callers' requests are rejected at once: this VM is about to
-    /// end. What is in progress goes on.
+    /// Rejects all further requests of callers, since this VM is about to exit.
+    /// Requests in progress continue.
     void reject_new_requests() { rejects_new_requests_ = true; }
 
     bool has_config() const { return routes_ != nullptr; }
-    /// Whether requests can be decided on: routes and workers are known.
+    /// True if routes and workers are known, so that requests can be admitted.
     bool is_initialized() const { return has_config() && backends_known_; }
+    /// Version of the current configuration; the default value if there is
+    /// none.
     config_version version() const;
     std::size_t in_progress() const { return exchanges_.size(); }
     relay_counts const& counts() const { return counts_; }
-    /// Prometheus text.
+    /// Returns the metrics in the Prometheus text format.
     std::string metrics() const;
 
     time_point now() const override;
@@ -158,34 +177,35 @@
                   std::function<void(bool by_all)> done) override;
 
 private:
-    /// A request of another VM that waits for a grant or was given one.
+    /// A request of another VM that waits for a grant or holds one.
     struct peer_request
     {
         service_id service;
-        /// Until it is answered.
+        /// Null once the request is answered.
         std::shared_ptr<http_answer> answer;
         request_id request;
         worker_id worker;
         time_point arrived_at{};
     };
-    /// What other VMs are owed: which of their grants are over.
+    /// Another VM, and the grants of that VM that have ended and are still to
+    /// be reported to it.
     struct peer_state
     {
         backend_address address;
         std::vector<peer_done> done;
     };
-    /// A grant that one of this VM's requests was sent under.
+    /// A grant under which one of this VM's requests was sent.
     struct held_grant
     {
         vm_id owner;
         std::uint64_t number = 0;
     };
-    /// What a request counts against its team's allotment.
+    /// The units that a request takes from its team's allotment.
     struct metered_request
     {
         team_id team;
         double units = 0;
-        /// It waits to be told whether it fits.
+        /// The decision whether the units are available is still pending.
         bool waits = true;
     };
     /// A request that arrived before routes and workers were known.
@@ -195,7 +215,7 @@
         std::shared_ptr<http_answer> answer;
         time_point arrived_at{};
         time_point keep_until{};
-        /// Set when its caller has gone.
+        /// Set to true when the caller disconnects.
         std::shared_ptr<bool> gone;
     };
     struct service_state
@@ -214,34 +234,45 @@
 
     void admit(relay_request request, std::shared_ptr<http_answer> answer,
                time_point arrived_at);
+    /// Keeps a request until routes and workers are known, or rejects it; see
+    /// start_hold.hpp.
     void hold_early_request(relay_request request,
                             std::shared_ptr<http_answer> answer);
     void reject_early_request(early_request const& early);
+    /// Admits held requests once routes and workers are known; rejects those
+    /// held for too long.
     void process_early_requests();
     void reject_request(relay_request const& request, http_answer& answer,
                         error const& problem);
-    /// Whose the request is, or why it is not to be sent now; counted.
+    /// Returns the team that the request's key belongs to, or why the request
+    /// must not be sent now. A rejection is counted and logged.
     access_decision check_access(relay_request const& request,
                                  route const& matched);
-    /// Whether the key it came with is still its team's; logged.
+    /// Returns an error if the request's key no longer belongs to its team;
+    /// logged.
     std::optional<error> check_key(relay_exchange const& exchange);
-    /// Takes what the request counts out of its team's allotment, then starts
-    /// it, at once or when that is known to fit.
+    /// Takes the request's units from its team's allotment and starts the
+    /// request, at once or when the units are granted.
     void acquire_allotment(std::shared_ptr<relay_exchange> const& exchange,
                            team const* holder);
     void on_allotment_decision(allotment_settled const& settled);
     void run_allotments();
+    /// Passes the configuration's teams and limits to the team directory and
+    /// the allotment limiter.
     void update_teams();
     void update_allotment_members(std::vector<member_view> const& members,
                                   bool registered);
     void send_allotment_query(ask_pool const& ask);
-    /// Whether the request is not to be sent since workers crashed under it;
-    /// logged.
+    /// Returns an error if the request is quarantined because workers crashed
+    /// under requests like it; logged.
     std::optional<error> check_quarantine(relay_exchange const& exchange);
+    /// Sends the request to its worker, after checking quarantine and key
+    /// again.
     void place(service_state& service, place_request const& placed);
-    /// The request does not take its place at its worker any more.
+    /// Frees the request's slot at its worker and returns its grant.
     void release_worker_slot(relay_exchange const& exchange,
                              send_outcome outcome);
+    /// Returns null if the service is unknown.
     service_state* find(service_id const& service);
     void add_service(service_config const& config);
     void log_worker(std::string_view event, backend_entry const& worker);
@@ -250,29 +281,38 @@
     void log_superseded_send(relay_exchange const& exchange,
                              place_request const& placed);
 
+    /// Passes workers and ownership to the schedulers of all services.
     void update_schedulers();
+    /// Schedules run() for the end of this turn of the event loop.
     void schedule_run();
+    /// Handles what is due and makes the pending decisions of all services.
     void run();
     void run_service(service_state& service);
     void update_registry_moment(service_state& service) const;
     void execute(service_state& service, placement_action const& action);
     void send_order(give_order const& order);
     void send_report_request(ask_report const& question);
+    /// Asks the worker's owner for a grant.
     void send_grant_request(service_state& service, ask_owner const& ask);
     void on_grant_reply(service_id const& service, ask_owner const& ask,
                         time_point asked_at, ask_outcome outcome,
                         peer_reply const& reply);
     void log_grant_reply(ask_owner const& ask, time_point asked_at,
                          ask_outcome outcome, peer_reply const& reply);
+    /// Records that a grant has ended, to be reported to its owner.
     void return_grant(held_grant const& grant, send_outcome outcome);
+    /// Reports all ended grants to their owners.
     void send_ended_grants();
     void answer_grant_request(ticket_id ticket, bool granted,
                               granted_copy const& copy, double load);
+    /// Withdraws another VM's request that waits, or ends one that was granted.
     void end_peer_request(ticket_id ticket, send_outcome outcome);
     void on_order(service_id const& service, worker_order const& order,
                   order_outcome outcome);
     void on_report(service_id const& service, worker_id const& worker,
                    std::optional<worker_report> const& report);
+    /// Adds up to half of `retry_after` at random, so that rejected callers do
+    /// not return all at once.
     duration add_jitter(duration retry_after);
     void arm_timer();
 
@@ -296,7 +336,7 @@
     std::size_t members_ = 1;
     std::unique_ptr<team_directory> teams_;
     std::unique_ptr<allotment_keeper> allotments_;
-    /// What requests in progress took out of allotments.
+    /// Units taken by the requests in progress.
     std::unordered_map<ticket_id, metered_request> metered_requests_;
     std::map<worker_id, vm_id> owners_;
     std::map<vm_id, peer_state> peers_;
@@ -314,7 +354,7 @@
     std::mt19937_64 random_;
     relay_counts counts_;
     latency_meter first_byte_latency_;
-    /// From a request's arrival to its first send.
+    /// Time from a request's arrival to its first send.
     latency_meter queueing_delays_;
     latency_meter stream_gaps_;
 };
--- a/src/relay_admission.cpp
+++ b/src/relay_admission.cpp
@@ -1,4 +1,5 @@
-// Which callers' requests the relay takes, and what it tells the others.
+// Admission control: which callers' requests the relay accepts, and the errors
+// for the others.
 #include "relay.hpp"
 
 #include <algorithm>
@@ -12,15 +13,16 @@
 
 using std::chrono::milliseconds;
 
-/// A caller that named no deadline waits as long as its route allows.
+/// For a caller that gave no deadline: only the route's timeout applies.
 constexpr std::chrono::seconds default_time_left{3600};
-/// A route names a service that is not known yet: a configuration is on its
-/// way.
+/// Retry-After when a route names a service that is not known yet: a newer
+/// configuration is about to arrive.
 constexpr milliseconds unknown_service_retry_delay{200};
-/// Requests kept while a VM starts; at a few kilobytes each they are the least
-/// part of its memory.
+/// Limit on the requests held while a VM starts; at a few kilobytes each they
+/// take little of its memory.
 constexpr std::size_t max_early_requests = 512;
-/// Other VMs take the caller's next connection at once.
+/// Retry-After of a VM that leaves: other VMs accept the caller's next
+/// connection at once.
 constexpr milliseconds leaving_retry_delay{20};
 
 } // namespace
@@ -77,8 +79,6 @@
                          ran::no, start_.retry_after(now())));
 }
 
-/// Those that wait for what is known now are decided on, those that have waited
-/// long enough are turned away.
 void relay::process_early_requests()
 {
     time_point const at = now();
--- a/src/relay_exchange.hpp
+++ b/src/relay_exchange.hpp
@@ -42,7 +42,7 @@
     /// Queues the request until a worker that is not excluded accepts it.
     virtual void wait_for_worker(relay_exchange& exchange,
                                  std::set<worker_id> const& excluded) = 0;
-    /// Removes the request from the queue.
+    /// Removes the request from the queue and cancels its grant request.
     virtual void stop_waiting(relay_exchange& exchange) = 0;
     /// The worker has begun to answer a request that it runs.
     virtual void on_first_byte(relay_exchange& exchange) = 0;
@@ -60,6 +60,8 @@
                                       time_point until) = 0;
     /// The connection closed before the worker's answer was complete.
     virtual void on_connection_lost(relay_exchange const& exchange) = 0;
+    /// How long to wait for the first byte of an answer from the exchange's
+    /// worker.
     virtual duration
     first_byte_timeout(relay_exchange const& exchange) const = 0;
     /// Returns the Retry-After for the caller, with jitter: the time until some
--- a/src/relay_teams.cpp
+++ b/src/relay_teams.cpp
@@ -34,7 +34,7 @@
 } // namespace
 
 access_decision relay::check_access(relay_request const& request,
-                                 route const& matched)
+                                    route const& matched)
 {
     time_point const at = now();
     declarations_known const known = options_.declarations_as_of
@@ -85,7 +85,7 @@
 }
 
 void relay::acquire_allotment(std::shared_ptr<relay_exchange> const& exchange,
-                          team const* holder)
+                              team const* holder)
 {
     if (holder == nullptr || !holder->limit)
         return exchange->start();
@@ -162,8 +162,8 @@
     call.bytes = encode_allotment_question(ask.question, call.to.ip);
     call.options.connect_timeout = question_connect_timeout;
     call.options.max_idle = question_idle;
-    call.current_deadline = [ends = std::chrono::steady_clock::now() + question_timeout]
-    { return ends; };
+    call.current_deadline = [ends = std::chrono::steady_clock::now() +
+                                    question_timeout] { return ends; };
     call.on_end = [told](collected_answer const& answer)
     {
         told(answer.status == status_ok ? decode_allotment_reply(answer.body)
