--- a/src/relay_daemon.cpp
+++ b/src/relay_daemon.cpp
@@ -31,49 +31,53 @@
 
 using std::chrono::milliseconds;
 
-/// The balancer asks once a second and drops a VM after two misses: until then
-/// it sends new connections, which must be accepted.
+/// The load balancer polls readiness once a second and removes a VM after two
+/// failures. Until then it sends new connections, which must be accepted.
 constexpr milliseconds balancer_detection_time{2500};
 constexpr milliseconds stop_check_interval{50};
-/// Kept back from the stop bound, so that the process ends by itself.
+/// Subtracted from the stop bound, so that the process exits before it is
+/// killed.
 constexpr milliseconds stop_margin{700};
-/// The lease in multiples of the gap between two owners' orders: the holder
-/// stops a gap before others may take over, and rides out two gaps without the
-/// store before that, which is longer than most cuts. With three, a VM whose
-/// writes are all left unanswered never holds it; with five, the workers of a
-/// VM that is gone for good are without orders for three seconds more.
+/// Lease duration in multiples of the order gap. The owner stops sending orders
+/// one gap before others may take over, and before that it survives two gaps
+/// without the store, which is longer than most outages. With three, a VM whose
+/// writes are all left unanswered never holds the lease; with five, the workers
+/// of a VM that is gone for good are without orders for three seconds longer.
 constexpr int lease_order_gaps = 4;
-/// The share of the gap by which it is kept longer than asked: an order is on
-/// its way for some time.
+/// The order gap is extended by this fraction (1/15), since an order takes some
+/// time to arrive.
 constexpr int order_gap_extension_divisor = 15;
-/// Five renewals fit into what a holder may count on; each costs the store two
-/// calls.
+/// Five renewals fit into the time for which an owner may rely on its lease;
+/// each renewal costs two calls of the store.
 constexpr double heartbeats_per_gap = 1.5;
-/// Owners of a failure domain at least: when one is lost, three quarters of the
-/// domain's workers keep theirs, and there are four to read the store for the
-/// others. An owner answers a question for each request at its workers, some
-/// ten a second each, beside its own callers, on an eighth of a core where the
-/// domain has no larger VMs to spare: four workers each, as many as the least
-/// number of owners has in a domain of sixteen.
+/// Minimum number of owners in a failure domain: when one is lost, three
+/// quarters of the domain's workers keep their owners, and four VMs can read
+/// the store for the others. An owner answers a grant request for each request
+/// at its workers (some ten a second per worker) beside its own callers, on an
+/// eighth of a core where the domain has no larger VMs. Hence four workers per
+/// owner, which is what the minimum number of owners has in a domain of sixteen
+/// workers.
 constexpr owner_limits relay_owners{4, 4};
 constexpr double millicores_per_core = 1000;
-/// What a VM needs before its workers have an owner is tried so many times as
-/// often as its heartbeat: each tenth of a second or two.
+/// Until its workers have an owner, a VM retries this many times per heartbeat,
+/// that is every one or two tenths of a second.
 constexpr int first_retry_divisor = 10;
-/// A call of the store that takes longer is as good as lost, and VMs that
-/// start together have registered within the same time: of the gap.
+/// A call of the store that takes longer than this fraction (1/3) of the order
+/// gap is treated as lost. VMs that start together have registered within the
+/// same time.
 constexpr int order_gap_divisor = 3;
-/// An older version may be used for that part of the bound on a new one's being
-/// in force. Failure: a request that was sent to an old copy after half of the
-/// bound waited 2.7 s at its worker and began too late. Four fifths are left
-/// for hearing of the version, a second at most, and for such a wait; the new
-/// copy is there after a quarter of a second.
+/// An older version may be used for this fraction (1/5) of the bound within
+/// which a new version takes effect. Failure: a request that was sent to an old
+/// copy after half of the bound waited 2.7 s at its worker and began too late.
+/// Four fifths remain for learning of the version, which takes a second at
+/// most, and for such a wait; the new copy is loaded after a quarter of a
+/// second.
 constexpr int release_grace_divisor = 5;
-/// By so many quarters of that bound a request has begun that was sent to an
-/// older version; what is left is for hearing of the new one.
+/// A request that was sent to an older version must begin within three quarters
+/// of that bound; the rest is for learning of the new version.
 constexpr int release_begin_quarters = 3;
-/// Callers keep connections as long as the operator's limits say; nothing is
-/// gained by closing sooner.
+/// Callers keep connections open as long as the operator's limits allow;
+/// closing them sooner has no benefit.
 constexpr std::chrono::seconds idle_timeout{60};
 
 std::uint64_t random_seed()
@@ -138,7 +142,7 @@
     return options;
 }
 
-/// Workers of engines take orders; plain services do not.
+/// Returns the workers of engines, which take orders; plain services do not.
 std::vector<backend_entry> engine_workers(std::vector<backend_entry> entries,
                                           routing_config const& config)
 {
@@ -152,8 +156,8 @@
     return entries;
 }
 
-/// The parts share one thread and its io_context: each answer that a worker
-/// gives then costs one change of state and no change of threads.
+/// All components share one thread and its io_context, so that a worker's
+/// answer is handled without a switch of threads.
 class relay_process
 {
 public:
@@ -289,8 +293,8 @@
 registry_moment relay_process::registry_as_of() const
 {
     time_point const now = boot_clock::now();
-    // Just after the store's return entries may tell of lives that ended while
-    // it was away, and that could not be written anew.
+    // Right after the store has returned, entries may be of worker incarnations
+    // that ended during the outage and whose rows could not be updated.
     bool const entries_renewed =
         !mirror_.lost() && now >= mirror_.returned_at() + lapse_grace;
     return {mirror_.as_of(row_set::declarations, now),
@@ -389,8 +393,8 @@
         begin_stop();
 }
 
-/// What a running process can take over from changed settings: nothing yet
-/// but the knowledge that they are sound; the rest holds from its next start.
+/// A running process applies no changed settings: it only checks and logs
+/// whether they are valid. Changes take effect at the next start.
 void relay_process::reload()
 {
     auto const read = reload_settings_();
@@ -401,11 +405,11 @@
                  boot_clock::now());
 }
 
-/// Failure: the balancer goes on sending connections for up to two seconds
-/// after the VM says that it is leaving; a VM that closes its listener at once
-/// refuses them, and the callers lose a second each. So it serves on until
-/// then, closes each connection after its answer, and ends when nothing is in
-/// progress.
+/// Failure: the load balancer sends connections for up to two seconds after the
+/// VM reports that it is not ready; a VM that closes its listener at once
+/// refuses them, and each caller loses a second. Therefore the VM accepts
+/// connections until then, closes each connection after its answer, and exits
+/// when no request is in progress.
 void relay_process::begin_stop()
 {
     time_point const now = boot_clock::now();
@@ -425,18 +429,19 @@
 void relay_process::check_stop()
 {
     time_point const now = boot_clock::now();
-    // Failure: a connection that was taken before brings its request after the
-    // balancer has long turned away; it is passed on, and cut with the process
-    // in the middle of its answer. So it is rejected, and its caller comes back
-    // elsewhere.
+    // Failure: a connection accepted earlier sends its request long after the
+    // load balancer has removed this VM; the request would be relayed, and cut
+    // off in the middle of its answer when the process exits. Therefore the
+    // request is rejected, and its caller retries at another VM.
     if (now >= stop_accepting_at_)
     {
         relay_.reject_new_requests();
         callers_->stop_accepting();
         callers_->close_idle();
         bool const idle = relay_.in_progress() == 0 && !callers_->has_unsent();
-        // The last answers are handed to the connections in a later turn of
-        // the loop than the one that ends their requests: idle twice in a row.
+        // The last answers are handed to the connections in a later turn of the
+        // event loop than the one that ends their requests, so the process must
+        // be idle twice in a row.
         if ((idle && was_idle_) || now >= exit_at_)
         {
             log_.notable("stopped",
@@ -456,7 +461,7 @@
         });
 }
 
-/// Other VMs are told the peers' address with the port that was bound.
+/// The address published to other VMs contains the port that was bound.
 void relay_process::start_ownership()
 {
     ownership_.emplace(
@@ -477,7 +482,8 @@
     ownership_->start();
 }
 
-/// One line for whoever started the process, with the ports that were bound.
+/// Prints one line with the bound addresses for the process that started this
+/// one.
 void relay_process::print_addresses() const
 {
     std::string line =
@@ -532,7 +538,8 @@
     start_logging(value.vm.str(), value.log_level, value.log_format);
     relay_process process(value, codec, store, reload_settings);
     int const status = process.run();
-    // Its answers are posted to the process's io_context.
+    // The store posts its answers to the process's io_context, so it is closed
+    // first.
     store.close();
     stop_logging();
     return status;
--- a/src/relay_daemon.hpp
+++ b/src/relay_daemon.hpp
@@ -1,4 +1,4 @@
-/// Puts the parts of a relaying VM's process together.
+/// Assembles and runs the process of a VM that relays requests.
 #ifndef MULBERRY_RELAY_DAEMON_HPP
 #define MULBERRY_RELAY_DAEMON_HPP
 
@@ -13,13 +13,13 @@
 namespace mulberry
 {
 
-/// Reads the settings again; nothing when they are faulty.
+/// Reads the settings again. Returns nothing if they have faults.
 using settings_reader = std::function<std::optional<relay_settings>()>;
 
-/// Runs until SIGTERM or SIGINT and until every request in progress is
+/// Runs until SIGTERM or SIGINT, and then until every request in progress is
 /// answered, at most for the settings' stop bound. SIGHUP reads the settings
-/// again. Returns the exit status. Throws std::runtime_error if an address
-/// cannot be bound. Precondition: called once, on the main thread.
+/// again. Closes `store`. Returns the exit status. Throws std::runtime_error if
+/// an address cannot be bound. Precondition: called once, on the main thread.
 int run_relay(relay_settings const& value, relay_codec const& codec,
               row_store& store, settings_reader const& reload_settings);
 
--- a/src/relay_metrics.cpp
+++ b/src/relay_metrics.cpp
@@ -1,4 +1,4 @@
-// The relay's metrics in the Prometheus text form.
+// The relay's metrics in the Prometheus text format.
 #include "relay.hpp"
 
 #include <fmt/format.h>
--- a/src/relay_orders.cpp
+++ b/src/relay_orders.cpp
@@ -1,4 +1,4 @@
-// Orders and questions to workers.
+// Orders and report requests to workers.
 #include "collected_exchange.hpp"
 #include "relay.hpp"
 
@@ -14,9 +14,9 @@
 using std::chrono::milliseconds;
 
 constexpr int status_ok = 200;
-/// A worker answers an order within some ten milliseconds. One that leaves it
-/// unanswered is asked again at once: the same order under the same number
-/// takes effect once.
+/// A worker answers an order within some ten milliseconds. After a timeout the
+/// order is sent again at once: orders are idempotent, since one with the same
+/// number takes effect only once.
 constexpr milliseconds order_timeout{80};
 constexpr milliseconds report_timeout{400};
 
@@ -61,7 +61,7 @@
     service_id const service = order.entry.service;
     if (options_.may_order && !options_.may_order(order.order.worker))
     {
-        // The lease lapsed between the decision and now.
+        // The lease has expired since the decision.
         asio::post(io_, [this, service, order = order.order]
                    { on_order(service, order, order_outcome::unknown); });
         return;
--- a/src/relay_peers.cpp
+++ b/src/relay_peers.cpp
@@ -1,4 +1,5 @@
-// What a relay and the other VMs say to each other.
+// Messages between the relays of the VMs: grant requests, ended grants and
+// requests that crash workers.
 #include "boot_clock.hpp"
 #include "collected_exchange.hpp"
 #include "relay.hpp"
@@ -18,16 +19,16 @@
 
 constexpr int status_ok = 200;
 constexpr int status_bad_request = 400;
-/// Grants that are over are told with the next question to their VM, or after
-/// this: until then the worker's room counts as taken.
+/// Ended grants are reported with the next grant request to their VM, or after
+/// this delay. Until then the owner counts the worker's slot as in use.
 constexpr milliseconds ended_grants_delay{30};
 constexpr milliseconds peer_update_timeout{500};
 constexpr milliseconds peer_connect_timeout{250};
 constexpr milliseconds peer_max_idle{3000};
-/// A grant whose end was never told is over so long after its deadline.
+/// A grant whose end was never reported expires this long after its deadline.
 constexpr milliseconds grant_expiry_margin{500};
 
-/// An answer that takes longer is always logged.
+/// Answers that take longer are always logged.
 constexpr milliseconds slow_answer_threshold{200};
 
 std::string_view outcome_name(ask_outcome outcome)
@@ -121,8 +122,8 @@
     service_state* const service = find(ask.service);
     if (service == nullptr || !service->engine)
         return answer->respond(json_response(status_ok, encode_peer_reply({})));
-    // The answer begins at once and ends with the decision: the VM that asked
-    // can tell a slow load from an owner that is gone.
+    // The head of the answer is sent at once, the decision when it is made: the
+    // requesting VM can then tell a slow load from an owner that is gone.
     answer->start_stream(status_ok, {});
     time_point const at = now();
     work_item item;
@@ -148,7 +149,6 @@
     schedule_run();
 }
 
-/// Withdraws a request that waits, ends one that was granted.
 void relay::end_peer_request(ticket_id ticket, send_outcome outcome)
 {
     auto const found = peer_requests_.find(ticket);
@@ -198,7 +198,8 @@
     peer_requests_.erase(found);
 }
 
-/// May be called within a decision, so nothing is told before it is over.
+/// May be called while the scheduler makes decisions, so no result is reported
+/// before this call returns.
 void relay::send_grant_request(service_state& service, ask_owner const& ask)
 {
     auto const found = exchanges_.find(ask.ticket);
@@ -361,7 +362,7 @@
         collected_call call = call_to(peer.address, message);
         call.current_deadline = [ends = std::chrono::steady_clock::now() +
                                         peer_update_timeout] { return ends; };
-        // Nothing follows from it: a grant that is not given back expires.
+        // The result is ignored: a grant that is not reported as ended expires.
         call.on_end = [](collected_answer const&) {};
         start_collected(io_, pool_, std::move(call));
     }
--- a/src/relay_settings.cpp
+++ b/src/relay_settings.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint64_t max_port = 65535;
 constexpr milliseconds max_bound{60'000};
 
-/// IP:PORT, as one text.
+/// Reads an address written as IP:PORT.
 void read_address(json_object& root, char const* key, listen_address& into,
                   presence need)
 {
--- a/src/relay_settings.hpp
+++ b/src/relay_settings.hpp
@@ -1,4 +1,4 @@
-/// The settings of a VM that relays on a platform.
+/// Settings of a VM that relays requests on a platform.
 #ifndef MULBERRY_RELAY_SETTINGS_HPP
 #define MULBERRY_RELAY_SETTINGS_HPP
 
@@ -16,55 +16,56 @@
 namespace mulberry
 {
 
-/// A port of 0 lets the kernel pick. Immutable once loaded. Spans of time stand
-/// here as settings only; the running program stores the deadlines made from
-/// them.
+/// Settings of one VM. Port 0 lets the kernel choose the port. Durations appear
+/// only here; the running program stores the deadlines computed from them.
+/// Immutable once loaded.
 struct relay_settings
 {
     vm_id vm;
     domain_id domain;
     listen_address callers;
-    /// Where the balancer asks whether this VM takes connections.
+    /// Where the load balancer polls whether this VM accepts connections.
     listen_address readiness;
-    /// Where other VMs ask for room at workers that this one orders.
+    /// Where other VMs request grants for the workers that this VM owns.
     listen_address peers;
-    /// Where metrics are served, if they are.
+    /// Where metrics are served; used if `serves_metrics`.
     listen_address metrics;
     bool serves_metrics = false;
     std::string store_url;
 
-    /// The least time between orders of two VMs to one worker.
+    /// Minimum time between orders of two VMs to one worker.
     duration order_gap = std::chrono::milliseconds(3000);
-    /// How soon a new version of an adapter is in force.
+    /// Within this time, a new version of an adapter takes effect.
     duration release_bound = std::chrono::milliseconds(5000);
-    /// How soon a worker that leaves gets no more requests.
+    /// Within this time, a worker that leaves gets no more requests.
     duration drain_bound = std::chrono::milliseconds(2000);
-    /// How soon a configuration is in force.
+    /// Within this time, a new configuration takes effect.
     duration configuration_bound = std::chrono::milliseconds(2000);
-    /// What is known of teams' keys is used no longer than that.
+    /// How long knowledge of the teams' keys may be used.
     key_bounds keys;
-    /// How teams' allotments are shared out among VMs.
+    /// How the teams' allotments are distributed among VMs.
     allotment_terms allotments;
-    /// From the signal to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     duration stop_bound = std::chrono::seconds(8);
     retry_limits retries;
-    /// When a request under which workers crash is sent to no more of them.
+    /// When a request that crashes workers is quarantined.
     crash_limits crashes;
 
-    /// The part of a processor core that this VM has: those with the most order
-    /// workers and read the store for the others.
+    /// Processor cores that this VM has (may be a fraction). The VMs with the
+    /// most own workers and read the store for the others.
     double processor_share = 1;
     std::size_t max_connections = 4096;
     std::string log_level = "info";
     std::string log_format = "json";
-    /// Log lines a second, of routine and of notable ones each.
+    /// Maximum log lines per second, for routine and for notable lines each.
     double log_lines_per_second = 40;
 
     friend bool operator==(relay_settings const&,
                            relay_settings const&) = default;
 };
 
-/// Reads settings from JSON with comments; lists every fault.
+/// Parses settings from JSON with comments. Returns every fault found; `file`
+/// names the source in the faults.
 std::variant<relay_settings, std::vector<text_fault>>
 parse_relay_settings(std::string_view text, std::string const& file);
 
