--- a/src/collected_exchange.hpp
+++ b/src/collected_exchange.hpp
@@ -1,4 +1,5 @@
-/// A small call over the pool, collected and answered once.
+/// A call over the connection pool whose whole answer is buffered and reported
+/// once.
 #ifndef MULBERRY_COLLECTED_EXCHANGE_HPP
 #define MULBERRY_COLLECTED_EXCHANGE_HPP
 
@@ -17,30 +18,31 @@
 /// How a call ended. Value.
 struct collected_answer
 {
-    /// 0: there was no whole answer.
+    /// HTTP status; 0 if there was no complete answer.
     int status = 0;
     std::string body;
-    /// Given up when its time was over.
+    /// The call was given up at its deadline.
     bool timed_out = false;
 };
 
 struct collected_call
 {
     backend_address to;
-    /// A whole request.
+    /// The encoded request, head and body.
     std::string bytes;
     exchange_options options;
-    /// When the call is given up, as of now; asked again when that moment is
-    /// there, so that it may move on. Steady clock.
+    /// Returns the deadline of the call. Called at the start and again when
+    /// that time has come, so that the deadline may move. Steady clock.
     std::function<std::chrono::steady_clock::time_point()> current_deadline;
-    /// The head of the answer came. May be empty.
+    /// Called when the head of the answer has arrived. May be empty.
     std::function<void(int status)> on_head;
-    /// Called once, unless the call is cancelled; never within the start.
+    /// Called once when the call has ended, unless it is cancelled; never from
+    /// within start_collected().
     std::function<void(collected_answer)> on_end;
 };
 
-/// Starts the call. Cancelling what is returned closes its connection, and
-/// nothing is called any more.
+/// Starts the call. Cancelling the returned exchange closes its connection; no
+/// callback is called after that.
 std::shared_ptr<backend_exchange>
 start_collected(asio::io_context& io, backend_pool& pool, collected_call call);
 
--- a/src/event_log.hpp
+++ b/src/event_log.hpp
@@ -1,5 +1,5 @@
-/// One structured line for each decision that touches a request or changes
-/// what the process believes.
+/// Structured log with one line for each decision about a request and each
+/// change of the process's state.
 #ifndef MULBERRY_EVENT_LOG_HPP
 #define MULBERRY_EVENT_LOG_HPP
 
@@ -23,9 +23,9 @@
     log_fields& add(std::string_view name, std::int64_t value);
     log_fields& add(std::string_view name, std::uint64_t value);
     log_fields& add(std::string_view name, int value);
-    /// In milliseconds.
+    /// Written in whole milliseconds, rounded down.
     log_fields& add(std::string_view name, duration value);
-    /// The members of a JSON object, without its braces.
+    /// Returns the members of a JSON object, without its braces.
     std::string const& str() const { return text_; }
 
 private:
@@ -34,37 +34,44 @@
     std::string text_;
 };
 
-/// Failure: every request of a burst is rejected and each rejection writes
-/// lines, until logging takes the processor time that serving needs. Lines
-/// over the rate are left out and counted, and the count is told with the next
-/// line that is written. Warnings are given a share of their own, so that
-/// routine lines never crowd them out. Thread safety: none; never blocks.
+/// Writes log lines at a limited rate. Failure: every request of a burst is
+/// rejected and each rejection writes lines, until logging uses the processor
+/// time that serving needs. Lines over the rate are left out and counted; the
+/// next line that is written carries the count. Notable lines have a token
+/// bucket of their own, so that routine lines cannot use up their rate. Thread
+/// safety: none; never blocks.
 class event_log
 {
 public:
-    /// `write` takes the line; it must not block.
+    /// Writes one line; must not block.
     using writer =
         std::function<void(log_level, std::string_view part,
                            std::string_view event, std::string const& fields)>;
 
-    /// At most `lines_per_second` lines of each of the two classes.
+    /// Writes at most `lines_per_second` lines of each of the two classes.
+    /// `part` names the component in each line.
     event_log(std::string part, double lines_per_second, writer write);
 
-    /// What happens on every request; left out first.
+    /// For events of every request; written at level info.
     void routine(std::string_view event, log_fields const& fields,
                  time_point now);
-    /// A request that was rejected, repeated or failed, or a belief changed.
+    /// For rejected, repeated or failed requests and changes of state; written
+    /// at level warning.
     void notable(std::string_view event, log_fields const& fields,
                  time_point now);
+    /// Lines left out since the start.
     std::uint64_t lines_left_out() const { return total_lines_left_out_; }
 
 private:
+    /// Token bucket that holds at most one second's lines.
     struct token_budget
     {
         double tokens = 0;
         time_point filled_at{};
     };
 
+    /// Refills the bucket and takes one token. Counts a line left out and
+    /// returns false if there is none.
     bool try_take(token_budget& from, time_point now);
     void write(log_level level, std::string_view event,
                log_fields const& fields);
--- a/src/event_sink.hpp
+++ b/src/event_sink.hpp
@@ -1,4 +1,4 @@
-/// Where the shell's parts report what happened.
+/// Queue through which the I/O components pass events to the decision thread.
 #ifndef MULBERRY_EVENT_SINK_HPP
 #define MULBERRY_EVENT_SINK_HPP
 
@@ -7,18 +7,18 @@
 namespace mulberry
 {
 
-/// Thread safe.
+/// Thread safety: any thread may call any method.
 class event_sink
 {
 public:
     virtual ~event_sink() = default;
-    /// For new work: false when the decision thread's ring is full, so that
-    /// the response writer is told of the overload while it is certain that
-    /// nothing ran.
+    /// For new requests. Returns false if the decision thread's ring is full,
+    /// so that the response writer can report the overload while it is certain
+    /// that nothing ran.
     virtual bool offer(core_event event) = 0;
-    /// For what became of work already taken: waits for room, since a lost
-    /// event would be a lost answer. The wait slows the back end's connection
-    /// down, which is the bound.
+    /// For the progress of accepted work. Blocks until the ring has a free
+    /// slot, since a lost event would be a lost answer. Blocking slows the
+    /// backend's connection down, which bounds the number of events.
     virtual void post(core_event event) = 0;
 };
 
--- a/src/event_splitter.cpp
+++ b/src/event_splitter.cpp
@@ -7,7 +7,8 @@
 namespace
 {
 
-/// Where the last whole event ends, or 0: an event ends with an empty line.
+/// Returns the offset behind the last complete event, or 0 if there is none. An
+/// event ends with an empty line.
 std::size_t end_of_events(std::string_view text)
 {
     std::size_t end = 0;
--- a/tests/event_log_test.cpp
+++ b/tests/event_log_test.cpp
@@ -32,8 +32,8 @@
     CHECK(fields.str() == R"("request":"r\"1","count":2,"age_ms":1)");
 }
 
-// Every request of a burst is rejected. The volume stays bounded, and the next
-// line that is written says how many were left out.
+// Guards against log volume that grows with the load: every request of a burst
+// is rejected, and the next line written carries the number of lines left out.
 TEST_CASE("lines over the rate are left out and counted", "[event_log]")
 {
     written_lines written;
--- a/tests/event_splitter_test.cpp
+++ b/tests/event_splitter_test.cpp
@@ -4,7 +4,8 @@
 
 using namespace mulberry;
 
-TEST_CASE("only whole events are handed on, byte for byte", "[event_splitter]")
+TEST_CASE("only complete events are returned, byte for byte",
+          "[event_splitter]")
 {
     std::string const stream = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
     for (std::size_t cut = 0; cut <= stream.size(); ++cut)
@@ -19,9 +20,10 @@
     }
 }
 
-// A worker dies in the middle of an event. Its half is dropped, and the id says
-// after which event another worker goes on.
-TEST_CASE("half an event is dropped when a stream goes on elsewhere",
+// Guards against corrupt events when a worker dies in the middle of one: the
+// incomplete event is discarded, and the last id says where another worker
+// resumes.
+TEST_CASE("an incomplete event is discarded when a stream is resumed",
           "[event_splitter]")
 {
     event_splitter events;
@@ -41,7 +43,7 @@
     CHECK(events.last_id() == 3U);
 }
 
-TEST_CASE("events without ids have none", "[event_splitter]")
+TEST_CASE("a stream without event ids has no last id", "[event_splitter]")
 {
     event_splitter events;
     events.feed("data: a\n\n");
--- a/tests/relay_callers.hpp
+++ b/tests/relay_callers.hpp
@@ -1,4 +1,5 @@
-/// What stands in for callers and the wire in tests of one relay.
+/// Test doubles of a caller's connection and of the wire codec, for tests of
+/// one relay.
 #ifndef MULBERRY_TESTS_RELAY_CALLERS_HPP
 #define MULBERRY_TESTS_RELAY_CALLERS_HPP
 
@@ -16,7 +17,7 @@
 
 using namespace mulberry;
 
-/// Requests are their paths; nothing reaches a worker.
+/// Decodes only the path of a request; requests cannot be sent to workers.
 class plain_codec : public relay_codec
 {
 public:
@@ -83,6 +84,7 @@
     bool is_ready_question(http_request const&) const override { return false; }
 };
 
+/// Records the response that the relay gives.
 struct recorded_answer final : http_answer
 {
     void respond(http_response given) override { response = std::move(given); }
--- a/tests/relay_settings_test.cpp
+++ b/tests/relay_settings_test.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("settings are read with their defaults", "[relay_settings]")
+TEST_CASE("omitted settings take their defaults", "[relay_settings]")
 {
     auto const parsed = parse_relay_settings(
         settings_with(R"(, "order_gap_ms": 2000, "stop_bound_s": 4.5)"),
@@ -43,7 +43,7 @@
     CHECK_FALSE(value.serves_metrics);
 }
 
-TEST_CASE("every fault is told", "[relay_settings]")
+TEST_CASE("every fault is reported", "[relay_settings]")
 {
     CHECK(fault_count("{") > 0);
     CHECK(fault_count("{}") == 6);
--- a/tests/relay_start_test.cpp
+++ b/tests/relay_start_test.cpp
@@ -1,4 +1,4 @@
-// What callers see of a VM that has just started.
+// Requests that arrive at a VM that has just started.
 #include "relay.hpp"
 #include "relay_callers.hpp"
 
@@ -17,8 +17,8 @@
 
 constexpr std::chrono::seconds answer_timeout{20};
 
-/// A VM whose route leads to a service without workers: once it knows that, it
-/// says so.
+/// A VM whose only route leads to a service without workers. Once configured,
+/// it rejects requests because no worker can serve them.
 struct starting_vm
 {
     explicit starting_vm(duration longest_hold)
@@ -76,9 +76,9 @@
 
 } // namespace
 
-// A request arrives a moment before the configuration is read. It is decided on
-// by what the configuration says, not turned away for want of one.
-TEST_CASE("a request that comes before the configuration waits for it",
+// Guards against rejecting requests that arrive shortly before the
+// configuration is read: they are held and decided on by the configuration.
+TEST_CASE("a request that arrives before the configuration waits for it",
           "[relay_start]")
 {
     starting_vm vm_under_test(60s);
@@ -90,7 +90,7 @@
     CHECK(answer->response->body == "no worker can serve it here");
 }
 
-TEST_CASE("a VM that knows nothing for long turns requests away at once",
+TEST_CASE("a VM that stays unconfigured rejects requests at once",
           "[relay_start]")
 {
     starting_vm vm_under_test(0s);
@@ -102,8 +102,9 @@
           0.8);
 }
 
-// The caller leaves while its request is kept: no worker is to see it.
-TEST_CASE("a request whose caller has left is not decided on", "[relay_start]")
+// Guards against relaying a held request whose caller has disconnected.
+TEST_CASE("a held request is dropped when its caller disconnects",
+          "[relay_start]")
 {
     starting_vm vm_under_test(60s);
     auto const answer = vm_under_test.send_request();
