--- a/src/collected_exchange.cpp
+++ b/src/collected_exchange.cpp
@@ -21,8 +21,8 @@
 
     void start(backend_pool& pool)
     {
-        running_ = pool.start(call_.to, std::move(call_.bytes), call_.options,
-                              shared_from_this());
+        backend_exchange_ = pool.start(call_.to, std::move(call_.bytes),
+                                       call_.options, shared_from_this());
         start_deadline_timer();
     }
 
@@ -31,7 +31,7 @@
         if (std::exchange(finished_, true))
             return;
         timer_.cancel();
-        running_->cancel();
+        backend_exchange_->cancel();
     }
 
     void on_head(int status, http_headers) override
@@ -60,7 +60,7 @@
     {
         if (call_.current_deadline() > std::chrono::steady_clock::now())
             return start_deadline_timer();
-        running_->cancel();
+        backend_exchange_->cancel();
         complete({0, {}, true});
     }
 
@@ -74,7 +74,7 @@
 
     collected_call call_;
     asio::steady_timer timer_;
-    std::shared_ptr<backend_exchange> running_;
+    std::shared_ptr<backend_exchange> backend_exchange_;
     collected_answer answer_;
     bool finished_ = false;
 };
@@ -84,9 +84,9 @@
 std::shared_ptr<backend_exchange>
 start_collected(asio::io_context& io, backend_pool& pool, collected_call call)
 {
-    auto const made = std::make_shared<collector>(io, std::move(call));
-    made->start(pool);
-    return made;
+    auto const started = std::make_shared<collector>(io, std::move(call));
+    started->start(pool);
+    return started;
 }
 
 } // namespace mulberry
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -56,13 +56,14 @@
              relay_options options, event_log& log)
     : io_(io), codec_(codec), options_(std::move(options)), log_(log),
       pool_(io), timer_(io), crashes_(io, *this, options_.crashes, log),
-      start_(options_.start, boot_clock::now()), random_(options_.seed)
+      start_hold_(options_.start, boot_clock::now()), random_(options_.seed)
 {
     // Failure: a VM restarts, and another VM reports that a grant of the
     // earlier process has ended; a grant of the new process with the same
     // number ends early. A random first number makes equal numbers unlikely.
-    std::uniform_int_distribution<std::uint64_t> anywhere(1, max_first_ticket);
-    last_ticket_ = anywhere(random_);
+    std::uniform_int_distribution<std::uint64_t> ticket_distribution(
+        1, max_first_ticket);
+    last_ticket_ = ticket_distribution(random_);
     allotments_ =
         std::make_unique<pooled_allotment>(options_.vm, options_.allotments);
 }
@@ -444,7 +445,7 @@
                           "the connection closed");
     ticket_id const ticket = exchange.terms().ticket;
     if (auto const metered = metered_requests_.extract(ticket);
-        !metered.empty() && !metered.mapped().waits && exchange.never_ran())
+        !metered.empty() && !metered.mapped().pending && exchange.never_ran())
         allotments_->give_back(metered.mapped().team, metered.mapped().units,
                                now());
     // The exchange is still on the call stack, so it is destroyed later.
@@ -556,9 +557,9 @@
                                           std::string(refused->reason), ran::no,
                                           add_jitter(refused->retry_after)));
     }
-    if (auto const* late = std::get_if<withdraw_request>(&action))
+    if (auto const* withdrawn = std::get_if<withdraw_request>(&action))
     {
-        if (auto const found = exchanges_.find(late->ticket);
+        if (auto const found = exchanges_.find(withdrawn->ticket);
             found != exchanges_.end())
         {
             auto const exchange = found->second;
--- a/src/relay.hpp
+++ b/src/relay.hpp
@@ -206,7 +206,7 @@
         team_id team;
         double units = 0;
         /// The decision whether the units are available is still pending.
-        bool waits = true;
+        bool pending = true;
     };
     /// A request that arrived before routes and workers were known.
     struct early_request
@@ -216,7 +216,7 @@
         time_point arrived_at{};
         time_point keep_until{};
         /// Set to true when the caller disconnects.
-        std::shared_ptr<bool> gone;
+        std::shared_ptr<bool> disconnected;
     };
     struct service_state
     {
@@ -329,7 +329,7 @@
     std::vector<backend_entry> backends_;
     crash_watch crashes_;
     bool backends_known_ = false;
-    start_hold const start_;
+    start_hold const start_hold_;
     std::vector<early_request> early_requests_;
     std::map<worker_id, order_grant> owned_workers_;
     adapter_releases releases_;
--- a/src/relay_admission.cpp
+++ b/src/relay_admission.cpp
@@ -60,12 +60,13 @@
                                std::shared_ptr<http_answer> answer)
 {
     time_point const at = now();
-    time_point const until = start_.keep_until(at, request.time_left);
+    time_point const until = start_hold_.keep_until(at, request.time_left);
     early_request early{std::move(request), std::move(answer), at, until,
                         std::make_shared<bool>(false)};
     if (early.keep_until <= at || early_requests_.size() >= max_early_requests)
         return reject_early_request(early);
-    early.answer->on_closed([gone = early.gone] { *gone = true; });
+    early.answer->on_closed([disconnected = early.disconnected]
+                            { *disconnected = true; });
     early_requests_.push_back(std::move(early));
     schedule_run();
 }
@@ -76,7 +77,7 @@
                    error(error_kind::configuration_stale,
                          has_config() ? "the workers are not known yet"
                                       : "no configuration is known yet",
-                         ran::no, start_.retry_after(now())));
+                         ran::no, start_hold_.retry_after(now())));
 }
 
 void relay::process_early_requests()
@@ -85,7 +86,7 @@
     std::vector<early_request> waiting = std::exchange(early_requests_, {});
     for (early_request& each : waiting)
     {
-        if (*each.gone)
+        if (*each.disconnected)
             ++counts_.caller_gone;
         else if (is_initialized())
             admit(std::move(each.request), std::move(each.answer),
--- a/src/relay_daemon.cpp
+++ b/src/relay_daemon.cpp
@@ -319,9 +319,9 @@
     if (set == row_set::own)
         relay_.on_own_rows(rows);
     time_point const now = boot_clock::now();
-    bool const away = mirror_.lost();
+    bool const store_lost = mirror_.lost();
     registry_.on_rows(set, rows, now,
-                      (away ? now : mirror_.returned_at()) + lapse_grace);
+                      (store_lost ? now : mirror_.returned_at()) + lapse_grace);
 }
 
 void relay_process::update_ownership_workers()
--- a/src/relay_exchange.cpp
+++ b/src/relay_exchange.cpp
@@ -100,7 +100,7 @@
 void relay_exchange::start()
 {
     schedule_wake();
-    host_.wait_for_worker(*this, excluded_);
+    host_.wait_for_worker(*this, excluded_workers_);
 }
 
 void relay_exchange::schedule_wake()
@@ -153,7 +153,7 @@
     options.max_idle =
         is_retryable() ? max_idle_if_retryable : max_idle_if_not_retryable;
     ++attempt_number_;
-    running_ = host_.pool().start(
+    backend_exchange_ = host_.pool().start(
         {worker.address, worker.port},
         host_.codec().encode_request(request_, terms), options,
         std::make_shared<attempt>(shared_from_this(), attempt_number_));
@@ -248,7 +248,7 @@
     {
         // This connection delivered the late answer to another request. Whether
         // this request ran is unknown.
-        running_->cancel();
+        backend_exchange_->cancel();
         return retry_or_fail(send_outcome::broken,
                              "an answer to another request");
     }
@@ -270,7 +270,7 @@
     {
         if (!is_answer_acceptable())
         {
-            running_->cancel();
+            backend_exchange_->cancel();
             return retry_or_fail(send_outcome::broken,
                                  "the answer has no proof");
         }
@@ -301,7 +301,7 @@
         return forward_stream(bytes);
     if (body_.size() + bytes.size() > max_buffered_bytes)
     {
-        running_->cancel();
+        backend_exchange_->cancel();
         return retry_or_fail(send_outcome::broken, "the answer is too large");
     }
     body_ += bytes;
@@ -357,7 +357,7 @@
     send_outcome const outcome = reply_.other_worker ? send_outcome::unreachable
                                  : reply_.lacks_model ? send_outcome::not_held
                                                       : send_outcome::full;
-    excluded_.insert(worker_.id);
+    excluded_workers_.insert(worker_.id);
     end_send(outcome);
     if (sends_ < max_sends && host_.try_take_retry(*this))
         return resubmit("rejected by the worker");
@@ -402,7 +402,7 @@
         // Nothing reached the worker, so neither a run nor a send is counted.
         --runs_;
         --sends_;
-        excluded_.insert(worker_.id);
+        excluded_workers_.insert(worker_.id);
         end_send(send_outcome::unreachable);
         return resubmit(reason);
     }
@@ -435,19 +435,19 @@
 void relay_exchange::end_send(send_outcome outcome)
 {
     ++attempt_number_;
-    if (running_)
-        running_->cancel();
-    running_.reset();
+    if (backend_exchange_)
+        backend_exchange_->cancel();
+    backend_exchange_.reset();
     host_.on_send_ended(*this, outcome);
 }
 
 void relay_exchange::resubmit(std::string_view reason)
 {
     host_.log_request_event(*this, "tries again", reason);
-    excluded_.insert(worker_.id);
+    excluded_workers_.insert(worker_.id);
     stage_ = stage::waiting;
     schedule_wake();
-    host_.wait_for_worker(*this, excluded_);
+    host_.wait_for_worker(*this, excluded_workers_);
 }
 
 void relay_exchange::respond_with_error(error problem, relay_outcome outcome,
--- a/src/relay_exchange.hpp
+++ b/src/relay_exchange.hpp
@@ -200,9 +200,9 @@
     std::shared_ptr<http_answer> answer_;
     stage stage_ = stage::waiting;
     backend_entry worker_;
-    std::shared_ptr<backend_exchange> running_;
+    std::shared_ptr<backend_exchange> backend_exchange_;
     std::uint64_t attempt_number_ = 0;
-    std::set<worker_id> excluded_;
+    std::set<worker_id> excluded_workers_;
     /// Sends that reached a worker, rejected ones included.
     int sends_ = 0;
     /// Sends that may have run.
--- a/src/relay_metrics.cpp
+++ b/src/relay_metrics.cpp
@@ -43,7 +43,8 @@
     add("config_version", "", version().value());
     add("members", "", members_);
     add("requests_in_progress", "", exchanges_.size());
-    auto const spans = [&](std::string const& name, latency_meter const& meter)
+    auto const add_latency =
+        [&](std::string const& name, latency_meter const& meter)
     {
         latency_summary const seen = meter.summary();
         add(name, "{quantile=\"0.5\"}", seen.median);
@@ -52,9 +53,9 @@
         add(name + "_count", "", seen.count);
         add(name + "_sum", "", seen.sum);
     };
-    spans("first_byte_seconds", first_byte_latency_);
-    spans("waited_seconds", queueing_delays_);
-    spans("stream_gap_seconds", stream_gaps_);
+    add_latency("first_byte_seconds", first_byte_latency_);
+    add_latency("waited_seconds", queueing_delays_);
+    add_latency("stream_gap_seconds", stream_gaps_);
     for (auto const& [name, service] : services_)
     {
         scheduler_counts const counts = service.scheduler.counts();
--- a/src/relay_teams.cpp
+++ b/src/relay_teams.cpp
@@ -116,7 +116,7 @@
     auto const exchange = found->second;
     if (!settled.refused)
     {
-        metered->second.waits = false;
+        metered->second.pending = false;
         return exchange->start();
     }
     error const& why = *settled.refused;
