--- a/src/relay.hpp
+++ b/src/relay.hpp
@@ -242,8 +242,8 @@
     /// Admits held requests once routes and workers are known; rejects those
     /// held for too long.
     void process_early_requests();
-    void reject_request(relay_request const& request, http_answer& answer,
-                        error const& problem);
+    void reject_immediately(relay_request const& request, http_answer& answer,
+                            error const& problem);
     /// Returns the team that the request's key belongs to, or why the request
     /// must not be sent now. A rejection is counted and logged.
     access_decision check_access(relay_request const& request,
--- a/src/relay_admission.cpp
+++ b/src/relay_admission.cpp
@@ -27,8 +27,8 @@
 
 } // namespace
 
-void relay::reject_request(relay_request const& request, http_answer& answer,
-                           error const& problem)
+void relay::reject_immediately(relay_request const& request,
+                               http_answer& answer, error const& problem)
 {
     ++counts_.refused;
     log_.notable("rejected",
@@ -47,9 +47,10 @@
     ++counts_.requests;
     relay_request request = codec_.decode_request(std::move(received));
     if (rejects_new_requests_)
-        return reject_request(request, *answer,
-                              error(error_kind::draining, "this VM is leaving",
-                                    ran::no, leaving_retry_delay));
+        return reject_immediately(request, *answer,
+                                  error(error_kind::draining,
+                                        "this VM is leaving", ran::no,
+                                        leaving_retry_delay));
     if (!is_initialized())
         return hold_early_request(std::move(request), std::move(answer));
     admit(std::move(request), std::move(answer), now());
@@ -73,11 +74,11 @@
 
 void relay::reject_early_request(early_request const& early)
 {
-    reject_request(early.request, *early.answer,
-                   error(error_kind::configuration_stale,
-                         has_config() ? "the workers are not known yet"
-                                      : "no configuration is known yet",
-                         ran::no, start_hold_.retry_after(now())));
+    reject_immediately(early.request, *early.answer,
+                       error(error_kind::configuration_stale,
+                             has_config() ? "the workers are not known yet"
+                                          : "no configuration is known yet",
+                             ran::no, start_hold_.retry_after(now())));
 }
 
 void relay::process_early_requests()
@@ -103,12 +104,12 @@
 {
     route const* const matched = routes_->find(request.host, request.path);
     if (matched == nullptr)
-        return reject_request(
+        return reject_immediately(
             request, *answer,
             error(error_kind::not_found, "no route has that host and path"));
     auto const access = check_access(request, *matched);
     if (auto const* refused = std::get_if<error>(&access))
-        return reject_request(request, *answer, *refused);
+        return reject_immediately(request, *answer, *refused);
     team const* const holder = std::get<access_granted>(access).holder;
     exchange_terms terms;
     if (!teams_->empty())
@@ -126,16 +127,16 @@
                            request.time_left.value_or(default_time_left));
     service_state* const service = find(terms.service);
     if (service == nullptr)
-        return reject_request(request, *answer,
-                              error(error_kind::back_end_unavailable,
-                                    "the route's service is not known", ran::no,
-                                    unknown_service_retry_delay));
+        return reject_immediately(request, *answer,
+                                  error(error_kind::back_end_unavailable,
+                                        "the route's service is not known",
+                                        ran::no, unknown_service_retry_delay));
     terms.engine = service->engine;
     ticket_id const ticket = terms.ticket;
     auto const exchange = std::make_shared<relay_exchange>(
         *this, std::move(terms), std::move(request), answer);
     if (auto const refused = check_quarantine(*exchange))
-        return reject_request(exchange->request(), *answer, *refused);
+        return reject_immediately(exchange->request(), *answer, *refused);
     service->retries.count_request(now());
     exchanges_.emplace(ticket, exchange);
     answer->on_closed(
@@ -151,8 +152,8 @@
 {
     if (crashes_.idle())
         return std::nullopt;
-    auto const held = crashes_.quarantine_of(exchange.identity());
-    if (!held)
+    auto const active_quarantine = crashes_.quarantine_of(exchange.identity());
+    if (!active_quarantine)
         return std::nullopt;
     crashes_.count_refused();
     time_point const at = now();
@@ -161,13 +162,13 @@
                      .add("request", exchange.request().id.str())
                      .add("content", exchange.identity().content.str())
                      .add("reason", "workers crashed under requests like it")
-                     .add("crashes", std::uint64_t{held->crashes})
-                     .add("workers", held->workers)
-                     .add("for_ms", held->until - at),
+                     .add("crashes", std::uint64_t{active_quarantine->crashes})
+                     .add("workers", active_quarantine->workers)
+                     .add("for_ms", active_quarantine->until - at),
                  at);
     return error(error_kind::quarantined,
                  "workers crashed under requests like it", ran::no,
-                 held->until - at);
+                 active_quarantine->until - at);
 }
 
 } // namespace mulberry
--- a/src/relay_daemon.cpp
+++ b/src/relay_daemon.cpp
@@ -112,7 +112,8 @@
     options.keeper.heartbeat = heartbeat_interval(value);
     options.keeper.table_timeout = value.order_gap / order_gap_divisor;
     options.keeper.settle = value.order_gap / order_gap_divisor;
-    // A worker that changes hands takes no orders for the gap: one at a time.
+    // A worker whose owner changes takes no orders for one gap, so workers are
+    // handed over one at a time.
     options.keeper.handover_interval = gap;
     options.keeper.seed = seed;
     options.keeper.order_gap = gap;
--- a/src/relay_exchange.cpp
+++ b/src/relay_exchange.cpp
@@ -50,8 +50,8 @@
 class relay_exchange::attempt final : public exchange_observer
 {
 public:
-    attempt(std::shared_ptr<relay_exchange> of, std::uint64_t number)
-        : exchange_(std::move(of)), number_(number)
+    attempt(std::shared_ptr<relay_exchange> parent, std::uint64_t number)
+        : exchange_(std::move(parent)), number_(number)
     {
     }
     void on_head(int status, http_headers headers) override
--- a/src/relay_metrics.cpp
+++ b/src/relay_metrics.cpp
@@ -46,12 +46,12 @@
     auto const add_latency =
         [&](std::string const& name, latency_meter const& meter)
     {
-        latency_summary const seen = meter.summary();
-        add(name, "{quantile=\"0.5\"}", seen.median);
-        add(name, "{quantile=\"0.95\"}", seen.p95);
-        add(name, "{quantile=\"0.99\"}", seen.p99);
-        add(name + "_count", "", seen.count);
-        add(name + "_sum", "", seen.sum);
+        latency_summary const latency = meter.summary();
+        add(name, "{quantile=\"0.5\"}", latency.median);
+        add(name, "{quantile=\"0.95\"}", latency.p95);
+        add(name, "{quantile=\"0.99\"}", latency.p99);
+        add(name + "_count", "", latency.count);
+        add(name + "_sum", "", latency.sum);
     };
     add_latency("first_byte_seconds", first_byte_latency_);
     add_latency("waited_seconds", queueing_delays_);
--- a/src/relay_orders.cpp
+++ b/src/relay_orders.cpp
@@ -49,8 +49,8 @@
     call.to = {worker.address, worker.port};
     call.bytes = std::move(bytes);
     call.options.connect_timeout = timeout;
-    call.current_deadline = [ends = std::chrono::steady_clock::now() + timeout]
-    { return ends; };
+    call.current_deadline = [deadline = std::chrono::steady_clock::now() +
+                                        timeout] { return deadline; };
     return call;
 }
 
@@ -95,7 +95,7 @@
 {
     counts_.orders_unknown += outcome == order_outcome::unknown;
     counts_.orders_conflict += outcome == order_outcome::conflict;
-    bool const notable =
+    bool const is_failure =
         outcome != order_outcome::accepted && outcome != order_outcome::holds;
     auto const fields = [&]
     {
@@ -111,7 +111,7 @@
     service_state* const known = find(service);
     bool const changed =
         known != nullptr && known->scheduler.on_order(order, outcome, now());
-    if (notable)
+    if (is_failure)
         log_.notable("order answered", fields(), now());
     else if (changed)
         log_.routine("order answered", fields(), now());
--- a/src/relay_peers.cpp
+++ b/src/relay_peers.cpp
@@ -88,10 +88,10 @@
         auto const address = parse_address(member.address);
         if (member.vm == options_.vm || !address)
             continue;
-        peer_state& link = states[member.vm];
-        link.address = *address;
+        peer_state& state = states[member.vm];
+        state.address = *address;
         if (auto const known = peers_.find(member.vm); known != peers_.end())
-            link.done = std::move(known->second.done);
+            state.done = std::move(known->second.done);
     }
     peers_ = std::move(states);
 }
@@ -289,19 +289,19 @@
 {
     grant_requests_.erase(ask.ticket);
     log_grant_reply(ask, asked_at, outcome, reply);
-    bool const wanted = exchanges_.count(ask.ticket) > 0;
+    bool const still_waiting = exchanges_.count(ask.ticket) > 0;
     if (outcome == ask_outcome::granted)
     {
-        if (!wanted)
+        if (!still_waiting)
             return return_grant({ask.owner, reply.grant},
                                 send_outcome::abandoned);
         held_grants_[ask.ticket] = {ask.owner, reply.grant};
     }
     service_state& state = *find(service);
     update_registry_moment(state);
-    bool const used = state.scheduler.on_owner(
+    bool const accepted = state.scheduler.on_owner(
         ask.ticket, outcome, {reply.worker, reply.version}, now());
-    if (!used && outcome == ask_outcome::granted)
+    if (!accepted && outcome == ask_outcome::granted)
     {
         return_grant({ask.owner, reply.grant}, send_outcome::abandoned);
         held_grants_.erase(ask.ticket);
@@ -328,8 +328,9 @@
         peer_call message;
         message.crashes = news;
         collected_call call = call_to(peer.address, message);
-        call.current_deadline = [ends = std::chrono::steady_clock::now() +
-                                        peer_update_timeout] { return ends; };
+        call.current_deadline =
+            [deadline = std::chrono::steady_clock::now() + peer_update_timeout]
+        { return deadline; };
         call.on_end = [broadcast_state](collected_answer const& answer)
         {
             broadcast_state->by_all &= answer.status == status_ok;
@@ -360,8 +361,9 @@
         peer_call message;
         message.done = std::exchange(peer.done, {});
         collected_call call = call_to(peer.address, message);
-        call.current_deadline = [ends = std::chrono::steady_clock::now() +
-                                        peer_update_timeout] { return ends; };
+        call.current_deadline =
+            [deadline = std::chrono::steady_clock::now() + peer_update_timeout]
+        { return deadline; };
         // The result is ignored: a grant that is not reported as ended expires.
         call.on_end = [](collected_answer const&) {};
         start_collected(io_, pool_, std::move(call));
