--- a/src/event_log.hpp
+++ b/src/event_log.hpp
@@ -52,7 +52,8 @@
     /// `part` names the component in each line.
     event_log(std::string part, double lines_per_second, writer write);
 
-    /// For events of every request; written at level info.
+    /// For events of every request, which exceed the rate first; written at
+    /// level info.
     void routine(std::string_view event, log_fields const& fields,
                  time_point now);
     /// For rejected, repeated or failed requests and changes of state; written
--- a/tests/relay_settings_test.cpp
+++ b/tests/relay_settings_test.cpp
@@ -28,7 +28,8 @@
 
 } // namespace
 
-TEST_CASE("omitted settings take their defaults", "[relay_settings]")
+TEST_CASE("settings are read and omitted ones take defaults",
+          "[relay_settings]")
 {
     auto const parsed = parse_relay_settings(
         settings_with(R"(, "order_gap_ms": 2000, "stop_bound_s": 4.5)"),
