--- a/src/backend_pool.cpp
+++ b/src/backend_pool.cpp
@@ -26,33 +26,34 @@
 constexpr std::size_t read_buffer_bytes = 8UL * 1024;
 /// Workers close idle connections after their own timeout; without a
 /// Keep-Alive field it is not known, and this is kept short.
-constexpr std::chrono::milliseconds longest_idle{4000};
+constexpr std::chrono::milliseconds max_idle_time{4000};
 /// A worker's timeout counts from its last byte, which left it earlier than it
 /// arrived here.
 constexpr std::chrono::milliseconds keep_alive_margin{500};
 /// Bytes that are not acknowledged for so long end the connection: a worker
 /// behind a partition answers nothing, not even with a reset. Several round
 /// trips with retransmissions fit in.
-constexpr unsigned unacknowledged_ms = 2000;
+constexpr unsigned unacknowledged_timeout_ms = 2000;
 constexpr int first_final_status = 200;
 
 class connection;
 
 /// What connections need of their pool.
-class connection_home
+class connection_registry
 {
 public:
-    virtual ~connection_home() = default;
+    virtual ~connection_registry() = default;
     virtual void keep(std::shared_ptr<connection> idle) = 0;
-    virtual void forget(connection const* gone) = 0;
+    virtual void remove(connection const* gone) = 0;
 };
 
 /// One TCP connection to a worker, serving one exchange at a time.
 class connection final : public std::enable_shared_from_this<connection>
 {
 public:
-    connection(asio::io_context& io, backend_address to, connection_home* home)
-        : socket_(io), timer_(io), address_(std::move(to)), home_(home)
+    connection(asio::io_context& io, backend_address to,
+               connection_registry* registry)
+        : socket_(io), timer_(io), address_(std::move(to)), registry_(registry)
     {
         http_parser_settings_init(&callbacks_);
         callbacks_.on_header_field = &connection::on_header_field;
@@ -112,11 +113,11 @@
         asio::error_code ignored;
         timer_.cancel();
         socket_.close(ignored);
-        if (home_ != nullptr)
-            home_->forget(this);
+        if (registry_ != nullptr)
+            registry_->remove(this);
     }
 
-    void orphan() { home_ = nullptr; }
+    void detach() { registry_ = nullptr; }
 
 private:
     void begin(std::string request, std::shared_ptr<exchange_observer> observer)
@@ -151,7 +152,8 @@
         asio::error_code ignored;
         socket_.set_option(tcp::no_delay(true), ignored);
         setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
-                   &unacknowledged_ms, sizeof unacknowledged_ms);
+                   &unacknowledged_timeout_ms,
+                   sizeof unacknowledged_timeout_ms);
         send();
         read();
     }
@@ -236,8 +238,8 @@
             idle_since_ = clock::now();
             usable_until_ = idle_since_ + idle_limit_;
             request_.clear();
-            if (home_ != nullptr)
-                home_->keep(shared_from_this());
+            if (registry_ != nullptr)
+                registry_->keep(shared_from_this());
         }
         else
             close();
@@ -319,16 +321,16 @@
     {
         auto const field = headers_.find("Keep-Alive");
         if (!field)
-            return longest_idle;
+            return max_idle_time;
         constexpr std::string_view key = "timeout=";
         auto const at = field->find(key);
         if (at == std::string::npos)
-            return longest_idle;
+            return max_idle_time;
         int seconds = 0;
         std::from_chars(field->data() + at + key.size(),
                         field->data() + field->size(), seconds);
         return std::min<std::chrono::milliseconds>(
-            longest_idle, std::chrono::seconds(seconds) - keep_alive_margin);
+            max_idle_time, std::chrono::seconds(seconds) - keep_alive_margin);
     }
 
     static int on_body(http_parser* parser, char const* at, std::size_t size)
@@ -358,7 +360,7 @@
     tcp::socket socket_;
     asio::steady_timer timer_;
     backend_address address_;
-    connection_home* home_;
+    connection_registry* registry_;
     std::array<char, read_buffer_bytes> buffer_{};
     http_parser parser_{};
     http_parser_settings callbacks_{};
@@ -414,16 +416,16 @@
     return backend_address{text.substr(0, colon), port};
 }
 
-class backend_pool::implementation final : public connection_home
+class backend_pool::implementation final : public connection_registry
 {
 public:
     explicit implementation(asio::io_context& io) : io_(io) {}
     ~implementation() override
     {
-        auto const open = std::exchange(open_, {});
+        auto const open = std::exchange(connections_, {});
         for (auto const& [key, each] : open)
         {
-            each->orphan();
+            each->detach();
             each->close();
         }
     }
@@ -441,7 +443,7 @@
             return std::make_shared<running_exchange>(kept);
         }
         auto const made = std::make_shared<connection>(io_, to, this);
-        open_.emplace(made.get(), made);
+        connections_.emplace(made.get(), made);
         ++opened_;
         made->open(std::move(bytes), options.connect_timeout,
                    std::move(observer));
@@ -467,7 +469,7 @@
         idle_[idle->address()].push_back(std::move(idle));
     }
 
-    void forget(connection const* gone) override
+    void remove(connection const* gone) override
     {
         auto const list = idle_.find(gone->address());
         if (list != idle_.end())
@@ -475,7 +477,7 @@
                           { return each.get() == gone; });
         if (list != idle_.end() && list->second.empty())
             idle_.erase(list);
-        open_.erase(gone);
+        connections_.erase(gone);
     }
 
 private:
@@ -497,7 +499,7 @@
 
     asio::io_context& io_;
     std::map<backend_address, std::vector<std::shared_ptr<connection>>> idle_;
-    std::map<connection const*, std::shared_ptr<connection>> open_;
+    std::map<connection const*, std::shared_ptr<connection>> connections_;
     std::uint64_t opened_ = 0;
 };
 
--- a/src/ownership_runner.cpp
+++ b/src/ownership_runner.cpp
@@ -56,13 +56,13 @@
 
 void ownership_runner::start()
 {
-    begins_by_ = boot_clock::now() + options_.start_wait;
+    keeper_start_deadline_ = boot_clock::now() + options_.start_wait;
     tick();
 }
 
-void ownership_runner::begin(time_point now)
+void ownership_runner::start_keeper(time_point now)
 {
-    if (std::exchange(begun_, true))
+    if (std::exchange(keeper_started_, true))
         return;
     action_list actions;
     if (mirror_.read(row_set::own))
@@ -88,7 +88,7 @@
         domains.emplace(each.id, each.domain);
     }
     time_point const now = boot_clock::now();
-    if (listed != declared_ || !begun_)
+    if (listed != declared_ || !keeper_started_)
     {
         declared_ = listed;
         action_list actions;
@@ -97,11 +97,11 @@
         after_change(actions);
     }
     workers_known_ = true;
-    if (informed())
-        begin(now);
+    if (has_initial_rows())
+        start_keeper(now);
 }
 
-bool ownership_runner::informed() const
+bool ownership_runner::has_initial_rows() const
 {
     return workers_known_ && mirror_.read(row_set::own);
 }
@@ -117,8 +117,8 @@
 void ownership_runner::tick()
 {
     time_point const now = boot_clock::now();
-    if (informed() || now >= begins_by_)
-        begin(now);
+    if (has_initial_rows() || now >= keeper_start_deadline_)
+        start_keeper(now);
     action_list actions;
     keeper_.tick(now, actions);
     after_change(actions);
@@ -134,8 +134,8 @@
 void ownership_runner::after_change(action_list const& actions)
 {
     observe_owners();
-    take_events();
-    carry_out(actions);
+    handle_events();
+    execute(actions);
 }
 
 void ownership_runner::observe_owners()
@@ -144,11 +144,11 @@
     {
         fencing_number const fence = keeper_.fence_of(worker);
         if (!fence.none())
-            seen_owners_[worker].try_emplace(
-                fence, seen_owner{keeper_.named_owner_of(worker),
-                                  keeper_.version_of(worker)});
+            recorded_owners_[worker].try_emplace(
+                fence, recorded_owner{keeper_.named_owner_of(worker),
+                                      keeper_.version_of(worker)});
     }
-    std::erase_if(seen_owners_, [this](auto const& each)
+    std::erase_if(recorded_owners_, [this](auto const& each)
                   { return declared_.count(each.first) == 0; });
 }
 
@@ -166,10 +166,10 @@
                                          time_point now) const
 {
     time_point const after_gap = now + options_.order_gap;
-    auto const seen = seen_owners_.find(worker);
+    auto const seen = recorded_owners_.find(worker);
     for (std::uint64_t before = fence.value() - 1; before > 0; --before)
     {
-        if (seen == seen_owners_.end())
+        if (seen == recorded_owners_.end())
             return after_gap;
         auto const owner = seen->second.find(fencing_number(before));
         if (owner == seen->second.end())
@@ -186,7 +186,7 @@
     return now;
 }
 
-void ownership_runner::take_events()
+void ownership_runner::handle_events()
 {
     time_point const now = boot_clock::now();
     bool changed = false;
@@ -226,15 +226,15 @@
                      now);
     }
     if (changed)
-        tell_grants(holds);
-    tell_members(now);
-    carry_out(actions);
+        publish_grants(holds);
+    publish_members(now);
+    execute(actions);
 }
 
 /// Failure: a VM that is cut from the store loses its lease, and its workers'
 /// adapters stand idle until another VM takes over, though requests need no
 /// orders. So it keeps the workers that nobody else has, without orders.
-void ownership_runner::tell_grants(bool lease_holds)
+void ownership_runner::publish_grants(bool lease_holds)
 {
     std::map<worker_id, order_grant> grants = grants_;
     if (!lease_holds)
@@ -243,7 +243,7 @@
     listener_.on_grants(std::move(grants));
 }
 
-void ownership_runner::tell_members(time_point now)
+void ownership_runner::publish_members(time_point now)
 {
     std::vector<member_view> members = keeper_.members();
     if (members != members_)
@@ -266,7 +266,7 @@
     }
 }
 
-void ownership_runner::carry_out(action_list const& actions)
+void ownership_runner::execute(action_list const& actions)
 {
     std::vector<scan_rows> scans;
     for (action const& each : actions)
@@ -290,12 +290,13 @@
     store_.transact(
         what.transaction, what.deadline - boot_clock::now(),
         [this, what](store_reply const& reply)
-        { asio::post(io_, [this, what, reply] { written(what, reply); }); });
+        { asio::post(io_, [this, what, reply] { on_written(what, reply); }); });
 }
 
 /// The store answers a write with the version that all its rows have now, and
 /// a conflict with those rows of the conditions that exist.
-void ownership_runner::written(transact const& what, store_reply const& reply)
+void ownership_runner::on_written(transact const& what,
+                                  store_reply const& reply)
 {
     table_reply made{what.operation, outcome_of(reply.outcome), {}};
     if (reply.outcome == store_outcome::done)
@@ -326,14 +327,14 @@
             std::erase_if(reply.rows, [&key](stored_row const& row)
                           { return row.key != key; });
             asio::post(io_, [this, operation, reply = std::move(reply)]
-                       { answered(operation, reply); });
+                       { on_row_read(operation, reply); });
         });
 }
 
 /// Failure: rows that were read before this VM registered show too few members
 /// and it takes workers that are not its share, so for a while after it
 /// registered only rows as of the scan will do. One that owns none takes none.
-bool ownership_runner::needs_newest(time_point now)
+bool ownership_runner::requires_current_rows(time_point now)
 {
     if (!keeper_.registered())
     {
@@ -348,14 +349,14 @@
 /// Scans that are asked for together are answered from one reading.
 void ownership_runner::run(std::vector<scan_rows> scans)
 {
-    bool const strict = needs_newest(boot_clock::now());
+    bool const strict = requires_current_rows(boot_clock::now());
     mirror_.refresh_own(
         strict, [this, scans = std::move(scans)](bool current, time_point as_of)
-        { scanned(scans, current, as_of); });
+        { on_scanned(scans, current, as_of); });
 }
 
-void ownership_runner::scanned(std::vector<scan_rows> const& scans,
-                               bool current, time_point as_of)
+void ownership_runner::on_scanned(std::vector<scan_rows> const& scans,
+                                  bool current, time_point as_of)
 {
     std::vector<stored_row> const rows = mirror_.rows(row_set::own);
     for (scan_rows const& scan : scans)
@@ -373,8 +374,8 @@
     }
 }
 
-void ownership_runner::answered(operation_id operation,
-                                store_reply const& reply)
+void ownership_runner::on_row_read(operation_id operation,
+                                   store_reply const& reply)
 {
     table_reply made{operation, outcome_of(reply.outcome), {}};
     for (stored_row const& row : reply.rows)
--- a/src/ownership_runner.hpp
+++ b/src/ownership_runner.hpp
@@ -62,22 +62,22 @@
 
 private:
     void tick();
-    void begin(time_point now);
-    bool informed() const;
-    void carry_out(action_list const& actions);
+    void start_keeper(time_point now);
+    bool has_initial_rows() const;
+    void execute(action_list const& actions);
     void run(transact const& what);
     void run(read_row const& what);
     void run(std::vector<scan_rows> scans);
-    void scanned(std::vector<scan_rows> const& scans, bool current,
-                 time_point as_of);
-    bool needs_newest(time_point now);
-    void written(transact const& what, store_reply const& reply);
-    void answered(operation_id operation, store_reply const& reply);
+    void on_scanned(std::vector<scan_rows> const& scans, bool current,
+                    time_point as_of);
+    bool requires_current_rows(time_point now);
+    void on_written(transact const& what, store_reply const& reply);
+    void on_row_read(operation_id operation, store_reply const& reply);
     void deliver(table_reply const& reply);
     void after_change(action_list const& actions);
-    void take_events();
-    void tell_grants(bool lease_holds);
-    void tell_members(time_point now);
+    void handle_events();
+    void publish_grants(bool lease_holds);
+    void publish_members(time_point now);
     void observe_owners();
     time_point orders_from(worker_id const& worker, fencing_number fence,
                            time_point now) const;
@@ -94,20 +94,21 @@
     asio::steady_timer timer_;
     std::set<worker_id> declared_;
     /// What a worker's row said. Value.
-    struct seen_owner
+    struct recorded_owner
     {
         /// Empty for nobody.
         vm_id vm;
         row_version version;
     };
     /// By fencing number.
-    std::map<worker_id, std::map<fencing_number, seen_owner>> seen_owners_;
+    std::map<worker_id, std::map<fencing_number, recorded_owner>>
+        recorded_owners_;
     std::map<worker_id, order_grant> grants_;
     std::vector<member_view> members_;
     std::map<worker_id, vm_id> others_;
-    bool begun_ = false;
+    bool keeper_started_ = false;
     bool workers_known_ = false;
-    time_point begins_by_ = never;
+    time_point keeper_start_deadline_ = never;
     bool held_lease_ = false;
     /// When this VM was seen to have registered.
     time_point registered_at_ = never;
--- a/src/peer_rows.cpp
+++ b/src/peer_rows.cpp
@@ -57,7 +57,7 @@
                       json[3].isNull()};
 }
 
-Json::Value news_json(rows_news const& news)
+Json::Value news_json(row_set_changes const& news)
 {
     Json::Value json;
     json["read"] = news.read;
@@ -76,13 +76,13 @@
     return json;
 }
 
-std::optional<rows_news> parse_news(Json::Value const& json)
+std::optional<row_set_changes> parse_news(Json::Value const& json)
 {
     if (!json.isObject() || !json["read"].isBool() ||
         !json["version"].isUInt64() || !json["age_ms"].isUInt64() ||
         !json["whole"].isBool() || !json["rows"].isArray())
         return std::nullopt;
-    rows_news news;
+    row_set_changes news;
     news.read = json["read"].asBool();
     news.version = row_version(json["version"].asUInt64());
     news.age = std::chrono::milliseconds(
@@ -105,22 +105,21 @@
 
 } // namespace
 
-std::string encode_rows_question(rows_question const& question,
-                                 std::string const& host)
+std::string encode_rows_query(rows_query const& query, std::string const& host)
 {
     Json::Value json;
-    for (row_version const after : question.after)
+    for (row_version const after : query.after)
         json["after"].append(Json::UInt64(after.value()));
     json["wait_ms"] = Json::Int64(
-        std::chrono::floor<std::chrono::milliseconds>(question.wait).count());
-    json["large_rows"] = question.large_rows;
+        std::chrono::floor<std::chrono::milliseconds>(query.wait).count());
+    json["large_rows"] = query.large_rows;
     std::string const body = to_text(json);
     return fmt::format("POST {} HTTP/1.1\r\nHost: {}\r\n"
                        "Content-Length: {}\r\n\r\n{}",
                        rows_path, host, body.size(), body);
 }
 
-std::optional<rows_question> decode_rows_question(std::string const& body)
+std::optional<rows_query> decode_rows_query(std::string const& body)
 {
     auto const json = from_text(body);
     if (!json || !json->isObject())
@@ -129,24 +128,24 @@
     if (!after.isArray() || after.size() != all_row_sets.size() ||
         !(*json)["wait_ms"].isUInt64())
         return std::nullopt;
-    rows_question question;
+    rows_query query;
     // A VM that runs an earlier release does not know of rows left out.
-    question.large_rows = json->get("large_rows", true) != false;
+    query.large_rows = json->get("large_rows", true) != false;
     for (Json::ArrayIndex index = 0; index < after.size(); ++index)
     {
         if (!after[index].isUInt64())
             return std::nullopt;
-        question.after.at(index) = row_version(after[index].asUInt64());
+        query.after.at(index) = row_version(after[index].asUInt64());
     }
-    question.wait = std::chrono::milliseconds(
+    query.wait = std::chrono::milliseconds(
         std::min((*json)["wait_ms"].asUInt64(), longest_wait_ms));
-    return question;
+    return query;
 }
 
 std::string encode_rows_answer(rows_answer const& answer)
 {
     Json::Value json;
-    for (rows_news const& news : answer)
+    for (row_set_changes const& news : answer)
         json["sets"].append(news_json(news));
     return to_text(json);
 }
--- a/src/peer_rows.hpp
+++ b/src/peer_rows.hpp
@@ -9,7 +9,7 @@
 ///
 /// One entry for each set, in the order of row_set. The answer comes when a
 /// row that others act on has changed, or when the wait is over. Large rows are
-/// left out unless they are asked for; see rows_news::incomplete.
+/// left out unless they are asked for; see row_set_changes::incomplete.
 #ifndef MULBERRY_PEER_ROWS_HPP
 #define MULBERRY_PEER_ROWS_HPP
 
@@ -29,19 +29,18 @@
     row_set::declarations, row_set::workers, row_set::own};
 
 /// What changed after these versions? Value.
-struct rows_question
+struct rows_query
 {
     std::array<row_version, all_row_sets.size()> after;
     /// How long the answer may wait for a change.
     duration wait{};
     /// Large rows too: whoever asks cannot read them at the store.
     bool large_rows = false;
-    friend bool operator==(rows_question const&,
-                           rows_question const&) = default;
+    friend bool operator==(rows_query const&, rows_query const&) = default;
 };
 
 /// What changed in one set. Value.
-struct rows_news
+struct row_set_changes
 {
     /// The VM that answers has read the set.
     bool read = false;
@@ -58,16 +57,16 @@
     /// the store's; negative if it was after that. Nothing where it cannot be
     /// told.
     std::optional<duration> proven_before;
-    friend bool operator==(rows_news const&, rows_news const&) = default;
+    friend bool operator==(row_set_changes const&,
+                           row_set_changes const&) = default;
 };
 
-using rows_answer = std::array<rows_news, all_row_sets.size()>;
+using rows_answer = std::array<row_set_changes, all_row_sets.size()>;
 
 /// A whole HTTP request.
-std::string encode_rows_question(rows_question const& question,
-                                 std::string const& host);
+std::string encode_rows_query(rows_query const& query, std::string const& host);
 /// Nothing when the text is no such message.
-std::optional<rows_question> decode_rows_question(std::string const& body);
+std::optional<rows_query> decode_rows_query(std::string const& body);
 std::string encode_rows_answer(rows_answer const& answer);
 std::optional<rows_answer> decode_rows_answer(std::string const& body);
 
--- a/src/relay_codec.hpp
+++ b/src/relay_codec.hpp
@@ -58,7 +58,7 @@
     decode_release(std::string const& text, std::string& fault) const = 0;
 
     /// Whether a request asks if this VM takes new connections.
-    virtual bool is_ready_question(http_request const& request) const = 0;
+    virtual bool is_readiness_query(http_request const& request) const = 0;
 };
 
 } // namespace mulberry
--- a/src/relay_daemon.cpp
+++ b/src/relay_daemon.cpp
@@ -343,7 +343,7 @@
 void relay_process::answer_readiness(http_request const& request,
                                      http_answer& answer)
 {
-    if (!codec_.is_ready_question(request))
+    if (!codec_.is_readiness_query(request))
         return answer.respond({404, {}, {}});
     bool const now_ready = ready();
     if (now_ready != was_ready_)
--- a/src/row_mirror.cpp
+++ b/src/row_mirror.cpp
@@ -17,17 +17,17 @@
 using std::chrono::milliseconds;
 
 /// After a question that failed, doubled with each failure in a row, up to
-/// longest_store_retry. Failure: the store is away, and two hundred VMs ask it
-/// three questions twice a second each; the first thing that it meets on its
+/// max_store_retry_delay. Failure: the store is away, and two hundred VMs ask
+/// it three questions twice a second each; the first thing that it meets on its
 /// return is that crowd. So one question asks for all.
-constexpr milliseconds first_retry{100};
-constexpr int most_doublings = 4;
+constexpr milliseconds initial_retry_delay{100};
+constexpr int max_doublings = 4;
 /// How long a whole read may take, doubled with each that failed in a row, up
 /// to the longest. Failure: a VM starts while the store says nothing; its first
 /// question hangs for a second after the store is back. An answer takes some
 /// ten milliseconds, and a few hundred when the store is slow.
-constexpr milliseconds first_read_limit{400};
-constexpr milliseconds longest_read_limit{1500};
+constexpr milliseconds initial_read_timeout{400};
+constexpr milliseconds max_read_timeout{1500};
 /// A reader's copy may be older than the interval at which it asks by this
 /// part, for the time that a question takes.
 constexpr int age_slack_part = 2;
@@ -42,19 +42,19 @@
                        event_log& log, row_listener listener)
     : io_(io), store_(store), pool_(pool), options_(std::move(options)),
       log_(log), listener_(std::move(listener)),
-      sets_{followed_set(io, row_set::declarations, {}),
-            followed_set(io, row_set::workers, options_.worker_essence),
-            followed_set(io, row_set::own, {})},
-      choice_(options_.vm), reader_timer_(io), held_timer_(io)
+      sets_{mirrored_set(io, row_set::declarations, {}),
+            mirrored_set(io, row_set::workers, options_.worker_essence),
+            mirrored_set(io, row_set::own, {})},
+      choice_(options_.vm), reader_timer_(io), pending_timer_(io)
 {
 }
 
-row_mirror::followed_set& row_mirror::at(row_set set)
+row_mirror::mirrored_set& row_mirror::at(row_set set)
 {
     return sets_.at(static_cast<std::size_t>(set));
 }
 
-row_mirror::followed_set const& row_mirror::at(row_set set) const
+row_mirror::mirrored_set const& row_mirror::at(row_set set) const
 {
     return sets_.at(static_cast<std::size_t>(set));
 }
@@ -73,7 +73,7 @@
     return options_.own_interval;
 }
 
-duration row_mirror::oldest(row_set set) const
+duration row_mirror::max_age(row_set set) const
 {
     if (set == row_set::declarations &&
         options_.oldest_declarations > duration(0))
@@ -88,12 +88,12 @@
 /// that; what was declared meanwhile is not heard of, and what is known is
 /// taken for current. The other sets are asked for all the time, and their
 /// answers stop.
-time_point row_mirror::shown_at(followed_set const& which, time_point now) const
+time_point row_mirror::shown_at(mirrored_set const& which, time_point now) const
 {
-    if (!which.asking || !which.waits || which.failures > 0)
+    if (!which.asking || !which.waits_for_change || which.failures > 0)
         return which.as_of;
     time_point contact = which.as_of;
-    for (followed_set const& each : sets_)
+    for (mirrored_set const& each : sets_)
         contact = std::max(contact, each.as_of);
     duration const interval = options_.worker_interval;
     return now <= contact + interval + interval / reader_answer_part ? now
@@ -102,8 +102,8 @@
 
 void row_mirror::start()
 {
-    for (followed_set& each : sets_)
-        go_on(each);
+    for (mirrored_set& each : sets_)
+        continue_reading(each);
 }
 
 void row_mirror::set_members(std::vector<member_view> const& members)
@@ -132,7 +132,7 @@
     time_point const now = boot_clock::now();
     bool const all_read =
         std::all_of(sets_.begin(), sets_.end(),
-                    [](followed_set const& each) { return each.copy.read(); });
+                    [](mirrored_set const& each) { return each.copy.read(); });
     vm_id chosen =
         now < serves_until_ || !all_read ? vm_id() : choice_.choose(now);
     if (addresses_.count(chosen) == 0)
@@ -145,14 +145,14 @@
                                                             : reader_.str()),
                  now);
     if (!reader_.empty())
-        return ask_reader();
-    for (followed_set& each : sets_)
-        go_on(each);
+        return query_reader();
+    for (mirrored_set& each : sets_)
+        continue_reading(each);
 }
 
 /// The next question to the store, unless another VM asks it. The own rows are
 /// asked for by whoever needs them; see refresh_own().
-void row_mirror::go_on(followed_set& which)
+void row_mirror::continue_reading(mirrored_set& which)
 {
     bool const told_by_reader = !reader_.empty() && which.copy.read();
     if (told_by_reader && !which.lacks_large_rows())
@@ -161,31 +161,31 @@
         return;
     }
     if (which.set == row_set::own && !which.probes && which.copy.read() &&
-        held_.empty() && refreshes_.empty() &&
+        pending_queries_.empty() && refreshes_.empty() &&
         boot_clock::now() >= serves_until_)
         return;
-    ask_store(which);
+    query_store(which);
 }
 
-void row_mirror::ask_store(followed_set& which)
+void row_mirror::query_store(mirrored_set& which)
 {
     if (which.asking)
         return;
     which.timer.cancel();
     which.asking = true;
     which.asked_at = boot_clock::now();
-    which.waits = false;
+    which.waits_for_change = false;
     if (!which.whole)
         return watch(which);
     which.pages.clear();
     read_page(which, "");
 }
 
-void row_mirror::read_page(followed_set& which, std::string const& after)
+void row_mirror::read_page(mirrored_set& which, std::string const& after)
 {
-    int const doublings = std::min(which.failures, most_doublings);
+    int const doublings = std::min(which.failures, max_doublings);
     duration const limit = std::min<duration>(
-        first_read_limit * (1 << doublings), longest_read_limit);
+        initial_read_timeout * (1 << doublings), max_read_timeout);
     store_.read(which.set, "", after, limit,
                 [this, &which](store_reply reply)
                 {
@@ -194,14 +194,15 @@
                 });
 }
 
-void row_mirror::watch(followed_set& which)
+void row_mirror::watch(mirrored_set& which)
 {
     // After a failure the answer is wanted at once: it shows that the store is
     // back.
-    bool const waits =
+    bool const waits_for_change =
         which.set == row_set::declarations && which.failures == 0;
-    duration const wait = waits ? options_.declaration_wait : duration(0);
-    which.waits = wait > duration(0);
+    duration const wait =
+        waits_for_change ? options_.declaration_wait : duration(0);
+    which.waits_for_change = wait > duration(0);
     store_.watch(which.set, which.copy.version(), wait,
                  wait + options_.answer_time,
                  [this, &which](store_reply reply)
@@ -211,27 +212,27 @@
                  });
 }
 
-void row_mirror::later(followed_set& which, duration delay)
+void row_mirror::read_later(mirrored_set& which, duration delay)
 {
     which.timer.expires_after(delay);
     which.timer.async_wait(
         [this, &which](asio::error_code const& cancelled)
         {
             if (!cancelled)
-                go_on(which);
+                continue_reading(which);
         });
 }
 
 /// False after an answer that says nothing; the next question is arranged.
-bool row_mirror::usable(followed_set& which, store_reply const& reply)
+bool row_mirror::check_reply(mirrored_set& which, store_reply const& reply)
 {
     time_point const now = boot_clock::now();
     if (reply.outcome == store_outcome::done)
     {
         which.failures = 0;
         which.probes = false;
-        heard_at_ = now;
-        if (std::exchange(lost_, false))
+        last_contact_at_ = now;
+        if (std::exchange(store_lost_, false))
         {
             returned_at_ = now;
             log_.notable("store regained", log_fields(), now);
@@ -248,45 +249,46 @@
                      log_fields().add("version", which.copy.version().value()),
                      now);
         which.whole = true;
-        ask_store(which);
+        query_store(which);
         return false;
     }
-    if (!std::exchange(lost_, true))
+    if (!std::exchange(store_lost_, true))
         log_.notable("store lost",
                      log_fields()
                          .add("reason", reply.failure)
-                         .add("heard_ms_ago", now - heard_at_),
+                         .add("heard_ms_ago", now - last_contact_at_),
                      now);
     probe_later(which);
     if (which.set == row_set::own)
-        settle_refreshes(true);
+        complete_refreshes(true);
     return false;
 }
 
 /// After a failure one set is asked for again and again; the others wait until
 /// the store has answered it.
-void row_mirror::probe_later(followed_set& which)
+void row_mirror::probe_later(mirrored_set& which)
 {
-    int const doublings = std::min(which.failures++, most_doublings);
+    int const doublings = std::min(which.failures++, max_doublings);
     which.probes = std::none_of(sets_.begin(), sets_.end(),
-                                [&which](followed_set const& each)
+                                [&which](mirrored_set const& each)
                                 { return &each != &which && each.probes; });
     if (which.probes)
-        later(which, std::min<duration>(first_retry * (1 << doublings),
-                                        longest_store_retry));
+        read_later(which,
+                   std::min<duration>(initial_retry_delay * (1 << doublings),
+                                      max_store_retry_delay));
 }
 
 /// The store has answered a question about one set.
-void row_mirror::resume_others(followed_set const& answered)
+void row_mirror::resume_others(mirrored_set const& answered)
 {
-    for (followed_set& each : sets_)
+    for (mirrored_set& each : sets_)
         if (&each != &answered && each.failures > 0 && !each.probes)
-            later(each, duration(0));
+            read_later(each, duration(0));
 }
 
-void row_mirror::on_page(followed_set& which, store_reply const& reply)
+void row_mirror::on_page(mirrored_set& which, store_reply const& reply)
 {
-    if (!usable(which, reply))
+    if (!check_reply(which, reply))
         return;
     // Later pages may show later moments; the changes since the first page are
     // read again with the first watch, and applying them twice does no harm.
@@ -299,65 +301,67 @@
     if (reply.truncated && !reply.rows.empty())
         return read_page(which, reply.rows.back().key);
     which.whole = false;
-    took(which,
-         which.copy.replace(std::exchange(which.pages, {}), which.first_page),
-         which.first_page_at);
+    finish_read(
+        which,
+        which.copy.replace(std::exchange(which.pages, {}), which.first_page),
+        which.first_page_at);
 }
 
-void row_mirror::on_changes(followed_set& which, store_reply const& reply)
+void row_mirror::on_changes(mirrored_set& which, store_reply const& reply)
 {
-    if (usable(which, reply))
-        took(which, which.copy.apply(reply.rows, reply.newest),
-             made_at(which, reply));
+    if (check_reply(which, reply))
+        finish_read(which, which.copy.apply(reply.rows, reply.newest),
+                    made_at(which, reply));
 }
 
-time_point row_mirror::made_at(followed_set const& which,
+time_point row_mirror::made_at(mirrored_set const& which,
                                store_reply const& reply)
 {
     return store_clock_.made_at(reply.made_at, which.asked_at,
                                 boot_clock::now());
 }
 
-void row_mirror::took(followed_set& which, std::vector<stored_row> const& news,
-                      time_point as_of)
+void row_mirror::finish_read(mirrored_set& which,
+                             std::vector<stored_row> const& news,
+                             time_point as_of)
 {
     which.asking = false;
     which.as_of = as_of;
     which.proven_at = std::max(which.proven_at, as_of);
     if (which.lacks_large_rows())
-        later(which, large_row_pause);
+        read_later(which, min_large_read_interval);
     else if (which.set == row_set::declarations)
-        go_on(which);
+        continue_reading(which);
     else
-        later(which, which.set == row_set::own ? oldest(which.set)
-                                               : interval_of(which.set));
+        read_later(which, which.set == row_set::own ? max_age(which.set)
+                                                    : interval_of(which.set));
     listener_.on_rows(which.set, news);
     if (which.set == row_set::own)
-        settle_refreshes(false);
-    if (std::any_of(news.begin(), news.end(), urgent))
-        answer_held();
+        complete_refreshes(false);
+    if (std::any_of(news.begin(), news.end(), is_urgent))
+        schedule_pending_answers();
     choose_reader();
 }
 
 void row_mirror::refresh_own(bool strict, refreshed done)
 {
     time_point const now = boot_clock::now();
-    followed_set& own = at(row_set::own);
+    mirrored_set& own = at(row_set::own);
     duration const slack =
-        strict || reader_.empty() ? duration(0) : oldest(row_set::own);
+        strict || reader_.empty() ? duration(0) : max_age(row_set::own);
     refreshes_.push_back({now - slack, std::move(done)});
     if (own.as_of < now - slack)
-        return ask_store(own);
-    asio::post(io_, [this] { settle_refreshes(false); });
+        return query_store(own);
+    asio::post(io_, [this] { complete_refreshes(false); });
 }
 
 /// Those that the copy is recent enough for are told; after a failure all.
-void row_mirror::settle_refreshes(bool failed)
+void row_mirror::complete_refreshes(bool failed)
 {
-    followed_set& own = at(row_set::own);
-    std::vector<wanted_refresh> waiting = std::exchange(refreshes_, {});
+    mirrored_set& own = at(row_set::own);
+    std::vector<pending_refresh> waiting = std::exchange(refreshes_, {});
     std::vector<refreshed> told;
-    for (wanted_refresh& each : waiting)
+    for (pending_refresh& each : waiting)
     {
         bool const current = own.copy.read() && own.as_of >= each.as_of;
         if (current || failed)
@@ -366,7 +370,7 @@
             refreshes_.push_back(std::move(each));
     }
     if (!refreshes_.empty())
-        ask_store(own);
+        query_store(own);
     time_point const as_of = own.as_of;
     for (refreshed const& done : told)
         done(!failed, as_of);
@@ -376,14 +380,15 @@
 {
     time_point const now = boot_clock::now();
     std::string text;
-    for (followed_set const& each : sets_)
+    for (mirrored_set const& each : sets_)
         text += fmt::format(
             "mulberry_rows_age_seconds{{set=\"{}\"}} {}\n",
             set_names.at(static_cast<std::size_t>(each.set)),
             std::chrono::duration<double>(now - shown_at(each, now)).count());
     text += fmt::format("mulberry_rows_from_another_vm {}\n",
                         reader_.empty() ? 0 : 1);
-    text += fmt::format("mulberry_rows_questions_waiting {}\n", held_.size());
+    text += fmt::format("mulberry_rows_questions_waiting {}\n",
+                        pending_queries_.size());
     return text;
 }
 
--- a/src/row_mirror.hpp
+++ b/src/row_mirror.hpp
@@ -29,7 +29,7 @@
 /// Failure: a worker's entry is dropped just then; until some seconds after the
 /// return that this VM noticed it may have lapsed with the store, and the
 /// worker is used for so long.
-inline constexpr std::chrono::milliseconds longest_store_retry{600};
+inline constexpr std::chrono::milliseconds max_store_retry_delay{600};
 
 struct row_mirror_options
 {
@@ -110,7 +110,7 @@
     time_point proven_as_of(row_set set) const { return at(set).proven_at; }
     /// Whether the store does not answer, neither here nor at the VM that
     /// reads it for this one.
-    bool lost() const { return lost_; }
+    bool lost() const { return store_lost_; }
     /// When the store last began to answer again.
     time_point returned_at() const { return returned_at_; }
     /// Prometheus lines: how old each set of rows is, whether another VM reads
@@ -126,9 +126,9 @@
     /// The least time between two readings of large rows: one takes a small
     /// VM's link and processor a fifth of a second each, and versions may
     /// follow each other faster.
-    static constexpr std::chrono::milliseconds large_row_pause{500};
+    static constexpr std::chrono::milliseconds min_large_read_interval{500};
 
-    struct followed_set
+    struct mirrored_set
     {
         row_set set;
         row_copy copy;
@@ -137,7 +137,7 @@
         bool asking = false;
         time_point asked_at{};
         /// The question waits at the store for a change.
-        bool waits = false;
+        bool waits_for_change = false;
         /// When the answer was made that the copy shows.
         time_point as_of{};
         /// The latest moment as of which the copy is certain.
@@ -146,7 +146,7 @@
         /// while large rows that it left out have yet to be read.
         row_version told;
         /// Which changes the last question to another VM was for.
-        row_version asked_after;
+        row_version requested_after;
         /// Rows gathered while a whole read goes on page by page.
         std::vector<stored_row> pages;
         row_version first_page;
@@ -157,7 +157,7 @@
         /// It is asked for again after a failure, on behalf of all sets.
         bool probes = false;
 
-        followed_set(asio::io_context& io, row_set which,
+        mirrored_set(asio::io_context& io, row_set which,
                      row_copy::essence essence_of)
             : set(which), copy(std::move(essence_of)), timer(io)
         {
@@ -166,58 +166,60 @@
         bool lacks_large_rows() const { return told > copy.version(); }
         /// What changed after the last question's version is not all that
         /// changed after the copy's.
-        bool asked_beyond_copy() const { return asked_after > copy.version(); }
+        bool requested_beyond_copy() const
+        {
+            return requested_after > copy.version();
+        }
     };
-    struct held_question
+    struct pending_query
     {
-        rows_question question;
+        rows_query query;
         std::shared_ptr<http_answer> answer;
         time_point arrived_at{};
         time_point answer_at{};
     };
-    struct wanted_refresh
+    struct pending_refresh
     {
         time_point as_of{};
         refreshed done;
     };
 
-    followed_set& at(row_set set);
-    followed_set const& at(row_set set) const;
+    mirrored_set& at(row_set set);
+    mirrored_set const& at(row_set set) const;
     duration interval_of(row_set set) const;
-    duration oldest(row_set set) const;
-    time_point shown_at(followed_set const& which, time_point now) const;
+    duration max_age(row_set set) const;
+    time_point shown_at(mirrored_set const& which, time_point now) const;
     void choose_reader();
-    void go_on(followed_set& which);
-    void ask_store(followed_set& which);
-    void read_page(followed_set& which, std::string const& after);
-    void watch(followed_set& which);
-    void later(followed_set& which, duration delay);
-    bool usable(followed_set& which, store_reply const& reply);
-    void probe_later(followed_set& which);
-    void resume_others(followed_set const& answered);
-    void on_page(followed_set& which, store_reply const& reply);
-    void on_changes(followed_set& which, store_reply const& reply);
-    void took(followed_set& which, std::vector<stored_row> const& news,
-              time_point as_of);
-    time_point made_at(followed_set const& which, store_reply const& reply);
-    void settle_refreshes(bool failed);
-
-    void ask_reader();
-    void ask_reader_later(duration delay);
-    void on_reader(vm_id const& reader, time_point asked_at,
-                   std::optional<rows_answer> const& answer);
-    bool take_news(followed_set& which, rows_news const& news,
-                   time_point asked_at, time_point now);
-    void take_incomplete(followed_set& which, rows_news const& news);
-    void ask_store_instead();
-
-    rows_answer answer_to(rows_question const& question,
-                          time_point arrived_at) const;
-    bool has_news(rows_question const& question) const;
+    void continue_reading(mirrored_set& which);
+    void query_store(mirrored_set& which);
+    void read_page(mirrored_set& which, std::string const& after);
+    void watch(mirrored_set& which);
+    void read_later(mirrored_set& which, duration delay);
+    bool check_reply(mirrored_set& which, store_reply const& reply);
+    void probe_later(mirrored_set& which);
+    void resume_others(mirrored_set const& answered);
+    void on_page(mirrored_set& which, store_reply const& reply);
+    void on_changes(mirrored_set& which, store_reply const& reply);
+    void finish_read(mirrored_set& which, std::vector<stored_row> const& news,
+                     time_point as_of);
+    time_point made_at(mirrored_set const& which, store_reply const& reply);
+    void complete_refreshes(bool failed);
+
+    void query_reader();
+    void query_reader_later(duration delay);
+    void on_reader_answer(vm_id const& reader, time_point asked_at,
+                          std::optional<rows_answer> const& answer);
+    bool apply_reader_changes(mirrored_set& which, row_set_changes const& news,
+                              time_point asked_at, time_point now);
+    void apply_incomplete(mirrored_set& which, row_set_changes const& news);
+    void query_store_instead();
+
+    rows_answer answer_to(rows_query const& query, time_point arrived_at) const;
+    bool has_urgent_changes(rows_query const& query) const;
     /// Whether other VMs act on a change of the row at once.
-    static bool urgent(stored_row const& row);
-    void answer_held();
-    void review_held();
+    static bool is_urgent(stored_row const& row);
+    void schedule_pending_answers();
+    void answer_pending();
 
     asio::io_context& io_;
     row_store& store_;
@@ -225,21 +227,21 @@
     row_mirror_options options_;
     event_log& log_;
     row_listener listener_;
-    std::array<followed_set, all_row_sets.size()> sets_;
+    std::array<mirrored_set, all_row_sets.size()> sets_;
     reader_choice choice_;
     std::map<vm_id, backend_address> addresses_;
     vm_id reader_;
-    bool reader_asked_ = false;
+    bool reader_query_pending_ = false;
     asio::steady_timer reader_timer_;
     /// Other VMs have asked lately; until then this one reads for itself.
     time_point serves_until_{};
-    std::vector<held_question> held_;
-    asio::steady_timer held_timer_;
-    bool news_posted_ = false;
-    std::vector<wanted_refresh> refreshes_;
+    std::vector<pending_query> pending_queries_;
+    asio::steady_timer pending_timer_;
+    bool answers_scheduled_ = false;
+    std::vector<pending_refresh> refreshes_;
     remote_clock store_clock_;
-    bool lost_ = false;
-    time_point heard_at_{};
+    bool store_lost_ = false;
+    time_point last_contact_at_{};
     time_point returned_at_{};
 };
 
--- a/tests/backend_pool_test.cpp
+++ b/tests/backend_pool_test.cpp
@@ -20,53 +20,53 @@
 {
 
 /// What an observer was told. Read once it is over.
-struct told
+struct observed_exchange
 {
     int status = 0;
     std::string body;
     bool ended = false;
     bool framed = false;
     std::optional<call_stage> failed;
-    std::promise<void> over;
+    std::promise<void> finished;
 
-    void wait() { over.get_future().get(); }
+    void wait() { finished.get_future().get(); }
 };
 
-class recorder final : public exchange_observer
+class exchange_recorder final : public exchange_observer
 {
 public:
-    explicit recorder(told& into) : into_(into) {}
+    explicit exchange_recorder(observed_exchange& into) : into_(into) {}
     void on_head(int status, http_headers) override { into_.status = status; }
     void on_body(std::string_view bytes) override { into_.body += bytes; }
     void on_end(bool framed) override
     {
         into_.ended = true;
         into_.framed = framed;
-        into_.over.set_value();
+        into_.finished.set_value();
     }
     void on_failure(call_stage at, std::string const&) override
     {
         into_.failed = at;
-        into_.over.set_value();
+        into_.finished.set_value();
     }
 
 private:
-    told& into_;
+    observed_exchange& into_;
 };
 
 /// A pool on a loop of its own, and a worker whose every byte the test writes.
-class pool_world
+class pool_fixture
 {
 public:
-    pool_world() : work_(io.get_executor()), runner_([this] { io.run(); }) {}
-    ~pool_world()
+    pool_fixture() : work_(io.get_executor()), runner_([this] { io.run(); }) {}
+    ~pool_fixture()
     {
         work_.reset();
         io.stop();
         runner_.join();
     }
-    pool_world(pool_world const&) = delete;
-    pool_world& operator=(pool_world const&) = delete;
+    pool_fixture(pool_fixture const&) = delete;
+    pool_fixture& operator=(pool_fixture const&) = delete;
 
     /// Runs something on the loop and waits for it.
     void on_loop(std::function<void()> const& what)
@@ -81,7 +81,7 @@
         done.get_future().get();
     }
 
-    std::shared_ptr<backend_exchange> send(told& into)
+    std::shared_ptr<backend_exchange> send(observed_exchange& into)
     {
         exchange_options options;
         options.connect_timeout = 10s;
@@ -90,9 +90,9 @@
         on_loop(
             [&]
             {
-                running = pool.start({"127.0.0.1", port_},
-                                     "GET / HTTP/1.1\r\nHost: w\r\n\r\n",
-                                     options, std::make_shared<recorder>(into));
+                running = pool.start(
+                    {"127.0.0.1", port_}, "GET / HTTP/1.1\r\nHost: w\r\n\r\n",
+                    options, std::make_shared<exchange_recorder>(into));
             });
         return running;
     }
@@ -120,25 +120,26 @@
     std::thread runner_;
 };
 
-char const* const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+char const* const ok_response =
+    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 } // namespace
 
 TEST_CASE("a connection is used again after a whole answer", "[backend_pool]")
 {
-    pool_world world;
-    told first;
+    pool_fixture world;
+    observed_exchange first;
     world.send(first);
     raw_socket worker = world.accept();
-    worker.send(good);
+    worker.send(ok_response);
     first.wait();
     CHECK(first.status == 200);
     CHECK(first.body == "ok");
     CHECK(first.framed);
-    told second;
+    observed_exchange second;
     world.send(second);
     worker.read_until(end_of_headers);
-    worker.send(good);
+    worker.send(ok_response);
     second.wait();
     CHECK(second.ended);
     CHECK(world.opened() == 1);
@@ -149,15 +150,15 @@
 TEST_CASE("bytes that belong to no request close their connection",
           "[backend_pool]")
 {
-    pool_world world;
-    told first;
+    pool_fixture world;
+    observed_exchange first;
     world.send(first);
     raw_socket worker = world.accept();
-    worker.send(std::string(good) + good);
+    worker.send(std::string(ok_response) + ok_response);
     first.wait();
     CHECK(first.body == "ok");
     CHECK(worker.read_some().empty());
-    told second;
+    observed_exchange second;
     world.send(second);
     CHECK(world.opened() == 2);
 }
@@ -165,15 +166,15 @@
 // The same, but the second answer comes while the connection is idle.
 TEST_CASE("a late answer on an idle connection closes it", "[backend_pool]")
 {
-    pool_world world;
-    told first;
+    pool_fixture world;
+    observed_exchange first;
     world.send(first);
     raw_socket worker = world.accept();
-    worker.send(good);
+    worker.send(ok_response);
     first.wait();
-    worker.send(good);
+    worker.send(ok_response);
     CHECK(worker.read_some().empty());
-    told second;
+    observed_exchange second;
     world.send(second);
     CHECK(world.opened() == 2);
 }
@@ -183,13 +184,13 @@
 TEST_CASE("a request on a connection that breaks is not repeated",
           "[backend_pool]")
 {
-    pool_world world;
-    told first;
+    pool_fixture world;
+    observed_exchange first;
     world.send(first);
     raw_socket worker = world.accept();
-    worker.send(good);
+    worker.send(ok_response);
     first.wait();
-    told second;
+    observed_exchange second;
     world.send(second);
     worker.read_until(end_of_headers);
     worker.close();
@@ -200,9 +201,9 @@
 
 TEST_CASE("a worker that cannot be reached was sent nothing", "[backend_pool]")
 {
-    pool_world world;
+    pool_fixture world;
     world.listener.close();
-    told only;
+    observed_exchange only;
     world.send(only);
     only.wait();
     CHECK(only.failed == call_stage::not_sent);
@@ -210,8 +211,8 @@
 
 TEST_CASE("an answer that is cut is told as begun", "[backend_pool]")
 {
-    pool_world world;
-    told only;
+    pool_fixture world;
+    observed_exchange only;
     world.send(only);
     raw_socket worker = world.accept();
     worker.send("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf");
@@ -224,8 +225,8 @@
 TEST_CASE("an answer without a length ends with its connection",
           "[backend_pool]")
 {
-    pool_world world;
-    told only;
+    pool_fixture world;
+    observed_exchange only;
     world.send(only);
     raw_socket worker = world.accept();
     worker.send("HTTP/1.1 200 OK\r\n\r\nwhole");
@@ -238,11 +239,11 @@
 
 TEST_CASE("an interim answer is passed over", "[backend_pool]")
 {
-    pool_world world;
-    told only;
+    pool_fixture world;
+    observed_exchange only;
     world.send(only);
     raw_socket worker = world.accept();
-    worker.send(std::string("HTTP/1.1 102 Processing\r\n\r\n") + good);
+    worker.send(std::string("HTTP/1.1 102 Processing\r\n\r\n") + ok_response);
     only.wait();
     CHECK(only.status == 200);
     CHECK(only.body == "ok");
@@ -250,8 +251,8 @@
 
 TEST_CASE("bytes that are no answer are told", "[backend_pool]")
 {
-    pool_world world;
-    told only;
+    pool_fixture world;
+    observed_exchange only;
     world.send(only);
     raw_socket worker = world.accept();
     worker.send("what is this\r\n\r\n");
@@ -261,8 +262,8 @@
 
 TEST_CASE("a cancelled exchange tells nothing more", "[backend_pool]")
 {
-    pool_world world;
-    told only;
+    pool_fixture world;
+    observed_exchange only;
     auto const running = world.send(only);
     raw_socket worker = world.accept();
     world.on_loop([&] { running->cancel(); });
@@ -275,7 +276,7 @@
 // over, and told so once.
 TEST_CASE("a collected call ends at its time", "[backend_pool]")
 {
-    pool_world world;
+    pool_fixture world;
     std::promise<collected_answer> promise;
     world.on_loop(
         [&]
--- a/tests/peer_rows_test.cpp
+++ b/tests/peer_rows_test.cpp
@@ -7,11 +7,10 @@
 
 TEST_CASE("a question about rows comes back as it was", "[peer_rows]")
 {
-    rows_question const question{
+    rows_query const query{
         {row_version(1), row_version(0), row_version(7)}, 300ms, true};
-    std::string const call = encode_rows_question(question, "vm");
-    CHECK(decode_rows_question(call.substr(call.find("\r\n\r\n") + 4)) ==
-          question);
+    std::string const call = encode_rows_query(query, "vm");
+    CHECK(decode_rows_query(call.substr(call.find("\r\n\r\n") + 4)) == query);
 }
 
 TEST_CASE("rows come back as they were", "[peer_rows]")
@@ -34,10 +33,9 @@
 // nothing of rows left out and knows no answer that leaves any out.
 TEST_CASE("an earlier release gets every row", "[peer_rows]")
 {
-    auto const question =
-        decode_rows_question(R"({"after":[1,2,3],"wait_ms":1})");
-    REQUIRE(question);
-    CHECK(question->large_rows);
+    auto const query = decode_rows_query(R"({"after":[1,2,3],"wait_ms":1})");
+    REQUIRE(query);
+    CHECK(query->large_rows);
     std::string const set =
         R"({"read":true,"version":1,"age_ms":0,"whole":false,"rows":[]})";
     auto const answer =
@@ -52,7 +50,7 @@
          {"", "[]", "{}", "{\"after\":[1,2],\"wait_ms\":1}",
           "{\"after\":[1,2,-3],\"wait_ms\":1}",
           "{\"after\":[1,2,3],\"wait_ms\":-1}", "{\"after\":[1,2,3]}"})
-        CHECK_FALSE(decode_rows_question(text));
+        CHECK_FALSE(decode_rows_query(text));
     std::string const good =
         R"({"read":true,"version":1,"age_ms":0,"whole":false,"rows":[]})";
     auto const with = [&](std::string const& last)
--- a/tests/registry_watch_test.cpp
+++ b/tests/registry_watch_test.cpp
@@ -98,7 +98,10 @@
     {
         throw unused;
     }
-    bool is_ready_question(http_request const&) const override { throw unused; }
+    bool is_readiness_query(http_request const&) const override
+    {
+        throw unused;
+    }
 
 private:
     std::logic_error const unused{"not used by the registry"};
@@ -296,5 +299,5 @@
 {
     constexpr std::chrono::milliseconds settled{3000};
     constexpr std::chrono::milliseconds answer{300};
-    CHECK(longest_store_retry + answer + lapse_grace < settled);
+    CHECK(max_store_retry_delay + answer + lapse_grace < settled);
 }
--- a/tests/relay_callers.hpp
+++ b/tests/relay_callers.hpp
@@ -80,7 +80,10 @@
     {
         return std::nullopt;
     }
-    bool is_ready_question(http_request const&) const override { return false; }
+    bool is_readiness_query(http_request const&) const override
+    {
+        return false;
+    }
 };
 
 struct recorded_answer final : http_answer
--- a/tests/row_mirror_test.cpp
+++ b/tests/row_mirror_test.cpp
@@ -454,7 +454,7 @@
     REQUIRE(world.until([&] { return !reader.unanswered.empty(); }));
     time_point const asked_by = boot_clock::now();
     rows_answer answer;
-    for (rows_news& news : answer)
+    for (row_set_changes& news : answer)
     {
         news.read = true;
         news.version = row_version(1);
