--- a/src/backend_pool.cpp
+++ b/src/backend_pool.cpp
@@ -24,21 +24,22 @@
 using clock = std::chrono::steady_clock;
 
 constexpr std::size_t read_buffer_bytes = 8UL * 1024;
-/// Workers close idle connections after their own timeout; without a
-/// Keep-Alive field it is not known, and this is kept short.
+/// Workers close idle connections after a timeout of their own, which is
+/// unknown without a Keep-Alive header field. So idle connections are kept only
+/// for a short time.
 constexpr std::chrono::milliseconds max_idle_time{4000};
-/// A worker's timeout counts from its last byte, which left it earlier than it
-/// arrived here.
+/// A worker's idle timeout starts when the worker sends its last byte, which is
+/// earlier than the byte's arrival here.
 constexpr std::chrono::milliseconds keep_alive_margin{500};
-/// Bytes that are not acknowledged for so long end the connection: a worker
-/// behind a partition answers nothing, not even with a reset. Several round
-/// trips with retransmissions fit in.
+/// A connection is closed when sent bytes stay unacknowledged for this long
+/// (TCP_USER_TIMEOUT): a worker behind a network partition does not even send a
+/// reset. Leaves time for several retransmissions.
 constexpr unsigned unacknowledged_timeout_ms = 2000;
 constexpr int first_final_status = 200;
 
 class connection;
 
-/// What connections need of their pool.
+/// The part of the pool that connections call.
 class connection_registry
 {
 public:
@@ -76,7 +77,7 @@
         asio::error_code failure;
         auto const ip = asio::ip::make_address(address_.ip, failure);
         if (failure)
-            return fail_later("not an address: " + address_.ip);
+            return fail_later("not an IP address: " + address_.ip);
         timer_.expires_after(timeout);
         timer_.async_wait(
             [self = shared_from_this()](asio::error_code const& cancelled)
@@ -90,7 +91,7 @@
             { self->on_connected(refused); });
     }
 
-    /// Precondition: kept and idle.
+    /// Precondition: the connection is idle.
     void reuse(std::string request, std::shared_ptr<exchange_observer> observer)
     {
         begin(std::move(request), std::move(observer));
@@ -170,7 +171,9 @@
                     return;
                 if (!failure)
                     self->written_ = true;
-                // What the worker answered before it closed is read first.
+                // A write failure is not reported here: an answer that the
+                // worker sent before it closed the connection is read first,
+                // and the read reports the failure.
             });
     }
 
@@ -188,8 +191,9 @@
         if (!connected_)
             return;
         if (idle_)
-            // Closed, or bytes that belong to no request: a late or second
-            // answer. Handed to the next request, they would be another's.
+            // The worker closed the connection, or sent bytes that belong to no
+            // request (a late or second answer). The next request must not
+            // receive these bytes as its answer.
             return close();
         if (failure)
             return on_closed(failure);
@@ -217,17 +221,17 @@
         std::uint64_t const exchange = exchange_number_;
         std::size_t const used =
             http_parser_execute(&parser_, &callbacks_, bytes, size);
-        // An observer may have cancelled within a callback.
+        // The observer may have cancelled the exchange within a callback.
         if (!connected_ || exchange != exchange_number_ || !observer_)
             return;
         if (complete_)
             return finish_framed(used < size);
         if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || used < size)
             fail(head_seen_ ? call_stage::answering : call_stage::sent,
-                 "not an HTTP answer");
+                 "not a valid HTTP answer");
     }
 
-    /// `dirty`: bytes follow the answer that belong to no request.
+    /// `dirty`: bytes that belong to no request follow the answer.
     void finish_framed(bool dirty)
     {
         bool const keep = !dirty && written_ && keep_alive_;
@@ -301,7 +305,7 @@
         connection& self = of(parser);
         if (!self.field_.empty())
             self.store_header();
-        // An interim answer; the final one follows.
+        // An interim (1xx) answer; the final answer follows.
         if (parser->status_code < first_final_status)
             return 0;
         self.head_seen_ = true;
@@ -316,7 +320,8 @@
         return 0;
     }
 
-    /// Keep-Alive: timeout=SECONDS
+    /// Idle timeout from the header field "Keep-Alive: timeout=SECONDS", minus
+    /// the margin.
     std::chrono::milliseconds idle_limit() const
     {
         auto const field = headers_.find("Keep-Alive");
@@ -481,8 +486,8 @@
     }
 
 private:
-    /// The one used last: the others grow old and are closed, so that no more
-    /// are kept than are needed.
+    /// Returns the most recently used idle connection. Connections that are not
+    /// needed stay unused, expire and are closed.
     std::shared_ptr<connection> take_idle(backend_address const& to,
                                           std::chrono::milliseconds max_idle)
     {
--- a/src/backend_pool.hpp
+++ b/src/backend_pool.hpp
@@ -1,9 +1,9 @@
-/// Kept HTTP/1.1 connections to workers.
+/// Pool of persistent HTTP/1.1 connections to workers.
 ///
-/// libcurl repeats a request by itself when a kept connection turns out to be
-/// closed, and has no switch against it: a call that may run once could run
-/// twice. This pool never repeats anything; it tells how far a request got and
-/// leaves the rest to the relay.
+/// libcurl retries a request on its own when a reused connection turns out to
+/// be closed, and this cannot be turned off, so a request that must run at most
+/// once could run twice. This pool never retries. The pool reports how far a
+/// request got, and the relay decides whether to retry.
 #ifndef MULBERRY_BACKEND_POOL_HPP
 #define MULBERRY_BACKEND_POOL_HPP
 
@@ -30,38 +30,43 @@
                             backend_address const&) = default;
 };
 
-/// Reads IP:PORT; nothing when it is none.
+/// Parses "IP:PORT". Returns nullopt if the text has no colon, nothing before
+/// the colon or no valid port; the IP itself is not checked.
 std::optional<backend_address> parse_address(std::string const& text);
 
-/// Sees one exchange. Exactly one of on_end and on_failure comes last, unless
-/// the exchange is cancelled. May start and cancel exchanges.
+/// Receives the events of one exchange. Exactly one of on_end and on_failure is
+/// called, as the last event, unless the exchange is cancelled. The methods may
+/// start and cancel exchanges.
 class exchange_observer
 {
 public:
     virtual ~exchange_observer() = default;
     virtual void on_head(int status, http_headers headers) = 0;
     virtual void on_body(std::string_view bytes) = 0;
-    /// The answer ended as its framing says. `framed` is false when only the
-    /// end of the connection ended it.
+    /// The answer is complete. `framed` is false if the answer was delimited
+    /// only by the end of the connection.
     virtual void on_end(bool framed) = 0;
     virtual void on_failure(call_stage stage, std::string const& reason) = 0;
 };
 
-/// A request on its way. Dropping it does not cancel it.
+/// Handle of a request in progress. Destroying the handle does not cancel the
+/// request.
 class backend_exchange
 {
 public:
     virtual ~backend_exchange() = default;
-    /// Closes the connection at once; the observer hears nothing more.
+    /// Closes the connection at once; the observer is not called again. No
+    /// effect after the exchange has ended.
     virtual void cancel() = 0;
 };
 
 /// How a request is sent.
 struct exchange_options
 {
-    /// How long a new connection may take.
+    /// Timeout for opening a new connection.
     std::chrono::milliseconds connect_timeout{500};
-    /// A kept connection is used only if its last answer is younger.
+    /// An idle connection is reused only if its last answer ended at most this
+    /// long ago.
     std::chrono::milliseconds max_idle{1000};
 };
 
@@ -75,15 +80,16 @@
     backend_pool(backend_pool const&) = delete;
     backend_pool& operator=(backend_pool const&) = delete;
 
-    /// Sends `bytes`, a whole request. The observer is told later, never
-    /// within this call.
+    /// Sends `bytes`, a complete HTTP request, over an idle connection or a new
+    /// one. The observer is never called within this call.
     std::shared_ptr<backend_exchange>
     start(backend_address const& to, std::string bytes,
           exchange_options const& options,
           std::shared_ptr<exchange_observer> observer);
-    /// Closes kept connections that were idle for too long.
+    /// Closes idle connections that are past their idle timeout.
     void sweep();
-    /// Connections opened since the start.
+    /// Number of connections opened since construction, failed attempts
+    /// included.
     std::uint64_t connections_opened() const;
 
 private:
--- a/tests/backend_pool_test.cpp
+++ b/tests/backend_pool_test.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-/// What an observer was told. Read once it is over.
+/// The events that an observer received. Read after wait() has returned.
 struct observed_exchange
 {
     int status = 0;
@@ -54,7 +54,8 @@
     observed_exchange& into_;
 };
 
-/// A pool on a loop of its own, and a worker whose every byte the test writes.
+/// A pool with its own event loop thread, and a listening socket on which the
+/// test plays the worker byte by byte.
 class pool_fixture
 {
 public:
@@ -68,7 +69,7 @@
     pool_fixture(pool_fixture const&) = delete;
     pool_fixture& operator=(pool_fixture const&) = delete;
 
-    /// Runs something on the loop and waits for it.
+    /// Runs `what` on the event loop and waits until it has finished.
     void on_loop(std::function<void()> const& what)
     {
         std::promise<void> done;
@@ -96,7 +97,7 @@
             });
         return running;
     }
-    /// The connection of the first request, once it has arrived.
+    /// Accepts the connection and reads its first request.
     raw_socket accept()
     {
         raw_socket worker = listener.accepted();
@@ -125,7 +126,7 @@
 
 } // namespace
 
-TEST_CASE("a connection is used again after a whole answer", "[backend_pool]")
+TEST_CASE("a connection is reused after a complete answer", "[backend_pool]")
 {
     pool_fixture world;
     observed_exchange first;
@@ -145,8 +146,8 @@
     CHECK(world.opened() == 1);
 }
 
-// A worker sends a second answer after the first. Handed to the next request
-// on the connection it would be another's answer; the connection is closed.
+// A worker sends a second answer after the first. The next request on the
+// connection would receive the wrong answer, so the connection is closed.
 TEST_CASE("bytes that belong to no request close their connection",
           "[backend_pool]")
 {
@@ -163,7 +164,7 @@
     CHECK(world.opened() == 2);
 }
 
-// The same, but the second answer comes while the connection is idle.
+// As above, but the second answer arrives while the connection is idle.
 TEST_CASE("a late answer on an idle connection closes it", "[backend_pool]")
 {
     pool_fixture world;
@@ -179,8 +180,8 @@
     CHECK(world.opened() == 2);
 }
 
-// The worker drops a kept connection after it was sent a request. The request
-// may have run: it is reported as sent and is not sent again.
+// The worker closes a reused connection after a request was sent. The request
+// may have run, so it is reported as sent and is not retried.
 TEST_CASE("a request on a connection that breaks is not repeated",
           "[backend_pool]")
 {
@@ -199,7 +200,7 @@
     CHECK(world.opened() == 1);
 }
 
-TEST_CASE("a worker that cannot be reached was sent nothing", "[backend_pool]")
+TEST_CASE("a failed connect is reported as not sent", "[backend_pool]")
 {
     pool_fixture world;
     world.listener.close();
@@ -209,7 +210,7 @@
     CHECK(only.failed == call_stage::not_sent);
 }
 
-TEST_CASE("an answer that is cut is told as begun", "[backend_pool]")
+TEST_CASE("a truncated answer fails in stage answering", "[backend_pool]")
 {
     pool_fixture world;
     observed_exchange only;
@@ -237,7 +238,7 @@
     CHECK(only.body == "whole");
 }
 
-TEST_CASE("an interim answer is passed over", "[backend_pool]")
+TEST_CASE("an interim answer is skipped", "[backend_pool]")
 {
     pool_fixture world;
     observed_exchange only;
@@ -249,7 +250,8 @@
     CHECK(only.body == "ok");
 }
 
-TEST_CASE("bytes that are no answer are told", "[backend_pool]")
+TEST_CASE("bytes that are not an HTTP answer fail the exchange",
+          "[backend_pool]")
 {
     pool_fixture world;
     observed_exchange only;
@@ -260,7 +262,7 @@
     CHECK(only.failed == call_stage::sent);
 }
 
-TEST_CASE("a cancelled exchange tells nothing more", "[backend_pool]")
+TEST_CASE("a cancelled exchange reports no more events", "[backend_pool]")
 {
     pool_fixture world;
     observed_exchange only;
@@ -272,9 +274,9 @@
     world.on_loop([&] { CHECK_FALSE(only.failed); });
 }
 
-// A worker takes a question and never answers. It is given up when its time is
-// over, and told so once.
-TEST_CASE("a collected call ends at its time", "[backend_pool]")
+// A worker accepts a request and never answers. The call ends at its deadline
+// and reports the timeout once.
+TEST_CASE("a collected call times out at its deadline", "[backend_pool]")
 {
     pool_fixture world;
     std::promise<collected_answer> promise;
