--- a/src/row_mirror.cpp
+++ b/src/row_mirror.cpp
@@ -16,20 +16,21 @@
 
 using std::chrono::milliseconds;
 
-/// After a question that failed, doubled with each failure in a row, up to
-/// max_store_retry_delay. Failure: the store is away, and two hundred VMs ask
-/// it three questions twice a second each; the first thing that it meets on its
-/// return is that crowd. So one question asks for all.
+/// Delay after a failed query, doubled with each consecutive failure up to
+/// max_store_retry_delay. Failure: during a store outage, two hundred VMs each
+/// send three queries twice a second, and the store meets this load when it
+/// returns. So only one set is retried on behalf of all.
 constexpr milliseconds initial_retry_delay{100};
 constexpr int max_doublings = 4;
-/// How long a whole read may take, doubled with each that failed in a row, up
-/// to the longest. Failure: a VM starts while the store says nothing; its first
-/// question hangs for a second after the store is back. An answer takes some
-/// ten milliseconds, and a few hundred when the store is slow.
+/// Timeout for a page of a complete read, doubled with each consecutive failure
+/// up to max_read_timeout. Failure: a VM starts while the store does not
+/// respond, and its first query hangs for a second after the store is back. An
+/// answer takes some ten milliseconds, and a few hundred when the store is
+/// slow.
 constexpr milliseconds initial_read_timeout{400};
 constexpr milliseconds max_read_timeout{1500};
-/// A reader's copy may be older than the interval at which it asks by this
-/// part, for the time that a question takes.
+/// A reader's rows may be older than its query interval by the interval divided
+/// by this, which allows for the duration of a query.
 constexpr int age_slack_part = 2;
 /// In the order of row_set.
 constexpr std::array<char const*, all_row_sets.size()> set_names{
@@ -82,12 +83,12 @@
     return interval + interval / age_slack_part;
 }
 
-/// While a question waits at the store for a change, the copy shows the rows
-/// as they are, as long as the store is heard of. Failure: the VM is cut off,
-/// or stood still, and the question looks as if it waited for seconds after
-/// that; what was declared meanwhile is not heard of, and what is known is
-/// taken for current. The other sets are asked for all the time, and their
-/// answers stop.
+/// While a long poll waits at the store, the replica is current as long as the
+/// store is known to be reachable. Failure: the VM is partitioned from the
+/// store, or was suspended, while its long poll seems to wait for seconds more;
+/// declarations of that time are missed, and stale rows count as current. The
+/// other sets are polled all the time, so the absence of their answers shows
+/// the loss of contact.
 time_point row_mirror::shown_at(mirrored_set const& which, time_point now) const
 {
     if (!which.asking || !which.waits_for_change || which.failures > 0)
@@ -117,7 +118,7 @@
             member.state != member_state::live)
             continue;
         ++near;
-        // A VM that stands by may be gone for long before others know.
+        // A standby VM may be gone for long before other VMs notice.
         if (!member.stands_by)
             candidates.push_back({member.vm, member.millicores});
         if (auto const address = parse_address(member.address))
@@ -150,12 +151,12 @@
         continue_reading(each);
 }
 
-/// The next question to the store, unless another VM asks it. The own rows are
-/// asked for by whoever needs them; see refresh_own().
+/// Sends the next query to the store, unless the reader does. The own rows are
+/// otherwise queried only on demand; see refresh_own().
 void row_mirror::continue_reading(mirrored_set& which)
 {
-    bool const told_by_reader = !reader_.empty() && which.copy.read();
-    if (told_by_reader && !which.lacks_large_rows())
+    bool const reported_by_reader = !reader_.empty() && which.copy.read();
+    if (reported_by_reader && !which.lacks_large_rows())
     {
         which.probes = false;
         return;
@@ -196,8 +197,8 @@
 
 void row_mirror::watch(mirrored_set& which)
 {
-    // After a failure the answer is wanted at once: it shows that the store is
-    // back.
+    // After a failure the query does not wait for a change: an immediate answer
+    // shows that the store is back.
     bool const waits_for_change =
         which.set == row_set::declarations && which.failures == 0;
     duration const wait =
@@ -223,7 +224,7 @@
         });
 }
 
-/// False after an answer that says nothing; the next question is arranged.
+/// Returns whether the reply carries rows. If not, schedules the next query.
 bool row_mirror::check_reply(mirrored_set& which, store_reply const& reply)
 {
     time_point const now = boot_clock::now();
@@ -236,7 +237,8 @@
         {
             returned_at_ = now;
             log_.notable("store regained", log_fields(), now);
-            // Their rows were old since the store was away, as this VM's were.
+            // The readers failed because their rows were stale during the
+            // outage, as this VM's rows were.
             choice_.forgive();
         }
         resume_others(which);
@@ -264,8 +266,8 @@
     return false;
 }
 
-/// After a failure one set is asked for again and again; the others wait until
-/// the store has answered it.
+/// After a failure only one set is retried; the other sets wait until the store
+/// has answered.
 void row_mirror::probe_later(mirrored_set& which)
 {
     int const doublings = std::min(which.failures++, max_doublings);
@@ -278,7 +280,7 @@
                                       max_store_retry_delay));
 }
 
-/// The store has answered a question about one set.
+/// Resumes the sets that waited for the store to answer another set's query.
 void row_mirror::resume_others(mirrored_set const& answered)
 {
     for (mirrored_set& each : sets_)
@@ -290,8 +292,8 @@
 {
     if (!check_reply(which, reply))
         return;
-    // Later pages may show later moments; the changes since the first page are
-    // read again with the first watch, and applying them twice does no harm.
+    // Later pages may be newer than the first. The changes since the first page
+    // are read again with the first watch; applying changes is idempotent.
     if (which.pages.empty())
     {
         which.first_page = reply.newest;
@@ -322,7 +324,7 @@
 }
 
 void row_mirror::finish_read(mirrored_set& which,
-                             std::vector<stored_row> const& news,
+                             std::vector<stored_row> const& changes,
                              time_point as_of)
 {
     which.asking = false;
@@ -335,10 +337,10 @@
     else
         read_later(which, which.set == row_set::own ? max_age(which.set)
                                                     : interval_of(which.set));
-    listener_.on_rows(which.set, news);
+    listener_.on_rows(which.set, changes);
     if (which.set == row_set::own)
         complete_refreshes(false);
-    if (std::any_of(news.begin(), news.end(), is_urgent))
+    if (std::any_of(changes.begin(), changes.end(), is_urgent))
         schedule_pending_answers();
     choose_reader();
 }
@@ -355,24 +357,25 @@
     asio::post(io_, [this] { complete_refreshes(false); });
 }
 
-/// Those that the copy is recent enough for are told; after a failure all.
+/// Completes the refreshes for which the replica is recent enough; after a
+/// failure, all of them.
 void row_mirror::complete_refreshes(bool failed)
 {
     mirrored_set& own = at(row_set::own);
     std::vector<pending_refresh> waiting = std::exchange(refreshes_, {});
-    std::vector<refreshed> told;
+    std::vector<refreshed> due;
     for (pending_refresh& each : waiting)
     {
         bool const current = own.copy.read() && own.as_of >= each.as_of;
         if (current || failed)
-            told.push_back(std::move(each.done));
+            due.push_back(std::move(each.done));
         else
             refreshes_.push_back(std::move(each));
     }
     if (!refreshes_.empty())
         query_store(own);
     time_point const as_of = own.as_of;
-    for (refreshed const& done : told)
+    for (refreshed const& done : due)
         done(!failed, as_of);
 }
 
--- a/src/row_mirror.hpp
+++ b/src/row_mirror.hpp
@@ -1,5 +1,5 @@
-/// Copies of the store's rows on this VM, kept up to date from the store or
-/// from another VM that reads it.
+/// Local replicas of the metadata store's rows, kept up to date from the store
+/// or from another VM that reads the store (the reader).
 #ifndef MULBERRY_ROW_MIRROR_HPP
 #define MULBERRY_ROW_MIRROR_HPP
 
@@ -25,53 +25,56 @@
 namespace mulberry
 {
 
-/// How long after its return the store may be asked again at the latest.
-/// Failure: a worker's entry is dropped just then; until some seconds after the
-/// return that this VM noticed it may have lapsed with the store, and the
-/// worker is used for so long.
+/// Maximum delay between attempts to reach a store that does not answer, so
+/// that its return is noticed within this time. Failure: a worker's entry is
+/// deleted at the moment of the return. For some seconds after the return is
+/// noticed, the entry is treated as if it had merely lapsed during the outage,
+/// and the worker stays in use that long.
 inline constexpr std::chrono::milliseconds max_store_retry_delay{600};
 
 struct row_mirror_options
 {
     vm_id vm;
     domain_id domain;
-    /// How long a question about declarations waits at the store. A change is
-    /// answered at once; the bound is there to notice a connection that went
-    /// silent. It is about the time that a configuration has to come into
-    /// force: each question costs the store a call.
+    /// How long a query for declarations waits at the store for a change (long
+    /// polling). A change is answered at once; the bound serves to detect a
+    /// connection that went silent. It is about the time within which a
+    /// configuration must take effect, since each query costs the store a call.
     duration declaration_wait = std::chrono::milliseconds(2000);
-    /// How long a question may take beyond its wait.
+    /// Time allowed for the store's answer beyond the wait.
     duration answer_time = std::chrono::milliseconds(600);
-    /// How often the workers are asked for. They heartbeat all the time, so a
-    /// question that waits for a change would return at once, a call for each
-    /// heartbeat. Half of the bound on draining workers leaves the other half
-    /// for a question that fails and the one after it.
+    /// Polling interval of the workers' rows. Workers write heartbeats all the
+    /// time, so a long poll would return at once and cost a call for each
+    /// heartbeat. The interval is half of the bound on noticing a draining
+    /// worker; the other half leaves time for a query that fails and the next
+    /// one.
     duration worker_interval = std::chrono::milliseconds(1000);
-    /// Declarations for which that is not certain to be less ago are asked for
-    /// elsewhere; 0: as soon as they are half as old again as the wait.
+    /// Maximum age of declarations that a reader may answer with; if they are
+    /// older, the store is queried. 0 means one and a half times
+    /// declaration_wait.
     duration oldest_declarations{};
-    /// How often the product's own rows are asked for.
+    /// Polling interval of the product's own rows.
     duration own_interval = std::chrono::milliseconds(2000);
-    /// What of a worker's row others act on; see row_copy.
+    /// Projection of a worker's row to what other VMs act on; see row_replica.
     row_copy::essence worker_essence;
 };
 
-/// Told on the mirror's thread.
+/// Called on the mirror's thread.
 struct row_listener
 {
-    /// Rows that changed in a set, dropped ones among them; also without any,
-    /// as often as the set was looked at.
+    /// Rows of a set that changed, deleted rows included. Also called with no
+    /// rows whenever the set was checked and nothing had changed.
     std::function<void(row_set, std::vector<stored_row> const&)> on_rows;
 };
 
-/// Reads each set of rows whole, then its changes; whole again when the store
-/// has dropped the history in between. Thread safety: none; used on the thread
-/// that runs the io_context.
+/// Reads each set of rows completely, then its changes; completely again when
+/// the store no longer has the history in between. Thread safety: none; used on
+/// the thread that runs the io_context.
 class row_mirror
 {
 public:
-    /// Whether the rows are there as of the moment that was asked for, and of
-    /// which moment they are.
+    /// Result of a refresh: whether the rows are at least as recent as
+    /// requested, and the time as of which they are known.
     using refreshed = std::function<void(bool current, time_point as_of)>;
 
     /// The references outlive this object.
@@ -80,52 +83,56 @@
                row_listener listener);
 
     void start();
-    /// The VMs there are, this one among them.
+    /// Sets the current members, this VM included; one of them may be chosen as
+    /// the reader.
     void set_members(std::vector<member_view> const& members);
-    /// Calls back when the own rows are known as of now or, unless `strict`,
-    /// as of a little earlier; with false when the store cannot be asked. Never
-    /// within this call.
+    /// Calls `done` when the product's own rows are known as of now or, unless
+    /// `strict` and while another VM is the reader, as of at most one and a
+    /// half own_intervals ago. `done` gets false if the store cannot be
+    /// reached. `done` is never called within this call.
     void refresh_own(bool strict, refreshed done);
-    /// Another VM's question; see peer_rows.hpp.
+    /// Answers another VM's query, at once or when rows change; see
+    /// peer_rows.hpp.
     void serve(http_request const& request,
                std::shared_ptr<http_answer> answer);
 
-    /// Whether a set has been read.
+    /// Whether a set has been read completely at least once.
     bool read(row_set set) const { return at(set).copy.read(); }
     std::vector<stored_row> rows(row_set set) const
     {
         return at(set).copy.rows();
     }
-    /// The latest moment whose rows the copy of a set is known to show; where a
-    /// question waits for changes, up to a fifth more than the interval at
-    /// which workers are asked for may have passed without contact.
+    /// The latest time as of which the replica of a set is known to be current.
+    /// While a long poll waits at the store, this is `now` as long as any set
+    /// was answered within the last worker_interval plus a fifth.
     time_point as_of(row_set set, time_point now) const
     {
         return shown_at(at(set), now);
     }
-    /// A moment at which the store is certain to have held what the copy shows:
-    /// what changed later may be missing, and nothing that changed before. The
-    /// VM's own clock and the store's are all that it rests on, however many
-    /// VMs the rows came through.
+    /// A time at which the store certainly held what the replica shows: changes
+    /// after that time may be missing, earlier changes are not. It depends only
+    /// on the clocks of this VM and of the store, however many VMs passed the
+    /// rows on.
     time_point proven_as_of(row_set set) const { return at(set).proven_at; }
-    /// Whether the store does not answer, neither here nor at the VM that
-    /// reads it for this one.
+    /// Whether the store answers neither this VM nor its reader.
     bool lost() const { return store_lost_; }
-    /// When the store last began to answer again.
+    /// When the store last answered again after an outage.
     time_point returned_at() const { return returned_at_; }
-    /// Prometheus lines: how old each set of rows is, whether another VM reads
-    /// the store for this one, and how many questions of others wait here.
+    /// Prometheus lines: the age of each set of rows, whether another VM reads
+    /// the store for this one, and the number of other VMs' queries that wait
+    /// here.
     std::string metrics() const;
-    /// The VM that reads the store for this one; empty for none.
+    /// The VM that reads the store for this one; empty if this VM reads the
+    /// store itself.
     vm_id const& reader() const { return reader_; }
 
 private:
-    /// A question to another VM may take this part of the interval at which
-    /// workers are asked for beyond its wait.
+    /// A query to the reader may take worker_interval divided by this, beyond
+    /// its wait.
     static constexpr int reader_answer_part = 5;
-    /// The least time between two readings of large rows: one takes a small
-    /// VM's link and processor a fifth of a second each, and versions may
-    /// follow each other faster.
+    /// Minimum interval between reads of large rows: a read takes a fifth of a
+    /// second each of a small VM's link and CPU, and new versions may follow
+    /// each other faster.
     static constexpr std::chrono::milliseconds min_large_read_interval{500};
 
     struct mirrored_set
@@ -133,28 +140,30 @@
         row_set set;
         row_copy copy;
         asio::steady_timer timer;
-        /// A question is on its way to the store.
+        /// A query to the store is in progress.
         bool asking = false;
         time_point asked_at{};
-        /// The question waits at the store for a change.
+        /// That query is a long poll, waiting at the store for a change.
         bool waits_for_change = false;
-        /// When the answer was made that the copy shows.
+        /// When the answer that the replica shows was made.
         time_point as_of{};
-        /// The latest moment as of which the copy is certain.
+        /// See proven_as_of().
         time_point proven_at{};
-        /// Up to which version another VM told the changes; beyond the copy's
-        /// while large rows that it left out have yet to be read.
-        row_version told;
-        /// Which changes the last question to another VM was for.
+        /// The version up to which the reader reported changes; newer than the
+        /// replica's version while large rows that the reader left out have yet
+        /// to be read.
+        row_version announced_version;
+        /// The version after which the last query to the reader requested
+        /// changes.
         row_version requested_after;
-        /// Rows gathered while a whole read goes on page by page.
+        /// Rows collected during a complete read, which goes page by page.
         std::vector<stored_row> pages;
         row_version first_page;
         time_point first_page_at{};
         bool whole = true;
-        /// Questions to the store in a row that it did not answer.
+        /// Consecutive queries that the store did not answer.
         int failures = 0;
-        /// It is asked for again after a failure, on behalf of all sets.
+        /// After a failure, only this set is retried, on behalf of all sets.
         bool probes = false;
 
         mirrored_set(asio::io_context& io, row_set which,
@@ -163,9 +172,12 @@
         {
         }
 
-        bool lacks_large_rows() const { return told > copy.version(); }
-        /// What changed after the last question's version is not all that
-        /// changed after the copy's.
+        bool lacks_large_rows() const
+        {
+            return announced_version > copy.version();
+        }
+        /// The last query to the reader requested only a part of the changes
+        /// after the replica's version.
         bool requested_beyond_copy() const
         {
             return requested_after > copy.version();
@@ -200,8 +212,8 @@
     void resume_others(mirrored_set const& answered);
     void on_page(mirrored_set& which, store_reply const& reply);
     void on_changes(mirrored_set& which, store_reply const& reply);
-    void finish_read(mirrored_set& which, std::vector<stored_row> const& news,
-                     time_point as_of);
+    void finish_read(mirrored_set& which,
+                     std::vector<stored_row> const& changes, time_point as_of);
     time_point made_at(mirrored_set const& which, store_reply const& reply);
     void complete_refreshes(bool failed);
 
@@ -209,14 +221,16 @@
     void query_reader_later(duration delay);
     void on_reader_answer(vm_id const& reader, time_point asked_at,
                           std::optional<rows_answer> const& answer);
-    bool apply_reader_changes(mirrored_set& which, row_set_changes const& news,
+    bool apply_reader_changes(mirrored_set& which,
+                              row_set_changes const& changes,
                               time_point asked_at, time_point now);
-    void apply_incomplete(mirrored_set& which, row_set_changes const& news);
+    void apply_incomplete(mirrored_set& which, row_set_changes const& changes);
     void query_store_instead();
 
     rows_answer answer_to(rows_query const& query, time_point arrived_at) const;
     bool has_urgent_changes(rows_query const& query) const;
-    /// Whether other VMs act on a change of the row at once.
+    /// Whether a change of the row is to be reported to other VMs without
+    /// delay.
     static bool is_urgent(stored_row const& row);
     void schedule_pending_answers();
     void answer_pending();
@@ -233,7 +247,8 @@
     vm_id reader_;
     bool reader_query_pending_ = false;
     asio::steady_timer reader_timer_;
-    /// Other VMs have asked lately; until then this one reads for itself.
+    /// Until then this VM reads the store itself, since other VMs have queried
+    /// it recently.
     time_point serves_until_{};
     std::vector<pending_query> pending_queries_;
     asio::steady_timer pending_timer_;
--- a/src/row_mirror_peers.cpp
+++ b/src/row_mirror_peers.cpp
@@ -1,4 +1,4 @@
-// Rows that VMs tell each other.
+// The part of row_mirror that exchanges rows with other VMs.
 #include "boot_clock.hpp"
 #include "collected_exchange.hpp"
 #include "crash_row.hpp"
@@ -15,24 +15,24 @@
 
 using std::chrono::milliseconds;
 
-/// A question to another VM waits there for a third of the interval at which
-/// workers are asked for: a reader that hangs is noticed in time to ask the
-/// store within the bound on draining workers.
+/// A query waits at the reader for worker_interval divided by this, so that a
+/// reader that hangs is detected in time to query the store within the bound on
+/// noticing draining workers.
 constexpr int reader_wait_part = 3;
-/// A VM that was asked in the last seconds reads for itself, so that no VM
-/// waits for one that waits for another.
+/// A VM that was queried within this time reads the store itself, so that
+/// readers do not form chains.
 constexpr milliseconds serving_duration{5000};
-/// Changes that come close together are told together.
+/// Changes within this time of each other are reported in one answer.
 constexpr milliseconds answer_batch_delay{20};
-/// The least time between two questions to a reader.
+/// Minimum interval between queries to a reader.
 constexpr milliseconds min_query_interval{50};
-/// Failure: a configuration of 1,500 routes takes 350 KB, and a reader on a
-/// link of 20 Mbit/s sends it to a dozen VMs at once. Each gives its answer up
-/// after a second and asks again, so that none ever gets it, and requests are
-/// handled by the old configuration for five seconds. So what is larger than
-/// this is told by its version only and read from the store, whose link carries
-/// it to all VMs within a fraction of a second. A dozen rows of this size take
-/// such a link less than a tenth of a second.
+/// Rows larger than this are reported by version only and read from the store,
+/// whose link carries them to all VMs within a fraction of a second. Failure: a
+/// configuration of 1,500 routes takes 350 KB, and a reader on a 20 Mbit/s link
+/// sends it to a dozen VMs at once. Each VM times out after a second and
+/// queries again, so none receives it, and requests are handled by the old
+/// configuration for five seconds. A dozen rows of this size take such a link
+/// less than a tenth of a second.
 constexpr std::size_t max_peer_row_bytes = 16UL * 1024;
 constexpr milliseconds reader_connect_timeout{250};
 constexpr milliseconds reader_max_idle{3000};
@@ -61,7 +61,7 @@
         query.large_rows |= refused;
         which.requested_after =
             refused ? which.copy.version()
-                    : std::max(which.told, which.copy.version());
+                    : std::max(which.announced_version, which.copy.version());
         query.after.at(index) = which.requested_after;
     }
     query.wait = options_.worker_interval / reader_wait_part;
@@ -95,28 +95,29 @@
         });
 }
 
-/// Failure: the reader is cut off from the store, and answers promptly with
-/// rows that it read long ago; workers that left are used for as long as it is
-/// cut off. An answer says how old it is; what is older than this VM's own
-/// reading would be counts as a failure, and the store is asked.
+/// Failure: the reader is partitioned from the store and answers promptly with
+/// stale rows, so workers that left stay in use during the partition. An answer
+/// therefore carries the age of its rows; rows older than max_age() count as a
+/// failure of the reader, and the store is queried.
 void row_mirror::on_reader_answer(vm_id const& reader, time_point asked_at,
                                   std::optional<rows_answer> const& answer)
 {
     time_point const now = boot_clock::now();
     reader_query_pending_ = false;
     bool current = answer.has_value();
-    // Failure: this VM stands still, or the link is slow, and an answer is read
-    // long after it was made; its rows are taken for those of now.
+    // Failure: this VM is suspended or the link is slow, and an answer is read
+    // long after it was made; without this correction its rows would count as
+    // current.
     duration const transit_time = std::max<duration>(
         duration(0),
         now - asked_at - options_.worker_interval / reader_wait_part);
     if (answer)
         for (std::size_t index = 0; index < sets_.size(); ++index)
         {
-            row_set_changes news = answer->at(index);
-            news.age += transit_time;
+            row_set_changes changes = answer->at(index);
+            changes.age += transit_time;
             current &=
-                apply_reader_changes(sets_.at(index), news, asked_at, now);
+                apply_reader_changes(sets_.at(index), changes, asked_at, now);
         }
     if (current)
     {
@@ -147,11 +148,11 @@
 }
 
 /// Failure: several readers hang, and a VM waits a second for each in turn,
-/// then for the first again; it hears of a configuration only after its bound.
-/// So one reader that fails is enough to ask the store, while the next one is
-/// asked: what a VM knows is never older than one question and one answer of
-/// the store. Where the store does not answer either, it is being asked
-/// already.
+/// then for the first again, and learns of a configuration only after its
+/// bound. So the store is queried as soon as one reader fails, in parallel with
+/// the next reader: a VM's rows are never older than one query to a reader and
+/// one answer of the store. If the store does not answer either, it is being
+/// retried already.
 void row_mirror::query_store_instead()
 {
     if (store_lost_)
@@ -160,39 +161,42 @@
         query_store(each);
 }
 
-/// Whether the other VM's copy is recent enough.
+/// Applies the reader's changes. Returns false if the reader's rows are too old
+/// or not loaded.
 bool row_mirror::apply_reader_changes(mirrored_set& which,
-                                      row_set_changes const& news,
+                                      row_set_changes const& changes,
                                       time_point asked_at, time_point now)
 {
-    if (!news.read || news.age > max_age(which.set))
+    if (!changes.read || changes.age > max_age(which.set))
         return false;
-    if (news.incomplete || (which.requested_beyond_copy() && !news.whole))
+    if (changes.incomplete || (which.requested_beyond_copy() && !changes.whole))
     {
-        apply_incomplete(which, news);
+        apply_incomplete(which, changes);
         return true;
     }
     std::vector<stored_row> const changed =
-        news.whole ? which.copy.replace(news.rows, news.version)
-                   : which.copy.apply(news.rows, news.version);
-    which.as_of = std::max(which.as_of, now - news.age);
-    if (news.proven_before)
+        changes.whole ? which.copy.replace(changes.rows, changes.version)
+                      : which.copy.apply(changes.rows, changes.version);
+    which.as_of = std::max(which.as_of, now - changes.age);
+    if (changes.proven_before)
         which.proven_at = std::max(
-            which.proven_at, std::min(now, asked_at - *news.proven_before));
+            which.proven_at, std::min(now, asked_at - *changes.proven_before));
     listener_.on_rows(which.set, changed);
     if (which.set == row_set::own)
         complete_refreshes(false);
     return true;
 }
 
-/// The copy stays at its version: asked for what changed after it, the store
-/// tells what was left out here.
+/// Applies the small rows but leaves the replica at its version, so that the
+/// store's changes after that version include the large rows that were left
+/// out.
 void row_mirror::apply_incomplete(mirrored_set& which,
-                                  row_set_changes const& news)
+                                  row_set_changes const& changes)
 {
     std::vector<stored_row> const changed =
-        which.copy.apply(news.rows, which.copy.version());
-    which.told = std::max(which.told, news.version);
+        which.copy.apply(changes.rows, which.copy.version());
+    which.announced_version =
+        std::max(which.announced_version, changes.version);
     listener_.on_rows(which.set, changed);
     if (!which.asking && which.failures == 0)
         read_later(which,
@@ -231,30 +235,31 @@
     for (std::size_t index = 0; index < sets_.size(); ++index)
     {
         mirrored_set const& which = sets_.at(index);
-        row_set_changes& news = answer.at(index);
-        news.read = which.copy.read();
-        news.version = which.copy.version();
-        news.age = now - shown_at(which, now);
+        row_set_changes& changes = answer.at(index);
+        changes.read = which.copy.read();
+        changes.version = which.copy.version();
+        changes.age = now - shown_at(which, now);
         if (which.proven_at != time_point())
-            news.proven_before = arrived_at - which.proven_at;
+            changes.proven_before = arrived_at - which.proven_at;
         auto changed = which.copy.since(query.after.at(index));
-        news.whole = !changed;
-        news.rows = changed ? std::move(*changed) : which.copy.rows();
+        changes.whole = !changed;
+        changes.rows = changed ? std::move(*changed) : which.copy.rows();
         if (!query.large_rows)
-            news.incomplete = std::erase_if(news.rows, is_large) > 0;
+            changes.incomplete = std::erase_if(changes.rows, is_large) > 0;
     }
     return answer;
 }
 
-/// Heartbeats of VMs change their rows all the time; a reader tells of them
-/// when it answers anyway.
+/// Heartbeats change the VMs' rows all the time; a reader reports these changes
+/// only with an answer that it sends anyway.
 bool row_mirror::is_urgent(stored_row const& row)
 {
     return row.kind != row_kind::own || row.key.starts_with(worker_prefix) ||
            row.key.starts_with(crash_prefix);
 }
 
-/// Rows that others act on at once; see is_urgent().
+/// Returns whether rows that other VMs act on at once have changed since the
+/// query's versions, or whether these versions are too old to tell.
 bool row_mirror::has_urgent_changes(rows_query const& query) const
 {
     for (std::size_t index = 0; index < sets_.size(); ++index)
--- a/tests/row_mirror_test.cpp
+++ b/tests/row_mirror_test.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::chrono::seconds generous_wait{20};
 
-/// One VM's mirror, with the listener at which other VMs ask it.
+/// One VM's mirror, with the HTTP server at which other VMs query it.
 struct mirror_vm
 {
     std::string name;
@@ -34,7 +34,8 @@
                   { readers_failed += event == "reader failed"; }};
     backend_pool pool;
     std::vector<stored_row> seen;
-    /// How many readers had failed when a value was first seen.
+    /// For each row value: how many readers had failed when the value was first
+    /// seen.
     std::map<std::string, std::size_t> failed_before;
     row_mirror mirror;
     http_server server;
@@ -103,19 +104,19 @@
     }
 };
 
-/// VMs of one failure domain, each with a store of its own, so that what a VM
-/// knows shows whom it asked. One of sixteen reads for the others.
-class mirror_world
+/// VMs of one failure domain, each with a separate store, so that a VM's rows
+/// show where they came from. One VM in sixteen is a reader for the others.
+class mirror_simulation
 {
 public:
-    explicit mirror_world(int count = 4)
+    explicit mirror_simulation(int count = 4)
     {
         for (int number = 0; number < count; ++number)
             vms.push_back(std::make_unique<mirror_vm>(
                 io, "vm-" + std::to_string(number)));
         for (auto const& vm : vms)
         {
-            // The same versions everywhere.
+            // Row versions are the same in all stores.
             vm->store.put(row_set::declarations, row_kind::configuration,
                           "config", "first");
             vm->store.put(row_set::workers, row_kind::worker, "w", "ready/1");
@@ -142,7 +143,8 @@
         REQUIRE(reader.size() == static_cast<std::size_t>(count + 15) / 16);
     }
 
-    /// Whether it comes to hold for every VM that follows a reader.
+    /// Runs the event loop until `holds` is true for every VM that follows a
+    /// reader; returns false after generous_wait.
     bool until_followers(std::function<bool(mirror_vm const&)> const& holds)
     {
         return until(
@@ -170,9 +172,10 @@
 
 } // namespace
 
-TEST_CASE("a change is heard from the VM that reads the store", "[row_mirror]")
+TEST_CASE("a follower receives changes from the VM that reads the store",
+          "[row_mirror]")
 {
-    mirror_world world;
+    mirror_simulation world;
     std::vector<std::size_t> before;
     for (mirror_vm const* vm : world.followers)
         before.push_back(vm->store.calls());
@@ -188,17 +191,17 @@
                 all = all && vm->saw("second") && vm->saw("drains/2");
             return all;
         }));
-    // A question that was open when it began to follow may be answered; no
-    // other is asked.
+    // A query that was in progress when the VM began to follow may still be
+    // answered; no other query is sent.
     for (std::size_t index = 0; index < world.followers.size(); ++index)
         CHECK(world.followers[index]->store.calls() <= before[index] + 1);
 }
 
-// The VM that reads the store for the others is gone: it resets every
-// connection. They ask the store themselves and miss nothing.
-TEST_CASE("without its reader a VM asks the store", "[row_mirror]")
+// The reader fails and resets every connection. Its followers query the store
+// themselves and miss no change.
+TEST_CASE("a VM whose reader fails queries the store", "[row_mirror]")
 {
-    mirror_world world;
+    mirror_simulation world;
     world.reader[0]->answers = false;
     for (mirror_vm* vm : world.followers)
         vm->store.put(row_set::workers, row_kind::worker, "w", "drains/9");
@@ -212,11 +215,11 @@
         }));
 }
 
-// Two readers stand still. A VM that tried both before the store, and then the
-// first again, would hear of a configuration only seconds later.
-TEST_CASE("one reader that hangs is enough to ask the store", "[row_mirror]")
+// Two readers hang. A VM that tried both before the store, and then the first
+// again, would learn of a configuration only seconds later.
+TEST_CASE("a VM queries the store after one reader hangs", "[row_mirror]")
 {
-    mirror_world world(20);
+    mirror_simulation world(20);
     for (mirror_vm* vm : world.reader)
         vm->hangs = true;
     for (mirror_vm* vm : world.followers)
@@ -227,14 +230,14 @@
         CHECK(vm->failed_before.at("drains/9") == 1);
 }
 
-// A configuration of hundreds of kilobytes comes. Sent by a reader on a small
-// link to all who ask it at once, it arrives with none of them in time; each
-// reads it from the store itself.
+// A reader on a slow link that sent a configuration of hundreds of kilobytes to
+// all followers at once would reach none of them in time, so each follower
+// reads the configuration from the store.
 TEST_CASE("a large configuration is read from the store", "[row_mirror]")
 {
     std::string const from_store(40'000, 's');
-    mirror_world world;
-    // The questions from before they followed are over.
+    mirror_simulation world;
+    // End the queries that the followers sent before they followed the reader.
     for (mirror_vm* vm : world.followers)
         vm->store.answer_watches();
     for (auto const& vm : world.vms)
@@ -245,20 +248,20 @@
                                 { return vm.saw(from_store); }));
     for (mirror_vm const* vm : world.followers)
         CHECK_FALSE(vm->saw(std::string(40'000, 'r')));
-    // Small rows are told by the reader as before, and nothing is missing.
+    // The reader still reports small rows, and no change is missing.
     world.reader[0]->store.put(row_set::declarations, row_kind::configuration,
                                "config", "small");
     CHECK(world.until_followers([](mirror_vm const& vm)
                                 { return vm.saw("small"); }));
 }
 
-// The store turns one VM away while a large configuration comes: its reader
-// has it.
+// The store refuses the followers while a large configuration is declared; they
+// get the configuration from the reader.
 TEST_CASE("a VM that the store refuses gets large rows from its reader",
           "[row_mirror]")
 {
     std::string const large(40'000, 'r');
-    mirror_world world;
+    mirror_simulation world;
     for (mirror_vm* vm : world.followers)
     {
         vm->store.set_down(true);
@@ -270,11 +273,11 @@
                                 { return vm.saw(large); }));
 }
 
-// The reader is cut off from the store and answers promptly with what it read
-// before that. The others notice by the age that it tells, and ask the store.
-TEST_CASE("a reader whose rows are old is not believed", "[row_mirror]")
+// The reader is partitioned from the store and answers promptly with stale
+// rows. Its followers detect this by the reported age and query the store.
+TEST_CASE("stale rows of a reader are not used", "[row_mirror]")
 {
-    mirror_world world;
+    mirror_simulation world;
     world.reader[0]->store.set_down(true);
     world.reader[0]->store.answer_watches();
     for (mirror_vm* vm : world.followers)
@@ -294,12 +297,13 @@
           std::string::npos);
 }
 
-// A VM is cut off, or stands still, while its question about declarations waits
-// at the store. What was declared since is not heard of, so that nothing is
-// known of the moments after the last answer to any question.
-TEST_CASE("a question that waits shows nothing without contact", "[row_mirror]")
+// A VM is partitioned or suspended while its long poll for declarations waits
+// at the store. Later declarations do not reach the VM, so its rows must not
+// count as current beyond the last answer to any query.
+TEST_CASE("a waiting long poll does not keep rows current without contact",
+          "[row_mirror]")
 {
-    mirror_world world(1);
+    mirror_simulation world(1);
     row_mirror const& mirror = world.vms[0]->mirror;
     CHECK(world.until(
         [&mirror]
@@ -312,10 +316,11 @@
           last_contact);
 }
 
-// The store and so the reader's copy is away for all, then back.
-TEST_CASE("the store's absence and return are noticed by all", "[row_mirror]")
+// The store is unreachable for all VMs, the reader included, and then returns.
+TEST_CASE("all VMs notice an outage and the return of the store",
+          "[row_mirror]")
 {
-    mirror_world world;
+    mirror_simulation world;
     auto const all = [&world](auto const& holds)
     {
         return world.until(
@@ -341,11 +346,11 @@
         CHECK(vm->mirror.returned_at() >= back);
 }
 
-// The store is away for minutes, and every VM asks for it again and again. One
-// question shows whether it is back; the others wait for its answer.
-TEST_CASE("an absent store is asked one question at a time", "[row_mirror]")
+// During a long outage every VM keeps retrying. One query suffices to show that
+// the store is back; the other sets wait for its answer.
+TEST_CASE("an unreachable store gets one query at a time", "[row_mirror]")
 {
-    mirror_world world(1);
+    mirror_simulation world(1);
     mirror_vm& vm = *world.vms[0];
     vm.store.set_down(true);
     vm.store.answer_watches();
@@ -363,11 +368,12 @@
     CHECK(world.until([&] { return vm.saw("drains/9"); }));
 }
 
-// A lease must not be judged by rows that were read before it began: a strict
-// question is answered by the store, an ordinary one by the reader's rows.
-TEST_CASE("own rows are as recent as was asked for", "[row_mirror]")
+// Rows that were read before a lease began must not decide about the lease: a
+// strict refresh is answered by the store, an ordinary refresh by the reader's
+// rows.
+TEST_CASE("own rows are as recent as requested", "[row_mirror]")
 {
-    mirror_world world;
+    mirror_simulation world;
     mirror_vm& vm = *world.followers[0];
     REQUIRE(world.until([&vm] { return !vm.mirror.reader().empty(); }));
     auto const refresh = [&](bool strict)
@@ -387,9 +393,9 @@
     CHECK(refresh(true) == time_point());
 }
 
-TEST_CASE("what is no question about rows is rejected", "[row_mirror]")
+TEST_CASE("a malformed rows query is rejected with status 400", "[row_mirror]")
 {
-    mirror_world world;
+    mirror_simulation world;
     bool answered = false;
     std::optional<int> status;
     collected_call call;
@@ -408,16 +414,16 @@
     CHECK(status == 400);
 }
 
-// Guards against a VM that takes what a reader tells it for certain while the
-// reader itself hears nothing of the store.
-TEST_CASE("a copy is certain only as of what the store answered",
+// Guards against a VM that counts a reader's rows as proven while the reader
+// itself has no contact with the store.
+TEST_CASE("a replica is proven only as of the store's last answer",
           "[row_mirror]")
 {
-    mirror_world world;
+    mirror_simulation world;
     mirror_vm& reader = *world.reader[0];
     auto const proven = [](mirror_vm const& vm)
     { return vm.mirror.proven_as_of(row_set::declarations); };
-    // Its question waits at the store: it looks as if it knew the rows of now.
+    // The reader's long poll waits at the store, so its rows count as current.
     REQUIRE(world.until(
         [&]
         {
@@ -443,33 +449,33 @@
                                 { return proven(vm) > certain; }));
 }
 
-// Guards against a proof that is dated by when it was read: the VM stood still,
-// or the answer was long on its way.
-TEST_CASE("a proof is as old as the answer that brought it", "[row_mirror]")
+// Guards against dating proven rows by when the answer was read: the VM may
+// have been suspended, or the answer may have been delayed in transit.
+TEST_CASE("proven rows are dated by when the query was sent", "[row_mirror]")
 {
-    mirror_world world;
+    mirror_simulation world;
     mirror_vm& reader = *world.reader[0];
     mirror_vm& follower = *world.followers[0];
     reader.hangs = true;
     REQUIRE(world.until([&] { return !reader.unanswered.empty(); }));
     time_point const asked_by = boot_clock::now();
     rows_answer answer;
-    for (row_set_changes& news : answer)
+    for (row_set_changes& changes : answer)
     {
-        news.read = true;
-        news.version = row_version(1);
-        news.proven_before = duration(0);
+        changes.read = true;
+        changes.version = row_version(1);
+        changes.proven_before = duration(0);
     }
-    // A moment that tells the two dates apart.
+    // Lets time pass so that the two dates differ.
     REQUIRE(world.until([&] { return boot_clock::now() >= asked_by + 5ms; }));
     for (auto const& each : reader.unanswered)
         each->respond(json_response(200, encode_rows_answer(answer)));
     time_point const before =
         follower.mirror.proven_as_of(row_set::declarations);
-    time_point const told_at = boot_clock::now();
+    time_point const answered_at = boot_clock::now();
     world.until(
         [&] {
             return follower.mirror.proven_as_of(row_set::declarations) > before;
         });
-    CHECK(follower.mirror.proven_as_of(row_set::declarations) < told_at);
+    CHECK(follower.mirror.proven_as_of(row_set::declarations) < answered_at);
 }
