--- a/src/ownership_runner.cpp
+++ b/src/ownership_runner.cpp
@@ -14,10 +14,11 @@
 namespace
 {
 
-/// How often the keeper is given the time; its own deadlines are hundreds of
-/// milliseconds apart.
+/// Interval of calls to ownership_keeper::tick(); the keeper's deadlines are
+/// hundreds of milliseconds apart.
 constexpr std::chrono::milliseconds tick_interval{100};
-/// For so many heartbeats after it registered a VM reads the rows itself.
+/// For this many heartbeat intervals after it registered, a VM reads its rows
+/// from the store, not from a reader.
 constexpr int strict_heartbeats = 2;
 
 table_outcome outcome_of(store_outcome outcome)
@@ -152,36 +153,39 @@
                   { return declared_.count(each.first) == 0; });
 }
 
-/// Failure: two VMs order one worker in turn within a short time, the one that
-/// just lost it and the one that just got it; a late order of the first is
-/// carried out among those of the second. The first gave its last order before
-/// its row changed, so the second waits for the gap from then on. No gap is
-/// needed where there was no owner, where the last owner's lease lapsed, since
-/// it stopped giving orders a gap before that, or where this VM itself was the
-/// last owner, before a restart. But either may have been given the worker a
-/// moment before, even as a life that was over already: then the VM that gave
-/// it ordered last. So the row that names it must have stood for a gap.
+/// Returns when this VM may begin to issue orders to a worker that it owns
+/// under `fence`. Failure: the previous and the new owner of a worker issue
+/// orders within a short time, and a late order of the previous owner is
+/// executed among those of the new owner. The previous owner issued its last
+/// order before the worker's row changed, so the new owner waits for the order
+/// gap from then on. No gap is needed if the worker had no owner, if the last
+/// owner's lease lapsed (it stopped issuing orders a gap before that), or if
+/// this VM itself was the last owner, before a restart. In the latter two
+/// cases, however, the last owner may have been handed the worker just before,
+/// even as an incarnation that had already ended; then the VM that handed the
+/// worker over issued the last order. So the row that names the last owner must
+/// be at least a gap old.
 time_point ownership_runner::orders_from(worker_id const& worker,
                                          fencing_number fence,
                                          time_point now) const
 {
     time_point const after_gap = now + options_.order_gap;
-    auto const seen = recorded_owners_.find(worker);
+    auto const recorded = recorded_owners_.find(worker);
     for (std::uint64_t before = fence.value() - 1; before > 0; --before)
     {
-        if (seen == recorded_owners_.end())
+        if (recorded == recorded_owners_.end())
             return after_gap;
-        auto const owner = seen->second.find(fencing_number(before));
-        if (owner == seen->second.end())
+        auto const owner = recorded->second.find(fencing_number(before));
+        if (owner == recorded->second.end())
             return after_gap;
         vm_id const& vm = owner->second.vm;
         if (vm.empty())
             continue;
         bool const orders_no_more =
             vm == options_.keeper.vm || keeper_.member(vm) == nullptr;
-        bool const stood =
+        bool const settled =
             owner->second.version <= keeper_.settled_version(now);
-        return orders_no_more && stood ? now : after_gap;
+        return orders_no_more && settled ? now : after_gap;
     }
     return now;
 }
@@ -231,9 +235,10 @@
     execute(actions);
 }
 
-/// Failure: a VM that is cut from the store loses its lease, and its workers'
-/// adapters stand idle until another VM takes over, though requests need no
-/// orders. So it keeps the workers that nobody else has, without orders.
+/// Failure: a VM that is partitioned from the store loses its lease, and its
+/// workers' adapters are unused until another VM takes over, although requests
+/// need no orders. So the VM keeps the workers that no other VM owns, without
+/// the permission to issue orders.
 void ownership_runner::publish_grants(bool lease_holds)
 {
     std::map<worker_id, order_grant> grants = grants_;
@@ -259,9 +264,9 @@
         if (vm_id const owner = keeper_.owner_of(worker);
             owner != options_.keeper.vm && keeper_.member(owner) != nullptr)
             others.emplace(worker, owner);
-    if (others != others_)
+    if (others != other_owners_)
     {
-        others_ = others;
+        other_owners_ = others;
         listener_.on_owners(std::move(others));
     }
 }
@@ -293,8 +298,8 @@
         { asio::post(io_, [this, what, reply] { on_written(what, reply); }); });
 }
 
-/// The store answers a write with the version that all its rows have now, and
-/// a conflict with those rows of the conditions that exist.
+/// The store answers a successful write with the version that all written rows
+/// now have, and a conflict with those rows of the conditions that exist.
 void ownership_runner::on_written(transact const& what,
                                   store_reply const& reply)
 {
@@ -331,9 +336,10 @@
         });
 }
 
-/// Failure: rows that were read before this VM registered show too few members
-/// and it takes workers that are not its share, so for a while after it
-/// registered only rows as of the scan will do. One that owns none takes none.
+/// Failure: rows that were read before this VM registered show too few members,
+/// so this VM acquires workers beyond its share. So for a while after
+/// registration, a scan needs rows as of the scan itself. A VM to which no
+/// workers are assigned acquires none and needs no such rows.
 bool ownership_runner::requires_current_rows(time_point now)
 {
     if (!keeper_.registered())
@@ -346,7 +352,7 @@
            now < registered_at_ + options_.keeper.heartbeat * strict_heartbeats;
 }
 
-/// Scans that are asked for together are answered from one reading.
+/// Scans that are requested together are answered from one refresh.
 void ownership_runner::run(std::vector<scan_rows> scans)
 {
     bool const strict = requires_current_rows(boot_clock::now());
--- a/src/ownership_runner.hpp
+++ b/src/ownership_runner.hpp
@@ -1,4 +1,5 @@
-/// Runs membership and ownership against the metadata store.
+/// Runs the ownership_keeper, which decides on membership and ownership,
+/// against the metadata store.
 #ifndef MULBERRY_OWNERSHIP_RUNNER_HPP
 #define MULBERRY_OWNERSHIP_RUNNER_HPP
 
@@ -24,21 +25,21 @@
 struct ownership_run_options
 {
     ownership_settings keeper;
-    /// The least time between orders of two owners to one worker: an engine
-    /// that does not check fencing tokens carries out whatever arrives, so the
-    /// owners keep apart in time.
+    /// Minimum time between the orders of two owners to one worker: an engine
+    /// that does not check fencing tokens executes every order that arrives, so
+    /// the orders of two owners are kept apart in time.
     duration order_gap = std::chrono::milliseconds(3000);
     /// This VM registers once the workers and all own rows are known, so that
-    /// one write does, or that long after its start.
+    /// one write is enough, but at the latest this long after its start.
     duration start_wait{};
 };
 
-/// Told about what changed. Called on the runner's thread.
+/// Callbacks for changes. Called on the runner's thread.
 struct ownership_listener
 {
     std::function<void(std::map<worker_id, order_grant>)> on_grants;
     std::function<void(std::vector<member_view>)> on_members;
-    /// Of the workers that other VMs own.
+    /// The owners of the workers that other VMs own.
     std::function<void(std::map<worker_id, vm_id>)> on_owners;
 };
 
@@ -52,9 +53,11 @@
                      ownership_listener listener);
 
     void start();
-    /// The workers that take orders, as listed.
+    /// Sets the workers that accept orders, as listed in the registry.
     void set_workers(std::vector<backend_entry> const& workers);
-    /// Whether this VM may give the worker orders at this moment.
+    /// Whether this VM may issue orders to the worker now: this VM owns the
+    /// worker, holds its lease and has waited for the order gap where one is
+    /// needed.
     bool may_order(worker_id const& worker) const;
     bool registered() const { return keeper_.registered(); }
     /// See ownership_keeper::stands_by().
@@ -93,24 +96,24 @@
     ownership_keeper keeper_;
     asio::steady_timer timer_;
     std::set<worker_id> declared_;
-    /// What a worker's row said. Value.
+    /// The owner that a worker's row named, and the row's version. Value.
     struct recorded_owner
     {
-        /// Empty for nobody.
+        /// Empty if the worker had no owner.
         vm_id vm;
         row_version version;
     };
-    /// By fencing number.
+    /// For each worker, by fencing number.
     std::map<worker_id, std::map<fencing_number, recorded_owner>>
         recorded_owners_;
     std::map<worker_id, order_grant> grants_;
     std::vector<member_view> members_;
-    std::map<worker_id, vm_id> others_;
+    std::map<worker_id, vm_id> other_owners_;
     bool keeper_started_ = false;
     bool workers_known_ = false;
     time_point keeper_start_deadline_ = never;
     bool held_lease_ = false;
-    /// When this VM was seen to have registered.
+    /// When this VM first noticed that it is registered.
     time_point registered_at_ = never;
 };
 
--- a/tests/ownership_runner_test.cpp
+++ b/tests/ownership_runner_test.cpp
@@ -31,12 +31,13 @@
     return entry;
 }
 
-/// A VM's ownership against a store in this process. Each start is another
-/// process of the VM.
-class runner_world
+/// A VM's ownership_runner with a store in this process. Each start() simulates
+/// a new process of the VM.
+class runner_simulation
 {
 public:
-    explicit runner_world(std::string named = "vm-a") : name_(std::move(named))
+    explicit runner_simulation(std::string named = "vm-a")
+        : name_(std::move(named))
     {
     }
 
@@ -48,8 +49,8 @@
         vm_->runner.start();
         REQUIRE(until([this] { return vm_->runner.registered(); }));
     }
-    /// The workers are known before the rows are.
-    void start_informed()
+    /// Starts with the workers known before the rows are read.
+    void start_with_workers()
     {
         grant_.reset();
         start_wait_ = generous_wait;
@@ -59,15 +60,15 @@
         vm_->mirror.start();
         REQUIRE(until([this] { return vm_->runner.registered(); }));
     }
-    /// What it was about to do is dropped, as with a process.
+    /// Ends the simulated process; its pending work is dropped.
     void kill()
     {
         store.close();
         vm_.reset();
     }
     void list() { vm_->runner.set_workers({listed_worker()}); }
-    /// How long after the worker was gained orders may be given.
-    duration gained_with()
+    /// How long after the worker was acquired orders may be issued.
+    duration order_delay()
     {
         REQUIRE(until([this] { return grant_.has_value(); }));
         return grant_->orders_from - gained_at_;
@@ -77,7 +78,7 @@
         time_point const end = boot_clock::now() + span;
         until([end] { return boot_clock::now() >= end; });
     }
-    /// Another VM writes the worker's row, as an owner that hands it over does.
+    /// Writes the worker's row as another VM does that hands the worker over.
     void hand_over_to(vm_life const& owner, std::uint64_t fence)
     {
         worker_row row;
@@ -112,7 +113,7 @@
         row_mirror mirror;
         ownership_runner runner;
 
-        vm_process(runner_world& world, std::uint64_t seed)
+        vm_process(runner_simulation& world, std::uint64_t seed)
             : pool(io),
               mirror(io, world.store, pool, {}, log,
                      {[](row_set, std::vector<stored_row> const&) {}}),
@@ -170,74 +171,76 @@
 
 } // namespace
 
-// A VM has had its worker for long, is killed and starts again. Nobody else
-// ordered the worker meanwhile, so that its orders go on at once.
-TEST_CASE("a VM that restarts orders its workers at once", "[ownership_runner]")
+// A VM that has owned its worker for long is killed and restarts. No other VM
+// issued orders to the worker meanwhile, so the VM may issue orders at once.
+TEST_CASE("a restarted VM may issue orders to its workers at once",
+          "[ownership_runner]")
 {
-    runner_world world;
+    runner_simulation world;
     world.start();
     world.list();
-    CHECK(world.gained_with() <= 0ms);
+    CHECK(world.order_delay() <= 0ms);
     world.pass(4 * gap);
     world.kill();
     world.start();
     world.list();
-    CHECK(world.gained_with() <= 0ms);
+    CHECK(world.order_delay() <= 0ms);
 }
 
-// A VM restarts. Another VM, which has not heard of that yet, hands it a worker
-// as the life before. The worker's row names the VM that takes it, but the
-// other VM gave its last order a moment ago: no order goes out before the gap.
-TEST_CASE("a worker that was handed to a life before waits for the gap",
+// A VM restarts. Another VM, which has not learned of the restart yet, hands a
+// worker over to the previous incarnation. The worker's row names the restarted
+// VM, but the other VM issued its last order a moment ago, so no order may be
+// issued before the gap is over.
+TEST_CASE("a worker handed to a previous incarnation waits for the gap",
           "[ownership_runner]")
 {
-    runner_world world;
+    runner_simulation world;
     world.start();
     world.pass(4 * gap);
     world.kill();
     world.start();
     world.hand_over_to({vm_id("vm-a"), incarnation(1)}, 5);
     world.list();
-    CHECK(world.gained_with() > gap / 2);
+    CHECK(world.order_delay() > gap / 2);
 }
 
-// The same, but the VM was killed right after it was given the worker, and
-// starts again within the gap.
-TEST_CASE("a worker that was given just before a restart waits for the gap",
+// As above, but the VM was killed right after the worker was handed over, and
+// restarts within the gap.
+TEST_CASE("a worker handed over just before a restart waits for the gap",
           "[ownership_runner]")
 {
-    runner_world world;
+    runner_simulation world;
     world.start();
     world.pass(4 * gap);
     world.hand_over_to({vm_id("vm-a"), incarnation(1)}, 5);
     world.kill();
     world.start();
     world.list();
-    CHECK(world.gained_with() > gap / 2);
+    CHECK(world.order_delay() > gap / 2);
 }
 
-// All VMs start at once, and the table takes so many writes a second. A VM that
-// has read the rows registers with a single one; without them it asks for its
-// own row first, and its workers have no owner for that long.
-TEST_CASE("a VM that restarts registers with one write", "[ownership_runner]")
+// All VMs start at once, and the store's write rate is limited. A VM that has
+// read the rows registers with a single write; otherwise it reads its own row
+// first, and its workers have no owner for that long.
+TEST_CASE("a restarted VM registers with one write", "[ownership_runner]")
 {
-    runner_world world;
+    runner_simulation world;
     world.start();
     world.list();
-    world.gained_with();
+    world.order_delay();
     world.kill();
     std::size_t const before = world.store.transactions();
-    world.start_informed();
+    world.start_with_workers();
     CHECK(world.store.transactions() == before + 1);
 }
 
-// A worker's owner lapsed. Where it had the worker for long, it stopped giving
-// orders a gap before its lease was over; where it was given the worker a
-// moment before, the VM that gave it may just have ordered.
-TEST_CASE("a worker of a VM that lapsed waits if it was given lately",
+// The lease of a worker's owner lapsed. An owner that had the worker for long
+// stopped issuing orders a gap before its lease ended. If the worker was handed
+// to that owner just before, the previous owner may just have issued an order.
+TEST_CASE("a worker of a lapsed VM waits for the gap if handed over recently",
           "[ownership_runner]")
 {
-    runner_world world;
+    runner_simulation world;
     bool const lately = GENERATE(false, true);
     CAPTURE(lately);
     world.write_member("vm-b", member_state::live);
@@ -249,7 +252,7 @@
     world.write_member("vm-b", member_state::expired);
     world.list();
     if (lately)
-        CHECK(world.gained_with() > gap / 2);
+        CHECK(world.order_delay() > gap / 2);
     else
-        CHECK(world.gained_with() <= 0ms);
+        CHECK(world.order_delay() <= 0ms);
 }
