--- a/bench/trial_fleet.cpp
+++ b/bench/trial_fleet.cpp
@@ -80,7 +80,7 @@
         /// The owner's ticket that it was granted under.
         std::optional<std::pair<std::size_t, ticket_id>> grant;
     };
-    struct peer_ask
+    struct peer_grant_request
     {
         std::size_t asker = 0;
         ticket_id ticket;
@@ -147,7 +147,7 @@
     std::map<worker_id, std::size_t> places_;
     std::map<vm_id, std::size_t> vm_places_;
     std::unordered_map<ticket_id, open_request> open_;
-    std::unordered_map<ticket_id, peer_ask> asks_;
+    std::unordered_map<ticket_id, peer_grant_request> asks_;
     /// The owner's ticket of a question, by the asker's.
     std::unordered_map<ticket_id, ticket_id> asked_;
     std::vector<tally> tallies_;
@@ -459,7 +459,7 @@
     ++result_.questions;
     std::size_t const owner = index_of(question.owner);
     ticket_id const at_owner = next_ticket();
-    asks_.emplace(at_owner, peer_ask{index, question.ticket});
+    asks_.emplace(at_owner, peer_grant_request{index, question.ticket});
     asked_[question.ticket] = at_owner;
     work_item item;
     item.ticket = at_owner;
@@ -512,7 +512,7 @@
     auto const found = asks_.find(at_owner);
     if (found == asks_.end())
         return;
-    peer_ask const asked = found->second;
+    peer_grant_request const asked = found->second;
     asks_.erase(found);
     queue_.after(
         hop,
--- a/src/ownership_runner.cpp
+++ b/src/ownership_runner.cpp
@@ -66,7 +66,7 @@
     if (std::exchange(keeper_started_, true))
         return;
     action_list actions;
-    if (mirror_.read(row_set::own))
+    if (mirror_.has_read(row_set::own))
     {
         std::vector<table_row> known;
         for (stored_row const& row : mirror_.rows(row_set::own))
@@ -104,7 +104,7 @@
 
 bool ownership_runner::has_initial_rows() const
 {
-    return workers_known_ && mirror_.read(row_set::own);
+    return workers_known_ && mirror_.has_read(row_set::own);
 }
 
 bool ownership_runner::may_order(worker_id const& worker) const
--- a/src/peer_ask.cpp
+++ b/src/peer_grant_request.cpp
@@ -1,4 +1,4 @@
-#include "peer_ask.hpp"
+#include "peer_grant_request.hpp"
 
 #include "json_text.hpp"
 
@@ -11,12 +11,12 @@
 namespace
 {
 
-constexpr std::uint64_t longest_wait_ms = 600'000;
-constexpr std::size_t most_done = 100'000;
-constexpr std::size_t most_crashes = 10'000;
+constexpr std::uint64_t max_wait_ms = 600'000;
+constexpr std::size_t max_completions = 100'000;
+constexpr std::size_t max_crashes = 10'000;
 constexpr Json::ArrayIndex crash_fields = 5;
 /// Of one prompt; more than any engine's memory.
-constexpr std::uint64_t most_tokens = 100'000'000;
+constexpr std::uint64_t max_prompt_tokens = 100'000'000;
 
 Json::Int64 whole_ms(duration span)
 {
@@ -26,10 +26,10 @@
 duration parse_ms(Json::Value const& json)
 {
     return std::chrono::milliseconds(
-        json.isUInt64() ? std::min(json.asUInt64(), longest_wait_ms) : 0);
+        json.isUInt64() ? std::min(json.asUInt64(), max_wait_ms) : 0);
 }
 
-Json::Value ask_json(peer_ask const& ask)
+Json::Value grant_request_json(peer_grant_request const& ask)
 {
     Json::Value json;
     json["service"] = ask.service.str();
@@ -47,8 +47,8 @@
     }
     if (ask.objective_left)
         json["objective_ms"] = whole_ms(*ask.objective_left);
-    if (ask.begins_elsewhere)
-        json["elsewhere_ms"] = whole_ms(*ask.begins_elsewhere);
+    if (ask.start_delay_elsewhere)
+        json["elsewhere_ms"] = whole_ms(*ask.start_delay_elsewhere);
     for (worker_id const& each : ask.excluded)
         json["excluded"].append(each.str());
     return json;
@@ -86,18 +86,18 @@
     return true;
 }
 
-std::optional<peer_ask> parse_ask(Json::Value const& json)
+std::optional<peer_grant_request> parse_grant_request(Json::Value const& json)
 {
-    peer_ask ask;
+    peer_grant_request ask;
     ask.service = service_id(text_or(json, "service", ""));
     ask.worker = worker_id(text_or(json, "worker", ""));
     ask.target = {base_model_id(text_or(json, "model", "")),
                   adapter_id(text_or(json, "adapter", ""))};
     ask.priority = json["priority"].isInt() ? json["priority"].asInt() : 0;
     ask.time_left = std::chrono::milliseconds(
-        std::min(number_or(json, "left_ms", 0), longest_wait_ms));
+        std::min(number_or(json, "left_ms", 0), max_wait_ms));
     ask.prompt_tokens = static_cast<std::uint32_t>(
-        std::min(number_or(json, "tokens", 0), most_tokens));
+        std::min(number_or(json, "tokens", 0), max_prompt_tokens));
     Json::Value const& prefix = json["prefix"];
     if (prefix.isArray() && prefix.size() == 2 && prefix[0].isUInt64() &&
         prefix[1].isUInt())
@@ -105,7 +105,7 @@
     if (json.isMember("objective_ms"))
         ask.objective_left = parse_ms(json["objective_ms"]);
     if (json.isMember("elsewhere_ms"))
-        ask.begins_elsewhere = parse_ms(json["elsewhere_ms"]);
+        ask.start_delay_elsewhere = parse_ms(json["elsewhere_ms"]);
     ask.request = request_id(text_or(json, "request", ""));
     if (!parse_excluded(json["excluded"], ask.excluded))
         return std::nullopt;
@@ -145,8 +145,7 @@
     Json::Value const& seen = json["crashes"];
     Json::Value const& answered = json["answered"];
     for (Json::Value const* list : {&seen, &answered})
-        if (!list->isNull() &&
-            (!list->isArray() || list->size() > most_crashes))
+        if (!list->isNull() && (!list->isArray() || list->size() > max_crashes))
             return false;
     for (Json::Value const& each : seen)
     {
@@ -171,8 +170,8 @@
 {
     Json::Value json(Json::objectValue);
     if (message.ask)
-        json = ask_json(*message.ask);
-    for (peer_done const& done : message.done)
+        json = grant_request_json(*message.ask);
+    for (peer_completion const& done : message.done)
     {
         Json::Value pair(Json::arrayValue);
         pair.append(Json::UInt64(done.grant));
@@ -198,12 +197,12 @@
     peer_call message;
     if (json->isMember("worker"))
     {
-        message.ask = parse_ask(*json);
+        message.ask = parse_grant_request(*json);
         if (!message.ask)
             return std::nullopt;
     }
     Json::Value const& done = (*json)["done"];
-    if (!done.isNull() && (!done.isArray() || done.size() > most_done))
+    if (!done.isNull() && (!done.isArray() || done.size() > max_completions))
         return std::nullopt;
     for (Json::Value const& pair : done)
     {
--- a/src/peer_ask.hpp
+++ b/src/peer_grant_request.hpp
@@ -15,8 +15,8 @@
 /// and the worker has room, or when that is not to be. A call without a worker
 /// only tells what is over and which requests were in progress at workers that
 /// crashed; see crash_keeper.hpp.
-#ifndef MULBERRY_PEER_ASK_HPP
-#define MULBERRY_PEER_ASK_HPP
+#ifndef MULBERRY_PEER_GRANT_REQUEST_HPP
+#define MULBERRY_PEER_GRANT_REQUEST_HPP
 
 #include "crash_keeper.hpp"
 #include "ids.hpp"
@@ -36,7 +36,7 @@
 inline constexpr char const* peer_path = "/peer";
 
 /// May I send a request for this adapter to this worker? Value.
-struct peer_ask
+struct peer_grant_request
 {
     service_id service;
     worker_id worker;
@@ -54,23 +54,25 @@
     std::optional<duration> objective_left;
     /// After how long it would begin at another worker that the VM knows of;
     /// absent if there is none.
-    std::optional<duration> begins_elsewhere;
-    friend bool operator==(peer_ask const&, peer_ask const&) = default;
+    std::optional<duration> start_delay_elsewhere;
+    friend bool operator==(peer_grant_request const&,
+                           peer_grant_request const&) = default;
 };
 
 /// A request that was sent under a grant is over. Value.
-struct peer_done
+struct peer_completion
 {
     std::uint64_t grant = 0;
     /// How it ended at its worker, as the VM saw that sent it.
     send_outcome outcome = send_outcome::served;
-    friend bool operator==(peer_done const&, peer_done const&) = default;
+    friend bool operator==(peer_completion const&,
+                           peer_completion const&) = default;
 };
 
 struct peer_call
 {
-    std::optional<peer_ask> ask;
-    std::vector<peer_done> done;
+    std::optional<peer_grant_request> ask;
+    std::vector<peer_completion> done;
     /// Moments are told as ages: the clocks of two VMs have different epochs.
     crash_news crashes;
     friend bool operator==(peer_call const&, peer_call const&) = default;
--- a/src/peer_rows.cpp
+++ b/src/peer_rows.cpp
@@ -11,10 +11,10 @@
 namespace
 {
 
-constexpr std::uint64_t longest_wait_ms = 60'000;
+constexpr std::uint64_t max_wait_ms = 60'000;
 /// An hour: older is as good as never.
-constexpr std::uint64_t longest_age_ms = 3'600'000;
-constexpr Json::Int64 longest_proof_ms = longest_age_ms;
+constexpr std::uint64_t max_age_ms = 3'600'000;
+constexpr Json::Int64 max_proof_age_ms = max_age_ms;
 constexpr Json::ArrayIndex row_fields = 4;
 
 Json::Value row_json(stored_row const& row)
@@ -57,21 +57,21 @@
                       json[3].isNull()};
 }
 
-Json::Value news_json(row_set_changes const& news)
+Json::Value news_json(row_set_changes const& changes)
 {
     Json::Value json;
-    json["read"] = news.read;
-    json["version"] = Json::UInt64(news.version.value());
+    json["read"] = changes.read;
+    json["version"] = Json::UInt64(changes.version.value());
     json["age_ms"] = Json::Int64(
-        std::chrono::ceil<std::chrono::milliseconds>(news.age).count());
-    if (news.proven_before)
+        std::chrono::ceil<std::chrono::milliseconds>(changes.age).count());
+    if (changes.proven_before)
         json["proven_before_ms"] = Json::Int64(
-            std::chrono::ceil<std::chrono::milliseconds>(*news.proven_before)
+            std::chrono::ceil<std::chrono::milliseconds>(*changes.proven_before)
                 .count());
-    json["whole"] = news.whole;
-    json["incomplete"] = news.incomplete;
+    json["whole"] = changes.is_snapshot;
+    json["incomplete"] = changes.incomplete;
     json["rows"] = Json::arrayValue;
-    for (stored_row const& row : news.rows)
+    for (stored_row const& row : changes.rows)
         json["rows"].append(row_json(row));
     return json;
 }
@@ -82,25 +82,25 @@
         !json["version"].isUInt64() || !json["age_ms"].isUInt64() ||
         !json["whole"].isBool() || !json["rows"].isArray())
         return std::nullopt;
-    row_set_changes news;
-    news.read = json["read"].asBool();
-    news.version = row_version(json["version"].asUInt64());
-    news.age = std::chrono::milliseconds(
-        std::min(json["age_ms"].asUInt64(), longest_age_ms));
+    row_set_changes changes;
+    changes.read = json["read"].asBool();
+    changes.version = row_version(json["version"].asUInt64());
+    changes.age = std::chrono::milliseconds(
+        std::min(json["age_ms"].asUInt64(), max_age_ms));
     if (json["proven_before_ms"].isInt64())
-        news.proven_before = std::chrono::milliseconds(
-            std::clamp(json["proven_before_ms"].asInt64(), -longest_proof_ms,
-                       longest_proof_ms));
-    news.whole = json["whole"].asBool();
-    news.incomplete = json.get("incomplete", false) == true;
+        changes.proven_before = std::chrono::milliseconds(
+            std::clamp(json["proven_before_ms"].asInt64(), -max_proof_age_ms,
+                       max_proof_age_ms));
+    changes.is_snapshot = json["whole"].asBool();
+    changes.incomplete = json.get("incomplete", false) == true;
     for (Json::Value const& each : json["rows"])
     {
         auto row = parse_row(each);
         if (!row)
             return std::nullopt;
-        news.rows.push_back(std::move(*row));
+        changes.rows.push_back(std::move(*row));
     }
-    return news;
+    return changes;
 }
 
 } // namespace
@@ -138,15 +138,15 @@
         query.after.at(index) = row_version(after[index].asUInt64());
     }
     query.wait = std::chrono::milliseconds(
-        std::min((*json)["wait_ms"].asUInt64(), longest_wait_ms));
+        std::min((*json)["wait_ms"].asUInt64(), max_wait_ms));
     return query;
 }
 
 std::string encode_rows_answer(rows_answer const& answer)
 {
     Json::Value json;
-    for (row_set_changes const& news : answer)
-        json["sets"].append(news_json(news));
+    for (row_set_changes const& changes : answer)
+        json["sets"].append(news_json(changes));
     return to_text(json);
 }
 
@@ -161,10 +161,10 @@
     rows_answer answer;
     for (Json::ArrayIndex index = 0; index < sets.size(); ++index)
     {
-        auto news = parse_news(sets[index]);
-        if (!news)
+        auto changes = parse_news(sets[index]);
+        if (!changes)
             return std::nullopt;
-        answer.at(index) = std::move(*news);
+        answer.at(index) = std::move(*changes);
     }
     return answer;
 }
--- a/src/peer_rows.hpp
+++ b/src/peer_rows.hpp
@@ -48,7 +48,7 @@
     /// How long ago the store was asked for what this shows.
     duration age{};
     /// All rows there are, in place of those that changed.
-    bool whole = false;
+    bool is_snapshot = false;
     /// Large rows are left out, so that the set is not known up to `version`;
     /// the store has them.
     bool incomplete = false;
--- a/src/registry_watch.cpp
+++ b/src/registry_watch.cpp
@@ -28,16 +28,16 @@
     for (stored_row const& row : rows)
     {
         if (row.kind == row_kind::worker)
-            take_worker(row, now, trusted_at);
+            on_worker_row(row, now, trusted_at);
         else if (row.kind == row_kind::configuration ||
                  row.kind == row_kind::adapter_release)
-            take_declaration(row, now);
+            on_declaration(row, now);
     }
     if (set == row_set::workers)
         publish_workers(now);
 }
 
-void registry_watch::take_declaration(stored_row const& row, time_point now)
+void registry_watch::on_declaration(stored_row const& row, time_point now)
 {
     if (row.deleted)
         return;
@@ -56,29 +56,29 @@
         return listener_.on_config(
             std::make_shared<routing_config const>(std::move(*config)));
     }
-    take_malformed("malformed declaration", row, fault, now);
+    on_malformed_row("malformed declaration", row, fault, now);
 }
 
 /// Failure: the store is away and entries lapse, though their workers live.
 /// Symptom: on its return every worker looks gone for the seconds until it has
 /// written its entry again, and requests are refused. An entry that goes
 /// missing then is kept until the grace is over.
-void registry_watch::take_worker(stored_row const& row, time_point now,
-                                 time_point trusted_at)
+void registry_watch::on_worker_row(stored_row const& row, time_point now,
+                                   time_point trusted_at)
 {
     auto const known = listed_.find(row.key);
     if (known != listed_.end() && row.version < known->second.version)
         return;
     if (row.deleted)
-        return drop_worker(row.key, now, trusted_at);
+        return on_worker_deleted(row.key, now, trusted_at);
     std::string fault;
     auto entry = codec_.decode_backend(row.key, row.value, fault);
     if (!entry)
     {
         // Another writer's: it names no worker. One that it named before
         // writes its entry again, or is gone.
-        take_malformed("malformed worker entry", row, fault, now);
-        return drop_worker(row.key, now, now + lapse_grace);
+        on_malformed_row("malformed worker entry", row, fault, now);
+        return on_worker_deleted(row.key, now, now + lapse_grace);
     }
     if (known != listed_.end() && known->second.entry == *entry &&
         known->second.lapses_at == never)
@@ -90,8 +90,8 @@
     listed_[row.key] = {std::move(*entry), row.version, never};
 }
 
-void registry_watch::drop_worker(std::string const& key, time_point now,
-                                 time_point trusted_at)
+void registry_watch::on_worker_deleted(std::string const& key, time_point now,
+                                       time_point trusted_at)
 {
     auto const known = listed_.find(key);
     if (known == listed_.end())
@@ -109,9 +109,9 @@
     }
 }
 
-void registry_watch::take_malformed(std::string_view event,
-                                    stored_row const& row,
-                                    std::string const& fault, time_point now)
+void registry_watch::on_malformed_row(std::string_view event,
+                                      stored_row const& row,
+                                      std::string const& fault, time_point now)
 {
     row_version& seen = malformed_[row.key];
     if (row.version <= seen)
--- a/src/registry_watch.hpp
+++ b/src/registry_watch.hpp
@@ -59,13 +59,13 @@
         time_point lapses_at = never;
     };
 
-    void take_worker(stored_row const& row, time_point now,
-                     time_point trusted_at);
-    void take_malformed(std::string_view event, stored_row const& row,
-                        std::string const& fault, time_point now);
-    void drop_worker(std::string const& key, time_point now,
-                     time_point trusted_at);
-    void take_declaration(stored_row const& row, time_point now);
+    void on_worker_row(stored_row const& row, time_point now,
+                       time_point trusted_at);
+    void on_malformed_row(std::string_view event, stored_row const& row,
+                          std::string const& fault, time_point now);
+    void on_worker_deleted(std::string const& key, time_point now,
+                           time_point trusted_at);
+    void on_declaration(stored_row const& row, time_point now);
     void publish_workers(time_point now);
 
     relay_codec const& codec_;
--- a/src/relay.cmake
+++ b/src/relay.cmake
@@ -22,18 +22,18 @@
 # The relay: callers' requests in, workers' answers out.
 mulberry_library(mulberry_relay
   SOURCES backend_pool.cpp collected_exchange.cpp crash_row.cpp crash_watch.cpp event_log.cpp event_splitter.cpp
-          ownership_runner.cpp peer_allotment.cpp peer_ask.cpp peer_rows.cpp registry_watch.cpp relay.cpp relay_admission.cpp
+          ownership_runner.cpp peer_allotment.cpp peer_grant_request.cpp peer_rows.cpp registry_watch.cpp relay.cpp relay_admission.cpp
           relay_daemon.cpp
           relay_exchange.cpp relay_metrics.cpp relay_orders.cpp
           relay_peers.cpp relay_settings.cpp relay_teams.cpp row_mirror.cpp
           row_mirror_peers.cpp store_meter.cpp team_key.cpp
-          worker_essence.cpp
+          worker_row_projection.cpp
   LINK mulberry_scheduling mulberry_ownership mulberry_net mulberry_shell)
 target_compile_definitions(mulberry_relay PUBLIC ASIO_STANDALONE)
 mulberry_test(relay_test
   SOURCES backend_pool_test.cpp crash_row_test.cpp event_log_test.cpp event_splitter_test.cpp
           memory_row_store.cpp ownership_runner_test.cpp peer_allotment_test.cpp
-          peer_ask_test.cpp peer_rows_test.cpp
+          peer_grant_request_test.cpp peer_rows_test.cpp
           registry_watch_test.cpp relay_settings_test.cpp relay_start_test.cpp relay_teams_test.cpp row_mirror_test.cpp
           store_meter_test.cpp team_key_test.cpp
   LINK mulberry_relay
--- a/src/relay.hpp
+++ b/src/relay.hpp
@@ -8,7 +8,7 @@
 #include "event_log.hpp"
 #include "latency_meter.hpp"
 #include "ownership_keeper.hpp"
-#include "peer_ask.hpp"
+#include "peer_grant_request.hpp"
 #include "relay_exchange.hpp"
 #include "retry_allowance.hpp"
 #include "route_table.hpp"
@@ -112,7 +112,7 @@
     {
         crashes_.on_rows(rows);
     }
-    /// Takes a call of another VM; see peer_ask.hpp.
+    /// Takes a call of another VM; see peer_grant_request.hpp.
     void handle_peer(http_request const& received,
                      std::shared_ptr<http_answer> answer);
 
@@ -171,7 +171,7 @@
     struct peer_link
     {
         backend_address address;
-        std::vector<peer_done> done;
+        std::vector<peer_completion> done;
     };
     /// A grant that one of this VM's requests was sent under.
     struct held_grant
--- a/src/relay_daemon.cpp
+++ b/src/relay_daemon.cpp
@@ -10,7 +10,7 @@
 #include "relay.hpp"
 #include "row_mirror.hpp"
 #include "store_meter.hpp"
-#include "worker_essence.hpp"
+#include "worker_row_projection.hpp"
 
 #include <asio/io_context.hpp>
 #include <asio/post.hpp>
@@ -128,12 +128,12 @@
     options.domain = value.domain;
     options.declaration_wait = value.configuration_bound;
     if (value.keys.revocation > duration(0))
-        options.oldest_declarations = value.keys.revocation * 3 / 4;
-    options.answer_time = value.configuration_bound * 3 / 10;
+        options.max_declaration_age = value.keys.revocation * 3 / 4;
+    options.answer_timeout = value.configuration_bound * 3 / 10;
     options.worker_interval = value.drain_bound / 2;
     options.own_interval = heartbeat_of(value);
-    options.worker_essence = [&codec](stored_row const& row)
-    { return worker_essence(codec, row); };
+    options.project_worker_row = [&codec](stored_row const& row)
+    { return project_worker_row(codec, row); };
     return options;
 }
 
@@ -280,8 +280,8 @@
 
 bool relay_process::registry_known() const
 {
-    return mirror_.read(row_set::declarations) &&
-           mirror_.read(row_set::workers);
+    return mirror_.has_read(row_set::declarations) &&
+           mirror_.has_read(row_set::workers);
 }
 
 registry_moment relay_process::registry_as_of() const
@@ -290,7 +290,7 @@
     // Just after the store's return entries may tell of lives that ended while
     // it was away, and that could not be written anew.
     bool const entries_renewed =
-        !mirror_.lost() && now >= mirror_.returned_at() + lapse_grace;
+        !mirror_.is_store_lost() && now >= mirror_.returned_at() + lapse_grace;
     return {mirror_.as_of(row_set::declarations, now),
             entries_renewed ? mirror_.as_of(row_set::workers, now)
                             : time_point()};
@@ -313,7 +313,7 @@
     if (set == row_set::own)
         relay_.on_own_rows(rows);
     time_point const now = boot_clock::now();
-    bool const away = mirror_.lost();
+    bool const away = mirror_.is_store_lost();
     registry_.on_rows(set, rows, now,
                       (away ? now : mirror_.returned_at()) + lapse_grace);
 }
--- a/src/relay_peers.cpp
+++ b/src/relay_peers.cpp
@@ -111,13 +111,13 @@
                              : std::nullopt;
     if (!message)
         return answer->respond({status_bad_request, {}, {}});
-    for (peer_done const& done : message->done)
+    for (peer_completion const& done : message->done)
         forget_peer_request(ticket_id(done.grant), done.outcome);
     if (!message->crashes.empty())
         crashes_.on_news(message->crashes);
     if (!message->ask)
         return answer->respond(json_response(status_ok, encode_peer_reply({})));
-    peer_ask const& ask = *message->ask;
+    peer_grant_request const& ask = *message->ask;
     service_state* const service = find(ask.service);
     if (service == nullptr || !service->engine)
         return answer->respond(json_response(status_ok, encode_peer_reply({})));
@@ -137,8 +137,8 @@
     item.prefix = ask.prefix;
     if (ask.objective_left)
         item.objective_at = at + *ask.objective_left;
-    if (ask.begins_elsewhere)
-        item.begins_elsewhere_at = at + *ask.begins_elsewhere;
+    if (ask.start_delay_elsewhere)
+        item.begins_elsewhere_at = at + *ask.start_delay_elsewhere;
     ticket_id const ticket = item.ticket;
     due_.set(ticket, item.give_up_at + grant_slack);
     peer_requests_[ticket] = {ask.service, answer, ask.request, ask.worker, at};
@@ -214,22 +214,22 @@
         return;
     }
     peer_call message;
-    message.ask = peer_ask{name,
-                           ask.worker,
-                           ask.target,
-                           ask.priority,
-                           ask.give_up_at - now(),
-                           found->second->request().id,
-                           ask.excluded,
-                           ask.prompt_tokens,
-                           ask.prefix,
-                           std::nullopt,
-                           std::nullopt};
+    message.ask = peer_grant_request{name,
+                                     ask.worker,
+                                     ask.target,
+                                     ask.priority,
+                                     ask.give_up_at - now(),
+                                     found->second->request().id,
+                                     ask.excluded,
+                                     ask.prompt_tokens,
+                                     ask.prefix,
+                                     std::nullopt,
+                                     std::nullopt};
     if (ask.objective_at != never)
         message.ask->objective_left =
             std::max<duration>(ask.objective_at - now(), duration(0));
     if (ask.begins_elsewhere_at != never)
-        message.ask->begins_elsewhere = ask.begins_elsewhere_at - now();
+        message.ask->start_delay_elsewhere = ask.begins_elsewhere_at - now();
     message.done = std::exchange(peer->second.done, {});
     collected_call call = call_to(peer->second.address, message);
     call.ends_at = [this, name, ticket = ask.ticket] {
--- a/src/row_mirror.cpp
+++ b/src/row_mirror.cpp
@@ -44,7 +44,7 @@
     : io_(io), store_(store), pool_(pool), options_(std::move(options)),
       log_(log), listener_(std::move(listener)),
       sets_{mirrored_set(io, row_set::declarations, {}),
-            mirrored_set(io, row_set::workers, options_.worker_essence),
+            mirrored_set(io, row_set::workers, options_.project_worker_row),
             mirrored_set(io, row_set::own, {})},
       choice_(options_.vm), reader_timer_(io), pending_timer_(io)
 {
@@ -77,8 +77,8 @@
 duration row_mirror::max_age(row_set set) const
 {
     if (set == row_set::declarations &&
-        options_.oldest_declarations > duration(0))
-        return options_.oldest_declarations;
+        options_.max_declaration_age > duration(0))
+        return options_.max_declaration_age;
     duration const interval = interval_of(set);
     return interval + interval / age_slack_part;
 }
@@ -176,7 +176,7 @@
     which.asking = true;
     which.asked_at = boot_clock::now();
     which.waits_for_change = false;
-    if (!which.whole)
+    if (!which.needs_full_read)
         return watch(which);
     which.pages.clear();
     read_page(which, "");
@@ -205,7 +205,7 @@
         waits_for_change ? options_.declaration_wait : duration(0);
     which.waits_for_change = wait > duration(0);
     store_.watch(which.set, which.copy.version(), wait,
-                 wait + options_.answer_time,
+                 wait + options_.answer_timeout,
                  [this, &which](store_reply reply)
                  {
                      asio::post(io_, [this, &which, reply = std::move(reply)]
@@ -250,7 +250,7 @@
         log_.notable("store dropped its history",
                      log_fields().add("version", which.copy.version().value()),
                      now);
-        which.whole = true;
+        which.needs_full_read = true;
         query_store(which);
         return false;
     }
@@ -302,7 +302,7 @@
     which.pages.insert(which.pages.end(), reply.rows.begin(), reply.rows.end());
     if (reply.truncated && !reply.rows.empty())
         return read_page(which, reply.rows.back().key);
-    which.whole = false;
+    which.needs_full_read = false;
     finish_read(
         which,
         which.copy.replace(std::exchange(which.pages, {}), which.first_page),
--- a/src/row_mirror.hpp
+++ b/src/row_mirror.hpp
@@ -42,7 +42,7 @@
     /// configuration must take effect, since each query costs the store a call.
     duration declaration_wait = std::chrono::milliseconds(2000);
     /// Time allowed for the store's answer beyond the wait.
-    duration answer_time = std::chrono::milliseconds(600);
+    duration answer_timeout = std::chrono::milliseconds(600);
     /// Polling interval of the workers' rows. Workers write heartbeats all the
     /// time, so a long poll would return at once and cost a call for each
     /// heartbeat. The interval is half of the bound on noticing a draining
@@ -52,11 +52,11 @@
     /// Maximum age of declarations that a reader may answer with; if they are
     /// older, the store is queried. 0 means one and a half times
     /// declaration_wait.
-    duration oldest_declarations{};
+    duration max_declaration_age{};
     /// Polling interval of the product's own rows.
     duration own_interval = std::chrono::milliseconds(2000);
     /// Projection of a worker's row to what other VMs act on; see row_replica.
-    row_copy::essence worker_essence;
+    row_copy::essence project_worker_row;
 };
 
 /// Called on the mirror's thread.
@@ -97,7 +97,7 @@
                std::shared_ptr<http_answer> answer);
 
     /// Whether a set has been read completely at least once.
-    bool read(row_set set) const { return at(set).copy.read(); }
+    bool has_read(row_set set) const { return at(set).copy.read(); }
     std::vector<stored_row> rows(row_set set) const
     {
         return at(set).copy.rows();
@@ -115,7 +115,7 @@
     /// rows on.
     time_point proven_as_of(row_set set) const { return at(set).proven_at; }
     /// Whether the store answers neither this VM nor its reader.
-    bool lost() const { return store_lost_; }
+    bool is_store_lost() const { return store_lost_; }
     /// When the store last answered again after an outage.
     time_point returned_at() const { return returned_at_; }
     /// Prometheus lines: the age of each set of rows, whether another VM reads
@@ -160,7 +160,7 @@
         std::vector<stored_row> pages;
         row_version first_page;
         time_point first_page_at{};
-        bool whole = true;
+        bool needs_full_read = true;
         /// Consecutive queries that the store did not answer.
         int failures = 0;
         /// After a failure, only this set is retried, on behalf of all sets.
--- a/src/row_mirror_peers.cpp
+++ b/src/row_mirror_peers.cpp
@@ -169,14 +169,15 @@
 {
     if (!changes.read || changes.age > max_age(which.set))
         return false;
-    if (changes.incomplete || (which.requested_beyond_copy() && !changes.whole))
+    if (changes.incomplete ||
+        (which.requested_beyond_copy() && !changes.is_snapshot))
     {
         apply_incomplete(which, changes);
         return true;
     }
     std::vector<stored_row> const changed =
-        changes.whole ? which.copy.replace(changes.rows, changes.version)
-                      : which.copy.apply(changes.rows, changes.version);
+        changes.is_snapshot ? which.copy.replace(changes.rows, changes.version)
+                            : which.copy.apply(changes.rows, changes.version);
     which.as_of = std::max(which.as_of, now - changes.age);
     if (changes.proven_before)
         which.proven_at = std::max(
@@ -242,7 +243,7 @@
         if (which.proven_at != time_point())
             changes.proven_before = arrived_at - which.proven_at;
         auto changed = which.copy.since(query.after.at(index));
-        changes.whole = !changed;
+        changes.is_snapshot = !changed;
         changes.rows = changed ? std::move(*changed) : which.copy.rows();
         if (!query.large_rows)
             changes.incomplete = std::erase_if(changes.rows, is_large) > 0;
--- a/src/worker_essence.cpp
+++ b/src/worker_row_projection.cpp
@@ -1,11 +1,11 @@
-#include "worker_essence.hpp"
+#include "worker_row_projection.hpp"
 
 #include <fmt/format.h>
 
 namespace mulberry
 {
 
-std::string worker_essence(relay_codec const& codec, stored_row const& row)
+std::string project_worker_row(relay_codec const& codec, stored_row const& row)
 {
     std::string fault;
     auto const entry = codec.decode_backend(row.key, row.value, fault);
--- a/src/worker_essence.hpp
+++ b/src/worker_row_projection.hpp
@@ -1,6 +1,6 @@
 /// What of a worker's row VMs act on that hear of it from another VM.
-#ifndef MULBERRY_WORKER_ESSENCE_HPP
-#define MULBERRY_WORKER_ESSENCE_HPP
+#ifndef MULBERRY_WORKER_ROW_PROJECTION_HPP
+#define MULBERRY_WORKER_ROW_PROJECTION_HPP
 
 #include "relay_codec.hpp"
 #include "row_store.hpp"
@@ -21,7 +21,7 @@
 /// version of the weights are part of it.
 ///
 /// The whole value of a row that names no worker. Thread safety: any thread.
-std::string worker_essence(relay_codec const& codec, stored_row const& row);
+std::string project_worker_row(relay_codec const& codec, stored_row const& row);
 
 } // namespace mulberry
 
--- a/tests/memory_row_store.cpp
+++ b/tests/memory_row_store.cpp
@@ -46,10 +46,10 @@
     return reply;
 }
 
-std::size_t memory_row_store::questions(row_set set) const
+std::size_t memory_row_store::reads_and_watches(row_set set) const
 {
-    auto const asked = questions_.find(set);
-    return asked == questions_.end() ? 0 : asked->second;
+    auto const asked = reads_and_watches_.find(set);
+    return asked == reads_and_watches_.end() ? 0 : asked->second;
 }
 
 bool memory_row_store::refused(store_callback const& done)
@@ -67,7 +67,7 @@
 void memory_row_store::read(row_set set, std::string const& prefix,
                             std::string const&, duration, store_callback done)
 {
-    ++questions_[set];
+    ++reads_and_watches_[set];
     if (refused(done))
         return;
     store_reply reply = changes(set, {});
@@ -79,7 +79,7 @@
 void memory_row_store::watch(row_set set, row_version after, duration wait,
                              duration, store_callback done)
 {
-    ++questions_[set];
+    ++reads_and_watches_[set];
     if (refused(done))
         return;
     store_reply const reply = changes(set, after);
--- a/tests/memory_row_store.hpp
+++ b/tests/memory_row_store.hpp
@@ -27,7 +27,7 @@
     std::size_t calls() const { return calls_; }
     std::size_t transactions() const { return transactions_; }
     /// Questions about one set.
-    std::size_t questions(mulberry::row_set set) const;
+    std::size_t reads_and_watches(mulberry::row_set set) const;
 
     void read(mulberry::row_set set, std::string const& prefix,
               std::string const& after, mulberry::duration time_limit,
@@ -60,7 +60,7 @@
     bool down_ = false;
     std::size_t calls_ = 0;
     std::size_t transactions_ = 0;
-    std::map<mulberry::row_set, std::size_t> questions_;
+    std::map<mulberry::row_set, std::size_t> reads_and_watches_;
 };
 
 } // namespace mulberry_test
--- a/tests/peer_ask_test.cpp
+++ b/tests/peer_grant_request_test.cpp
@@ -1,4 +1,4 @@
-#include "peer_ask.hpp"
+#include "peer_grant_request.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -18,17 +18,17 @@
 TEST_CASE("a call comes back as it was", "[peer_ask]")
 {
     peer_call call;
-    call.ask = peer_ask{service_id("llm"),
-                        worker_id("w1"),
-                        {base_model_id("base"), adapter_id("a1")},
-                        2,
-                        1500ms,
-                        request_id("r1"),
-                        {worker_id("w3"), worker_id("w4")},
-                        9190,
-                        {77, 6300},
-                        540ms,
-                        320ms};
+    call.ask = peer_grant_request{service_id("llm"),
+                                  worker_id("w1"),
+                                  {base_model_id("base"), adapter_id("a1")},
+                                  2,
+                                  1500ms,
+                                  request_id("r1"),
+                                  {worker_id("w3"), worker_id("w4")},
+                                  9190,
+                                  {77, 6300},
+                                  540ms,
+                                  320ms};
     call.done = {{7, send_outcome::served}, {8, send_outcome::silent}};
     time_point const now{1h};
     call.crashes.seen = {{request_digest("d1"),
--- a/tests/registry_watch_test.cpp
+++ b/tests/registry_watch_test.cpp
@@ -1,7 +1,7 @@
 #include "registry_watch.hpp"
 
 #include "row_mirror.hpp"
-#include "worker_essence.hpp"
+#include "worker_row_projection.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -107,7 +107,7 @@
     std::logic_error const unused{"not used by the registry"};
 };
 
-struct registry_world
+struct registry_fixture
 {
     plain_codec codec;
     std::vector<std::string> lines;
@@ -148,7 +148,7 @@
 
 TEST_CASE("only newer configurations are taken", "[registry_watch]")
 {
-    registry_world world;
+    registry_fixture world;
     for (char const* text : {"3", "2", "3", "?", "5"})
         world.declare(row_kind::configuration, text);
     CHECK(world.configs == std::vector<std::uint64_t>{3, 5});
@@ -159,7 +159,7 @@
 
 TEST_CASE("a worker's entry is told when it changes", "[registry_watch]")
 {
-    registry_world world;
+    registry_fixture world;
     world.worker("w", "llm", start, start);
     REQUIRE(world.workers);
     CHECK(world.workers->size() == 1);
@@ -182,7 +182,7 @@
 TEST_CASE("a row of another writer names no worker and is told once",
           "[registry_watch]")
 {
-    registry_world world;
+    registry_fixture world;
     world.worker("w", "llm", start, start);
     world.worker("v", "llm", start, start);
     std::vector<stored_row> const odd{
@@ -216,7 +216,7 @@
 TEST_CASE("a worker that leaves does not come back with an older row",
           "[registry_watch]")
 {
-    registry_world world;
+    registry_fixture world;
     world.worker("w", "llm", start, start);
     world.worker("w", "llm!", start, start);
     REQUIRE(world.workers->front().draining);
@@ -234,7 +234,7 @@
 TEST_CASE("entries that lapsed with the store are kept for a while",
           "[registry_watch]")
 {
-    registry_world world;
+    registry_fixture world;
     world.worker("w", "llm", start, start);
     world.worker("v", "llm!", start, start);
     time_point const trusted_at = start + 12s;
@@ -261,7 +261,7 @@
 TEST_CASE("an entry that lapsed with the store says nothing of weights",
           "[registry_watch]")
 {
-    registry_world world;
+    registry_fixture world;
     time_point const trusted_at = start + 12s;
     base_model_id const model("m");
     world.worker("w", "llm/1/7", start, start);
@@ -282,7 +282,7 @@
     plain_codec const codec;
     auto const essence = [&codec](std::string const& text)
     {
-        return worker_essence(
+        return project_worker_row(
             codec, {row_kind::worker, "w", row_version(1), text, false});
     };
     CHECK(essence("llm/1/7") == essence("llm/1/7"));
--- a/tests/row_mirror_test.cpp
+++ b/tests/row_mirror_test.cpp
@@ -69,7 +69,7 @@
         options.declaration_wait = 200ms;
         options.worker_interval = 60ms;
         options.own_interval = 100ms;
-        options.worker_essence = [](stored_row const& row)
+        options.project_worker_row = [](stored_row const& row)
         { return row.value.substr(0, row.value.find('/')); };
         return options;
     }
@@ -129,7 +129,7 @@
                 bool all = true;
                 for (auto const& vm : vms)
                     for (row_set const set : all_row_sets)
-                        all = all && vm->mirror.read(set);
+                        all = all && vm->mirror.has_read(set);
                 return all;
             }));
         std::vector<member_view> members;
@@ -290,8 +290,8 @@
                 all = all && vm->saw("drains/9");
             return all;
         }));
-    CHECK_FALSE(world.followers[0]->mirror.lost());
-    CHECK(world.reader[0]->mirror.lost());
+    CHECK_FALSE(world.followers[0]->mirror.is_store_lost());
+    CHECK(world.reader[0]->mirror.is_store_lost());
     CHECK(world.reader[0]->mirror.metrics().find(
               "mulberry_rows_age_seconds{set=\"workers\"}") !=
           std::string::npos);
@@ -337,11 +337,11 @@
         vm->store.set_down(true);
         vm->store.answer_watches();
     }
-    CHECK(all([](mirror_vm const& vm) { return vm.mirror.lost(); }));
+    CHECK(all([](mirror_vm const& vm) { return vm.mirror.is_store_lost(); }));
     time_point const back = boot_clock::now();
     for (auto const& vm : world.vms)
         vm->store.set_down(false);
-    CHECK(all([](mirror_vm const& vm) { return !vm.mirror.lost(); }));
+    CHECK(all([](mirror_vm const& vm) { return !vm.mirror.is_store_lost(); }));
     for (auto const& vm : world.vms)
         CHECK(vm->mirror.returned_at() >= back);
 }
@@ -356,12 +356,12 @@
     vm.store.answer_watches();
     std::map<row_set, std::size_t> before;
     for (row_set const set : all_row_sets)
-        before[set] = vm.store.questions(set);
+        before[set] = vm.store.reads_and_watches(set);
     std::size_t const calls = vm.store.calls();
     CHECK(world.until([&] { return vm.store.calls() >= calls + 8; }));
     std::size_t asked_on = 0;
     for (row_set const set : all_row_sets)
-        asked_on += vm.store.questions(set) > before[set] + 1;
+        asked_on += vm.store.reads_and_watches(set) > before[set] + 1;
     CHECK(asked_on == 1);
     vm.store.set_down(false);
     vm.store.put(row_set::workers, row_kind::worker, "w", "drains/9");
--- a/tests/store_meter_test.cpp
+++ b/tests/store_meter_test.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-bool tells(store_meter const& meter, std::string const& line)
+bool has_metric(store_meter const& meter, std::string const& line)
 {
     return meter.metrics().find("mulberry_" + line + "\n") != std::string::npos;
 }
@@ -31,11 +31,13 @@
     store.set_down(true);
     meter.read(row_set::workers, "", "", 1s, count);
     CHECK(answered == 4);
-    CHECK(tells(meter, R"(store_calls_total{call="read",outcome="done"} 1)"));
-    CHECK(
-        tells(meter, R"(store_calls_total{call="read",outcome="refused"} 1)"));
-    CHECK(tells(meter, R"(store_calls_total{call="watch",outcome="done"} 1)"));
-    CHECK(tells(meter,
-                R"(store_calls_total{call="transact",outcome="conflict"} 1)"));
-    CHECK(tells(meter, "store_rows_read_total 2"));
+    CHECK(has_metric(meter,
+                     R"(store_calls_total{call="read",outcome="done"} 1)"));
+    CHECK(has_metric(meter,
+                     R"(store_calls_total{call="read",outcome="refused"} 1)"));
+    CHECK(has_metric(meter,
+                     R"(store_calls_total{call="watch",outcome="done"} 1)"));
+    CHECK(has_metric(
+        meter, R"(store_calls_total{call="transact",outcome="conflict"} 1)"));
+    CHECK(has_metric(meter, "store_rows_read_total 2"));
 }
