--- a/src/peer_grant_request.cpp
+++ b/src/peer_grant_request.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t max_completions = 100'000;
 constexpr std::size_t max_crashes = 10'000;
 constexpr Json::ArrayIndex crash_fields = 5;
-/// Of one prompt; more than any engine's memory.
+/// Bound on the tokens of one prompt; more than fits in any engine's memory.
 constexpr std::uint64_t max_prompt_tokens = 100'000'000;
 
 Json::Int64 whole_ms(duration span)
--- a/src/peer_grant_request.hpp
+++ b/src/peer_grant_request.hpp
@@ -1,5 +1,6 @@
-/// What VMs say to each other: an entry VM asks the VM that gives a worker its
-/// orders to have an adapter there, and tells it when requests are over.
+/// Messages between an entry VM and the owner of a worker: the entry VM
+/// requests a grant to send a request for an adapter to the worker, and reports
+/// when requests have ended.
 ///
 ///   POST /peer   {"service", "worker", "model", "adapter", "priority",
 ///                 "left_ms", "request", "excluded": [ID, ...], "tokens": 9190,
@@ -11,10 +12,10 @@
 ///                 "answered": [DIGEST, ...]}
 ///   200          {"granted": true, "grant": N, "worker": ID, "version": N}
 ///
-/// The head of the answer comes at once, the rest when the adapter is there
-/// and the worker has room, or when that is not to be. A call without a worker
-/// only tells what is over and which requests were in progress at workers that
-/// crashed; see crash_keeper.hpp.
+/// The head of the answer is sent at once, the body when the adapter is loaded
+/// and the worker has capacity, or when the grant is refused. A call without a
+/// worker only reports which requests have ended and which were in progress at
+/// workers that crashed; see crash_replicator.hpp.
 #ifndef MULBERRY_PEER_GRANT_REQUEST_HPP
 #define MULBERRY_PEER_GRANT_REQUEST_HPP
 
@@ -35,35 +36,37 @@
 
 inline constexpr char const* peer_path = "/peer";
 
-/// May I send a request for this adapter to this worker? Value.
+/// Requests a grant to send one request for an adapter to a worker. Value.
 struct peer_grant_request
 {
     service_id service;
     worker_id worker;
     model_target target;
     int priority = 0;
-    /// How long the request may still wait; its receiver makes a deadline.
+    /// How long the request may still wait; the receiver converts this to a
+    /// deadline.
     duration time_left{};
-    /// The caller's id of the request, for the logs of both VMs.
+    /// The caller's id of the request, logged by both VMs.
     request_id request;
-    /// Workers that it may not be sent to: tried before.
+    /// Workers that were tried before and must not be chosen again.
     std::set<worker_id> excluded;
     std::uint32_t prompt_tokens = 0;
     shared_prefix prefix;
-    /// How long it may take to begin and be on time; 0 when that is over.
+    /// Time left until the request's service-level objective for its start; 0
+    /// if that is past, absent if there is no objective.
     std::optional<duration> objective_left;
-    /// After how long it would begin at another worker that the VM knows of;
-    /// absent if there is none.
+    /// Estimated delay until the request could start at another worker that the
+    /// sender knows of; absent if there is none.
     std::optional<duration> start_delay_elsewhere;
     friend bool operator==(peer_grant_request const&,
                            peer_grant_request const&) = default;
 };
 
-/// A request that was sent under a grant is over. Value.
+/// Reports that a request that was sent under a grant has ended. Value.
 struct peer_completion
 {
     std::uint64_t grant = 0;
-    /// How it ended at its worker, as the VM saw that sent it.
+    /// How the request ended at its worker, as seen by the VM that sent it.
     send_outcome outcome = send_outcome::served;
     friend bool operator==(peer_completion const&,
                            peer_completion const&) = default;
@@ -73,7 +76,8 @@
 {
     std::optional<peer_grant_request> ask;
     std::vector<peer_completion> done;
-    /// Moments are told as ages: the clocks of two VMs have different epochs.
+    /// Times are sent as ages, because the clocks of two VMs have different
+    /// epochs.
     crash_news crashes;
     friend bool operator==(peer_call const&, peer_call const&) = default;
 };
@@ -82,17 +86,18 @@
 {
     bool granted = false;
     std::uint64_t grant = 0;
-    /// The worker to send to; it need not be the one that was asked for.
+    /// The worker to send to; may differ from the requested worker.
     worker_id worker;
-    /// Of the adapter's copy there; 0 where that is not known.
+    /// Version of the adapter's copy at the worker; 0 if unknown.
     adapter_version version;
     friend bool operator==(peer_reply const&, peer_reply const&) = default;
 };
 
-/// A whole HTTP request.
+/// Returns a complete HTTP request. `now` is the time that ages are counted
+/// from.
 std::string encode_peer_call(peer_call const& message, std::string const& host,
                              time_point now);
-/// Nothing when the text is no such message.
+/// Returns nullopt if the text is malformed. Ages are subtracted from `now`.
 std::optional<peer_call> decode_peer_call(std::string const& body,
                                           time_point now);
 std::string encode_peer_reply(peer_reply const& reply);
--- a/src/peer_rows.cpp
+++ b/src/peer_rows.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr std::uint64_t max_wait_ms = 60'000;
-/// An hour: older is as good as never.
+/// One hour; rows older than this are useless anyway.
 constexpr std::uint64_t max_age_ms = 3'600'000;
 constexpr Json::Int64 max_proof_age_ms = max_age_ms;
 constexpr Json::ArrayIndex row_fields = 4;
@@ -129,7 +129,8 @@
         !(*json)["wait_ms"].isUInt64())
         return std::nullopt;
     rows_query query;
-    // A VM that runs an earlier release does not know of rows left out.
+    // A VM of an earlier release does not send the field and cannot handle
+    // answers that leave rows out.
     query.large_rows = json->get("large_rows", true) != false;
     for (Json::ArrayIndex index = 0; index < after.size(); ++index)
     {
--- a/src/peer_rows.hpp
+++ b/src/peer_rows.hpp
@@ -1,4 +1,4 @@
-/// What VMs say to each other about the store's rows.
+/// Messages with which VMs exchange the store's rows.
 ///
 ///   POST /rows  {"after": [V, V, V], "wait_ms": N, "large_rows": false}
 ///   200         {"sets": [{"read": true, "version": V, "age_ms": N,
@@ -7,9 +7,9 @@
 ///                          "rows": [[KIND, KEY, VERSION, VALUE or null]]},
 ///                         ...]}
 ///
-/// One entry for each set, in the order of row_set. The answer comes when a
-/// row that others act on has changed, or when the wait is over. Large rows are
-/// left out unless they are asked for; see row_set_changes::incomplete.
+/// One entry for each set, in the order of row_set. The answer is sent when a
+/// row that other VMs act on has changed, or when the wait is over. Large rows
+/// are left out unless requested; see row_set_changes::incomplete.
 #ifndef MULBERRY_PEER_ROWS_HPP
 #define MULBERRY_PEER_ROWS_HPP
 
@@ -28,34 +28,35 @@
 inline constexpr std::array<row_set, 3> all_row_sets{
     row_set::declarations, row_set::workers, row_set::own};
 
-/// What changed after these versions? Value.
+/// Requests the changes after the given versions. Value.
 struct rows_query
 {
     std::array<row_version, all_row_sets.size()> after;
     /// How long the answer may wait for a change.
     duration wait{};
-    /// Large rows too: whoever asks cannot read them at the store.
+    /// Large rows are wanted too, because the sender cannot read them from the
+    /// store.
     bool large_rows = false;
     friend bool operator==(rows_query const&, rows_query const&) = default;
 };
 
-/// What changed in one set. Value.
+/// The changes of one set. Value.
 struct row_set_changes
 {
-    /// The VM that answers has read the set.
+    /// Whether the answering VM has read the set.
     bool read = false;
     row_version version;
-    /// How long ago the store was asked for what this shows.
+    /// How long ago the rows were last known to be current.
     duration age{};
-    /// All rows there are, in place of those that changed.
+    /// `rows` holds all rows of the set instead of only the changed rows.
     bool is_snapshot = false;
-    /// Large rows are left out, so that the set is not known up to `version`;
-    /// the store has them.
+    /// Large rows are left out, so `rows` does not bring the receiver up to
+    /// `version`; the large rows must be read from the store.
     bool incomplete = false;
     std::vector<stored_row> rows;
-    /// How long before the question arrived the rows were last certain to be
-    /// the store's; negative if it was after that. Nothing where it cannot be
-    /// told.
+    /// How long before the query's arrival the rows were last proven to match
+    /// the store (see row_mirror::proven_as_of()); negative if that was after
+    /// the arrival, absent if unknown.
     std::optional<duration> proven_before;
     friend bool operator==(row_set_changes const&,
                            row_set_changes const&) = default;
@@ -63,9 +64,9 @@
 
 using rows_answer = std::array<row_set_changes, all_row_sets.size()>;
 
-/// A whole HTTP request.
+/// Returns a complete HTTP request.
 std::string encode_rows_query(rows_query const& query, std::string const& host);
-/// Nothing when the text is no such message.
+/// The decoders return nullopt if the text is malformed.
 std::optional<rows_query> decode_rows_query(std::string const& body);
 std::string encode_rows_answer(rows_answer const& answer);
 std::optional<rows_answer> decode_rows_answer(std::string const& body);
--- a/src/registry_watch.cpp
+++ b/src/registry_watch.cpp
@@ -49,7 +49,8 @@
     }
     else if (auto config = codec_.decode_config(row.value, fault))
     {
-        // Never back to an older one, in whatever order answers arrive.
+        // Answers may arrive in any order; an older configuration never
+        // replaces a newer one.
         if (config->version <= config_version_)
             return;
         config_version_ = config->version;
@@ -59,10 +60,10 @@
     on_malformed_row("malformed declaration", row, fault, now);
 }
 
-/// Failure: the store is away and entries lapse, though their workers live.
-/// Symptom: on its return every worker looks gone for the seconds until it has
-/// written its entry again, and requests are refused. An entry that goes
-/// missing then is kept until the grace is over.
+/// Failure: during a store outage the entries of live workers lapse. On the
+/// store's return every worker looks gone for the seconds until it has written
+/// its entry again, and requests are refused. So entries that are missing then
+/// are kept until the grace period is over.
 void registry_watch::on_worker_row(stored_row const& row, time_point now,
                                    time_point trusted_at)
 {
@@ -75,8 +76,8 @@
     auto entry = codec_.decode_backend(row.key, row.value, fault);
     if (!entry)
     {
-        // Another writer's: it names no worker. One that it named before
-        // writes its entry again, or is gone.
+        // Another writer has overwritten the row. A worker that the row named
+        // before writes its entry again within the grace period, or is gone.
         on_malformed_row("malformed worker entry", row, fault, now);
         return on_worker_deleted(row.key, now, now + lapse_grace);
     }
@@ -138,8 +139,8 @@
     std::vector<backend_entry> entries;
     for (auto const& [key, worker] : listed_)
     {
-        // Nothing says that the life of one that is missing goes on: it may
-        // start again meanwhile, on newer weights.
+        // A worker whose entry is missing may have restarted meanwhile with
+        // newer weights, so its weights are unknown.
         entries.push_back(worker.lapses_at == never
                               ? worker.entry
                               : without_weights(worker.entry));
--- a/src/registry_watch.hpp
+++ b/src/registry_watch.hpp
@@ -1,4 +1,4 @@
-/// What the store's rows say of configuration, versions and workers.
+/// Decodes the store's rows of configuration, adapter versions and workers.
 #ifndef MULBERRY_REGISTRY_WATCH_HPP
 #define MULBERRY_REGISTRY_WATCH_HPP
 
@@ -18,7 +18,7 @@
 namespace mulberry
 {
 
-/// Told about what changed, within on_rows().
+/// Callbacks for changes, called within on_rows().
 struct registry_listener
 {
     std::function<void(std::shared_ptr<routing_config const>)> on_config;
@@ -26,8 +26,8 @@
     std::function<void(std::vector<backend_entry>)> on_backends;
 };
 
-/// A worker's entry can lapse while the store is away. After the store's return
-/// it has this long to be written again.
+/// A worker's entry can lapse during a store outage. After the store's return,
+/// the worker has this long to write the entry again.
 inline constexpr std::chrono::milliseconds lapse_grace{2000};
 
 /// Thread safety: none; used on the thread of the mirror.
@@ -38,15 +38,16 @@
     registry_watch(relay_codec const& codec, event_log& log,
                    registry_listener listener);
 
-    /// Rows that name no worker or declaration for want of sense, each version
+    /// Number of malformed rows of workers and declarations, each version
     /// counted once.
     std::uint64_t malformed_rows() const { return malformed_rows_; }
     /// Prometheus text.
     std::string metrics() const;
 
-    /// Rows of the declarations or the workers that changed, dropped ones
-    /// among them. `trusted_at`: a worker's entry that is missing counts as
-    /// gone from then on; before, it may have lapsed while the store was away.
+    /// Handles changed rows of the declarations or the workers, deleted rows
+    /// included. A worker whose entry is missing counts as gone from
+    /// `trusted_at` on; before that, the entry may merely have lapsed during a
+    /// store outage.
     void on_rows(row_set set, std::vector<stored_row> const& rows,
                  time_point now, time_point trusted_at);
 
@@ -55,7 +56,7 @@
     {
         backend_entry entry;
         row_version version;
-        /// Its row is gone; it is given up at that moment.
+        /// If the worker's row is missing: when the worker is dropped.
         time_point lapses_at = never;
     };
 
@@ -74,7 +75,7 @@
     std::map<std::string, listed_worker> listed_;
     config_version config_version_;
     bool workers_changed_ = false;
-    /// The last version of each row that made no sense, so that it is logged
+    /// The last malformed version of each row, so that each version is logged
     /// once however often it is read.
     std::map<std::string, row_version> malformed_;
     std::uint64_t malformed_rows_ = 0;
--- a/src/relay_codec.hpp
+++ b/src/relay_codec.hpp
@@ -1,5 +1,5 @@
-/// What the relay needs translated between its own types and the wire. The
-/// implementation decides nothing.
+/// Conversion between the relay's types and the wire formats. Implementations
+/// make no decisions.
 #ifndef MULBERRY_RELAY_CODEC_HPP
 #define MULBERRY_RELAY_CODEC_HPP
 
@@ -31,14 +31,16 @@
     virtual ~relay_codec() = default;
 
     virtual relay_request decode_request(http_request received) const = 0;
-    /// The head and body to send to a worker.
+    /// Returns the complete HTTP request, head and body, to send to a worker.
     virtual std::string encode_request(relay_request const& request,
                                        send_terms const& terms) const = 0;
     virtual worker_reply decode_reply(int status, http_headers const& headers,
                                       relay_request const& request) const = 0;
-    /// The fields of a worker's answer that go to the caller.
+    /// Returns the header fields of a worker's answer that are forwarded to the
+    /// caller.
     virtual http_headers answer_headers(http_headers const& received) const = 0;
-    /// The layer's own answer to a request that it gives up.
+    /// Returns the error response to a request that the relay itself rejects or
+    /// gives up.
     virtual http_response error_response(relay_request const& request,
                                          error const& problem) const = 0;
 
@@ -48,7 +50,8 @@
     virtual std::optional<worker_report>
     decode_report(std::string const& body) const = 0;
 
-    /// Nothing, with `fault` filled in, when the text is malformed.
+    /// The following decoders return nullopt and set `fault` to the reason if
+    /// the text is malformed.
     virtual std::optional<routing_config>
     decode_config(std::string const& text, std::string& fault) const = 0;
     virtual std::optional<backend_entry>
@@ -57,7 +60,8 @@
     virtual std::optional<adapter_release>
     decode_release(std::string const& text, std::string& fault) const = 0;
 
-    /// Whether a request asks if this VM takes new connections.
+    /// Whether the request is a readiness probe: does this VM accept new
+    /// connections?
     virtual bool is_readiness_query(http_request const& request) const = 0;
 };
 
--- a/src/row_store.hpp
+++ b/src/row_store.hpp
@@ -1,4 +1,4 @@
-/// The platform's metadata store, as the product sees it.
+/// Interface to the platform's metadata store.
 #ifndef MULBERRY_ROW_STORE_HPP
 #define MULBERRY_ROW_STORE_HPP
 
@@ -13,10 +13,11 @@
 namespace mulberry
 {
 
-/// The sets of rows that the product knows.
+/// The sets of rows that the product uses.
 enum class row_set
 {
-    /// What operators declare: the configuration and versions of adapters.
+    /// Rows declared by operators: the configuration and the versions of
+    /// adapters.
     declarations,
     /// The registry of workers.
     workers,
@@ -24,7 +25,7 @@
     own
 };
 
-/// What a row is, as its key tells.
+/// Kind of a row, derived from its key.
 enum class row_kind
 {
     configuration,
@@ -47,13 +48,15 @@
 enum class store_outcome
 {
     done,
-    /// A condition did not hold; `rows` are the conditions' rows as they are.
+    /// A condition did not hold; `rows` holds the current rows of the
+    /// conditions.
     conflict,
-    /// The history asked for is no longer kept: read everything again.
+    /// The store no longer has the requested history; all rows must be read
+    /// again.
     history_lost,
-    /// Refused; nothing was done.
+    /// The store refused the call; nothing was changed.
     refused,
-    /// No answer: a write may have taken effect, or may yet.
+    /// No answer; a write may have taken effect or may still take effect.
     unreachable
 };
 
@@ -63,7 +66,8 @@
     std::vector<stored_row> rows;
     /// The store's newest version as of the answer.
     row_version newest;
-    /// What the store's steady clock showed then, where it said so.
+    /// The time of the store's steady clock when it made the answer, if
+    /// reported.
     std::optional<duration> made_at;
     /// More rows follow the last one.
     bool truncated = false;
@@ -72,28 +76,31 @@
 
 using store_callback = std::function<void(store_reply)>;
 
-/// Thread safe. Callbacks run on a thread of the store's client and must not
-/// block. Each call is answered once, by its deadline at the latest; none is
-/// repeated by the implementation, except reads over a connection that turned
-/// out to be closed.
+/// Thread safety: any thread. Callbacks run on a thread of the store's client
+/// and must not block. Each call is answered exactly once, within its time
+/// limit. Implementations retry nothing, except reads over a connection that
+/// turned out to be closed.
 class row_store
 {
 public:
     virtual ~row_store() = default;
 
-    /// The rows of a set whose keys begin with `prefix`, after `after` in byte
-    /// order (empty: from the first).
+    /// Reads the rows of a set whose keys begin with `prefix` and follow
+    /// `after` in byte order (empty: from the first key). The reply may be
+    /// truncated.
     virtual void read(row_set set, std::string const& prefix,
                       std::string const& after, duration time_limit,
                       store_callback done) = 0;
-    /// The rows that changed after a version; waits up to `wait` for one.
+    /// Reads the rows that changed after a version; waits up to `wait` for a
+    /// change if there is none yet.
     virtual void watch(row_set set, row_version after, duration wait,
                        duration time_limit, store_callback done) = 0;
-    /// Changes rows of the product's own set, all or none.
+    /// Changes rows of the product's own set atomically, if all conditions
+    /// hold.
     virtual void transact(table_transaction const& transaction,
                           duration time_limit, store_callback done) = 0;
-    /// Gives up every call without an answer. When it returns, no callback
-    /// runs, and none will. Not on the store's own thread.
+    /// Abandons every call without an answer. After the return, no callback is
+    /// running and none will run. Must not be called on a callback thread.
     virtual void close() = 0;
 };
 
--- a/src/store_meter.hpp
+++ b/src/store_meter.hpp
@@ -13,7 +13,8 @@
 namespace mulberry
 {
 
-/// Passes every call on. Thread safe.
+/// Forwards every call to another store and counts it. Thread safety: any
+/// thread.
 class store_meter final : public row_store
 {
 public:
@@ -28,8 +29,8 @@
                   store_callback done) override;
     void close() override { store_.close(); }
 
-    /// Prometheus lines: store_calls_total by call and outcome, and
-    /// store_rows_read_total.
+    /// Prometheus lines: mulberry_store_calls_total by call and outcome, and
+    /// mulberry_store_rows_read_total.
     std::string metrics() const;
 
 private:
--- a/src/worker_row_projection.hpp
+++ b/src/worker_row_projection.hpp
@@ -1,4 +1,4 @@
-/// What of a worker's row VMs act on that hear of it from another VM.
+/// Projection of a worker's row to the parts that other VMs act on.
 #ifndef MULBERRY_WORKER_ROW_PROJECTION_HPP
 #define MULBERRY_WORKER_ROW_PROJECTION_HPP
 
@@ -10,17 +10,17 @@
 namespace mulberry
 {
 
-/// Two rows of one worker with the same essence are the same to others: all
-/// but its heartbeat and the adapters that it holds, which change with each
-/// load. Other VMs' workers are found by asking their owners, not by what they
-/// list.
+/// Returns a text that is equal for two rows of a worker if they differ only in
+/// the heartbeat and the resident adapters, which change with each load. Which
+/// adapters another VM's worker has is found by querying the worker's owner,
+/// not from the row.
 ///
-/// Failure: a worker starts again between two readings and has loaded newer
-/// weights by the second. A VM that is told only which models a worker holds
-/// goes on counting on the life before and its weights. So the start and the
-/// version of the weights are part of it.
+/// Failure: a worker restarts and loads newer weights between two reads of its
+/// row. A VM that learned only the names of the worker's models would continue
+/// to rely on the previous incarnation and its weights. So the text includes
+/// the worker's start and the version of the weights.
 ///
-/// The whole value of a row that names no worker. Thread safety: any thread.
+/// For a malformed row, returns the complete value. Thread safety: any thread.
 std::string project_worker_row(relay_codec const& codec, stored_row const& row);
 
 } // namespace mulberry
--- a/tests/memory_row_store.hpp
+++ b/tests/memory_row_store.hpp
@@ -1,4 +1,4 @@
-/// A store in this process: rows with versions out of one counter.
+/// In-memory row_store for tests; all rows get their versions from one counter.
 #ifndef MULBERRY_TESTS_MEMORY_ROW_STORE_HPP
 #define MULBERRY_TESTS_MEMORY_ROW_STORE_HPP
 
@@ -12,21 +12,21 @@
 namespace mulberry_test
 {
 
-/// Answers within the call, but for a watch that waits, which is answered by
-/// the change or by answer_watches(). Thread safety: none.
+/// Calls back within each call, except for a watch that waits, which is
+/// answered by the next change or by answer_watches(). Thread safety: none.
 class memory_row_store final : public mulberry::row_store
 {
 public:
     void put(mulberry::row_set set, mulberry::row_kind kind,
              std::string const& key, std::string const& value);
     void drop(mulberry::row_set set, std::string const& key);
-    /// Refuses every call.
+    /// While down, the store refuses every call.
     void set_down(bool down) { down_ = down; }
-    /// Answers the watches that wait, without a change.
+    /// Answers all waiting watches, also without a change.
     void answer_watches();
     std::size_t calls() const { return calls_; }
     std::size_t transactions() const { return transactions_; }
-    /// Questions about one set.
+    /// Number of calls of read() and watch() for a set.
     std::size_t reads_and_watches(mulberry::row_set set) const;
 
     void read(mulberry::row_set set, std::string const& prefix,
--- a/tests/peer_grant_request_test.cpp
+++ b/tests/peer_grant_request_test.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("a call comes back as it was", "[peer_ask]")
+TEST_CASE("a peer call round-trips through its encoding", "[peer_ask]")
 {
     peer_call call;
     call.ask = peer_grant_request{service_id("llm"),
@@ -44,20 +44,20 @@
     call.ask.reset();
     CHECK(sent(call) == call);
     CHECK(sent({}) == peer_call());
-    // The clocks of two VMs have different epochs.
+    // The receiver's clock has a different epoch.
     time_point const theirs{2h};
     auto const heard =
         decode_peer_call(body_of(encode_peer_call(call, "vm", now)), theirs);
     CHECK(heard->crashes.seen.front().at == theirs - 30ms);
 }
 
-TEST_CASE("a reply comes back as it was", "[peer_ask]")
+TEST_CASE("a peer reply round-trips through its encoding", "[peer_ask]")
 {
     peer_reply const reply{true, 41, worker_id("w2"), adapter_version(3)};
     CHECK(decode_peer_reply(encode_peer_reply(reply)) == reply);
 }
 
-TEST_CASE("what is no call is told", "[peer_ask]")
+TEST_CASE("malformed peer calls and replies are rejected", "[peer_ask]")
 {
     for (char const* text :
          {"", "[]", "{\"worker\":\"w\"}", "{\"done\":1}", "{\"done\":[1]}",
--- a/tests/peer_rows_test.cpp
+++ b/tests/peer_rows_test.cpp
@@ -5,7 +5,7 @@
 using namespace mulberry;
 using namespace std::chrono_literals;
 
-TEST_CASE("a question about rows comes back as it was", "[peer_rows]")
+TEST_CASE("a rows query round-trips through its encoding", "[peer_rows]")
 {
     rows_query const query{
         {row_version(1), row_version(0), row_version(7)}, 300ms, true};
@@ -13,7 +13,7 @@
     CHECK(decode_rows_query(call.substr(call.find("\r\n\r\n") + 4)) == query);
 }
 
-TEST_CASE("rows come back as they were", "[peer_rows]")
+TEST_CASE("a rows answer round-trips through its encoding", "[peer_rows]")
 {
     rows_answer answer;
     answer[0] = {
@@ -29,9 +29,10 @@
     CHECK(decode_rows_answer(encode_rows_answer(answer)) == answer);
 }
 
-// While VMs are replaced in turn, some run the release before, which tells
-// nothing of rows left out and knows no answer that leaves any out.
-TEST_CASE("an earlier release gets every row", "[peer_rows]")
+// During a rolling update some VMs run the previous release, which does not
+// send the fields for left-out rows and cannot handle answers that leave rows
+// out.
+TEST_CASE("an earlier release is sent every row", "[peer_rows]")
 {
     auto const query = decode_rows_query(R"({"after":[1,2,3],"wait_ms":1})");
     REQUIRE(query);
@@ -44,7 +45,7 @@
     CHECK_FALSE(answer->at(0).incomplete);
 }
 
-TEST_CASE("what is no message about rows is told", "[peer_rows]")
+TEST_CASE("malformed rows messages are rejected", "[peer_rows]")
 {
     for (char const* text :
          {"", "[]", "{}", "{\"after\":[1,2],\"wait_ms\":1}",
--- a/tests/registry_watch_test.cpp
+++ b/tests/registry_watch_test.cpp
@@ -16,9 +16,9 @@
 
 time_point const start{std::chrono::hours(1)};
 
-/// Rows whose text is their meaning: a worker's service, with "!" while it
-/// drains, and where they are given its start and the version of the weights of
-/// its one model, each after a slash; a configuration's version; "?" is
+/// Decodes rows from a simple text. Worker: the service, optionally
+/// "/START/WEIGHTS" (start and version of the weights of its one model), and
+/// "!" at the end while the worker drains. Configuration: its version. "?" is
 /// malformed.
 class plain_codec final : public relay_codec
 {
@@ -146,7 +146,7 @@
 
 } // namespace
 
-TEST_CASE("only newer configurations are taken", "[registry_watch]")
+TEST_CASE("only newer configurations are published", "[registry_watch]")
 {
     registry_fixture world;
     for (char const* text : {"3", "2", "3", "?", "5"})
@@ -157,7 +157,7 @@
     CHECK(world.releases.size() == 1);
 }
 
-TEST_CASE("a worker's entry is told when it changes", "[registry_watch]")
+TEST_CASE("a worker entry is published when it changes", "[registry_watch]")
 {
     registry_fixture world;
     world.worker("w", "llm", start, start);
@@ -176,10 +176,10 @@
     CHECK(world.workers->empty());
 }
 
-// Another writer puts rows among the workers'. They name no worker, and one
-// line tells of each however often it is read; the workers beside them hold. A
-// worker whose own row was overwritten writes it again, or is given up.
-TEST_CASE("a row of another writer names no worker and is told once",
+// Another writer adds malformed rows among the workers' rows. Each is logged
+// once however often it is read, and other workers are unaffected. A worker
+// whose own row was overwritten writes it again, or is dropped.
+TEST_CASE("a malformed worker row is ignored and logged once",
           "[registry_watch]")
 {
     registry_fixture world;
@@ -210,10 +210,10 @@
     }
 }
 
-// A machine that has heard of a worker's leaving keeps to it while the store is
-// away: an older row that is read again, from a reader that lags, and the lapse
-// of the entry do not bring the worker back.
-TEST_CASE("a worker that leaves does not come back with an older row",
+// After a VM has learned that a worker is leaving, neither an older row from a
+// reader that lags nor the lapse of the entry during a store outage brings the
+// worker back.
+TEST_CASE("a leaving worker does not come back with an older row",
           "[registry_watch]")
 {
     registry_fixture world;
@@ -229,9 +229,10 @@
     CHECK(world.workers->empty());
 }
 
-// The store was away, and the entries of workers that live have lapsed. They
-// are kept until the grace is over; one that said that it leaves is gone.
-TEST_CASE("entries that lapsed with the store are kept for a while",
+// Entries of live workers lapsed during a store outage. The workers are kept
+// until the grace period is over; a worker that was draining is dropped at
+// once.
+TEST_CASE("entries that lapsed in a store outage are kept for a grace period",
           "[registry_watch]")
 {
     registry_fixture world;
@@ -256,9 +257,9 @@
     }
 }
 
-// While its entry is missing nothing says that a worker's life goes on: it may
-// be starting again, on newer weights, and has no prompt copied from it.
-TEST_CASE("an entry that lapsed with the store says nothing of weights",
+// A worker whose entry is missing may be restarting with newer weights, so its
+// weights are unknown and no prefix may be copied from it.
+TEST_CASE("the weights of a worker whose entry lapsed are unknown",
           "[registry_watch]")
 {
     registry_fixture world;
@@ -273,10 +274,10 @@
     CHECK(weights_of(world.workers->front(), model) == weights_version(7));
 }
 
-// A worker starts again and loads newer weights between two readings of its
-// row. VMs that hear of rows from another VM are told of it, though it holds
-// the same model as before; not of its heartbeats.
-TEST_CASE("a worker's start and weights are told to other VMs",
+// A worker restarts and loads newer weights between two reads of its row. The
+// projection must differ, though the worker holds the same model as before;
+// heartbeats must not change the projection.
+TEST_CASE("the projection of a worker row includes its start and weights",
           "[worker_essence]")
 {
     plain_codec const codec;
@@ -291,10 +292,11 @@
     CHECK(essence("?") != essence("llm/1/7"));
 }
 
-// The store turns a VM away for a while. A worker leaves in the moment of its
-// return; its entry may have lapsed, and it is used until that is ruled out.
-// Three seconds after the return callers may count on the VM again.
-TEST_CASE("a worker that left at the store's return is soon not used",
+// The store refuses a VM for a while, and a worker leaves at the moment of the
+// store's return. The worker's entry may merely have lapsed, so the worker
+// stays in use until that is ruled out. Three seconds after the return,
+// requests must work reliably again.
+TEST_CASE("a worker that left at the store's return is dropped in time",
           "[registry_watch]")
 {
     constexpr std::chrono::milliseconds settled{3000};
