--- a/tests/ownership_runner_test.cpp
+++ b/tests/ownership_runner_test.cpp
@@ -241,17 +241,17 @@
           "[ownership_runner]")
 {
     runner_simulation world;
-    bool const lately = GENERATE(false, true);
-    CAPTURE(lately);
+    bool const handed_over_recently = GENERATE(false, true);
+    CAPTURE(handed_over_recently);
     world.write_member("vm-b", member_state::live);
     world.hand_over_to({vm_id("vm-b"), incarnation(1)}, 5);
     world.start();
     world.pass(4 * gap);
-    if (lately)
+    if (handed_over_recently)
         world.hand_over_to({vm_id("vm-b"), incarnation(1)}, 6);
     world.write_member("vm-b", member_state::expired);
     world.list();
-    if (lately)
+    if (handed_over_recently)
         CHECK(world.order_delay() > gap / 2);
     else
         CHECK(world.order_delay() <= 0ms);
--- a/tests/registry_watch_test.cpp
+++ b/tests/registry_watch_test.cpp
@@ -196,13 +196,13 @@
     world.worker("w", "?", start, start);
     world.worker("v", "llm", start + 1s, start);
     CHECK(world.workers->size() == 2);
-    SECTION("given up when it stays so")
+    SECTION("dropped when the row stays malformed")
     {
         world.worker("v", "llm", start + 3s, start);
         REQUIRE(world.workers->size() == 1);
         CHECK(world.workers->front().id == worker_id("v"));
     }
-    SECTION("kept when it writes its entry again")
+    SECTION("kept when the worker writes its entry again")
     {
         world.worker("w", "llm", start + 1s, start);
         world.worker("v", "llm", start + 3s, start);
@@ -242,14 +242,14 @@
     world.worker("v", std::nullopt, start + 10s, trusted_at);
     world.worker("w", std::nullopt, start + 10s, trusted_at);
     CHECK(world.workers->size() == 1);
-    SECTION("and gone when they do not come back")
+    SECTION("and dropped when they do not come back")
     {
         world.registry.on_rows(row_set::workers, {}, start + 11s, trusted_at);
         CHECK(world.workers->size() == 1);
         world.registry.on_rows(row_set::workers, {}, start + 12s, trusted_at);
         CHECK(world.workers->empty());
     }
-    SECTION("and stay when they come back")
+    SECTION("and kept when they come back")
     {
         world.worker("w", "llm", start + 11s, trusted_at);
         world.registry.on_rows(row_set::workers, {}, start + 20s, trusted_at);
