--- a/src/caller_listener.cpp
+++ b/src/caller_listener.cpp
@@ -49,14 +49,14 @@
     std::shared_ptr<http_answer> out_;
 };
 
-bool visible(std::string const& text)
+bool is_visible_ascii(std::string const& text)
 {
     return std::all_of(text.begin(), text.end(),
                        [](char c) { return c > ' ' && c <= '~'; });
 }
 
 /// Fields that belong to this listener, not to the service behind it.
-bool kept_here(std::string name)
+bool is_listener_header(std::string name)
 {
     std::transform(name.begin(), name.end(), name.begin(),
                    [](unsigned char c)
@@ -144,17 +144,18 @@
         out->respond(error_page(*fault, ""));
         return;
     }
-    auto& asked = std::get<model_request>(parsed);
-    asked.id = next_id();
-    std::shared_ptr<response_writer> who;
-    if (asked.streamed)
-        who = std::make_shared<streamed_answer>(asked.id, asked.adapter, out);
+    auto& incoming = std::get<model_request>(parsed);
+    incoming.id = next_id();
+    std::shared_ptr<response_writer> writer;
+    if (incoming.streamed)
+        writer = std::make_shared<streamed_answer>(incoming.id,
+                                                   incoming.adapter, out);
     else
-        who = std::make_shared<whole_answer>(asked.id, asked.adapter, endpoint,
-                                             out);
-    request_id const id = asked.id;
-    ask(*decisions_, *answers_, id, std::move(who), out,
-        model_request_arrived{std::move(asked)});
+        writer = std::make_shared<buffered_answer>(
+            incoming.id, incoming.adapter, endpoint, out);
+    request_id const id = incoming.id;
+    submit_request(*decisions_, *answers_, id, std::move(writer), out,
+                   model_request_arrived{std::move(incoming)});
 }
 
 void caller_listener::handle_service(http_request const& request,
@@ -171,7 +172,7 @@
         out->respond(error_page(*fault, ""));
         return;
     }
-    if (key.size() > max_key_bytes || !visible(key))
+    if (key.size() > max_key_bytes || !is_visible_ascii(key))
     {
         out->respond(error_page(error(error_kind::bad_request,
                                       "Idempotency-Key must be 1 to 200 "
@@ -179,23 +180,24 @@
                                 ""));
         return;
     }
-    service_request asked;
-    asked.id = next_id();
-    asked.service = service_id(rest.substr(0, slash));
-    asked.method = request.method;
-    asked.target = slash == rest.size() ? "/" : rest.substr(slash);
+    service_request incoming;
+    incoming.id = next_id();
+    incoming.service = service_id(rest.substr(0, slash));
+    incoming.method = request.method;
+    incoming.target = slash == rest.size() ? "/" : rest.substr(slash);
     if (!request.query.empty())
-        asked.target += "?" + request.query;
+        incoming.target += "?" + request.query;
     for (auto const& [name, value] : request.headers.fields())
-        if (!kept_here(name))
-            asked.headers.emplace_back(name, value);
-    asked.body = std::make_shared<std::string const>(request.body);
-    asked.key = idempotency_key(key);
-    asked.arrived = shell_clock::now();
-    asked.deadline = std::get<time_point>(deadline);
-    request_id const id = asked.id;
-    ask(*decisions_, *answers_, id, std::make_shared<service_writer>(id, out),
-        out, service_request_arrived{std::move(asked)});
+        if (!is_listener_header(name))
+            incoming.headers.emplace_back(name, value);
+    incoming.body = std::make_shared<std::string const>(request.body);
+    incoming.key = idempotency_key(key);
+    incoming.arrived = shell_clock::now();
+    incoming.deadline = std::get<time_point>(deadline);
+    request_id const id = incoming.id;
+    submit_request(*decisions_, *answers_, id,
+                   std::make_shared<service_writer>(id, out), out,
+                   service_request_arrived{std::move(incoming)});
 }
 
 request_id caller_listener::next_id()
--- a/src/completion_answer.cpp
+++ b/src/completion_answer.cpp
@@ -13,11 +13,12 @@
 
 /// A caller that reads so slowly that this much waits for it is cut off, so
 /// that it cannot hold memory that others need.
-constexpr std::size_t most_unsent_bytes = 4UL * 1024 * 1024;
+constexpr std::size_t max_unsent_bytes = 4UL * 1024 * 1024;
 
 /// Cuts what follows `head` up to the next quotation mark, where `mark` begins
 /// it: "ADAPTER@VERSION#12" becomes "ADAPTER@VERSION".
-void cut_after(std::string& text, std::string const& head, char mark)
+void remove_numeric_suffix(std::string& text, std::string const& head,
+                           char mark)
 {
     std::string const wanted = '"' + head + mark;
     auto const at = text.find(wanted);
@@ -37,8 +38,8 @@
 std::string caller_payload(std::string payload, adapter_ref const& adapter,
                            request_id const& id)
 {
-    cut_after(payload, adapter.str(), '#');
-    cut_after(payload, id.str(), '.');
+    remove_numeric_suffix(payload, adapter.str(), '#');
+    remove_numeric_suffix(payload, id.str(), '.');
     return payload;
 }
 
@@ -50,16 +51,16 @@
 
 void streamed_answer::on_event(std::uint64_t, std::string const& payload)
 {
-    if (!begun_)
+    if (!stream_started_)
     {
-        begun_ = true;
+        stream_started_ = true;
         http_headers headers;
         headers.add("Content-Type", "text/event-stream");
         headers.add("Cache-Control", "no-cache");
         headers.add("X-Request-Id", id_.str());
         out_->start_stream(200, std::move(headers));
     }
-    if (out_->unsent_bytes() > most_unsent_bytes)
+    if (out_->unsent_bytes() > max_unsent_bytes)
     {
         out_->abort();
         return;
@@ -69,7 +70,7 @@
 
 void streamed_answer::on_end()
 {
-    if (!begun_)
+    if (!stream_started_)
     {
         on_error(error(error_kind::answer_cut, "the answer had no events",
                        ran::yes));
@@ -81,7 +82,7 @@
 
 void streamed_answer::on_error(error const& what)
 {
-    if (!begun_)
+    if (!stream_started_)
     {
         out_->respond(error_page(what, id_.str()));
         return;
@@ -94,15 +95,15 @@
 
 void streamed_answer::on_service_answer(service_answer const&, bool) {}
 
-whole_answer::whole_answer(request_id id, adapter_ref adapter,
-                           model_endpoint endpoint,
-                           std::shared_ptr<http_answer> out)
+buffered_answer::buffered_answer(request_id id, adapter_ref adapter,
+                                 model_endpoint endpoint,
+                                 std::shared_ptr<http_answer> out)
     : id_(std::move(id)), adapter_(std::move(adapter)), endpoint_(endpoint),
       out_(std::move(out))
 {
 }
 
-void whole_answer::on_event(std::uint64_t, std::string const& payload)
+void buffered_answer::on_event(std::uint64_t, std::string const& payload)
 {
     auto const event = from_text(payload);
     if (!event || !event->isObject())
@@ -117,7 +118,7 @@
         usage_ = to_text((*event)["usage"]);
 }
 
-void whole_answer::on_end()
+void buffered_answer::on_end()
 {
     bool const chat = endpoint_ == model_endpoint::chat;
     Json::Value choice;
@@ -142,11 +143,11 @@
     out_->respond(std::move(response));
 }
 
-void whole_answer::on_error(error const& what)
+void buffered_answer::on_error(error const& what)
 {
     out_->respond(error_page(what, id_.str()));
 }
 
-void whole_answer::on_service_answer(service_answer const&, bool) {}
+void buffered_answer::on_service_answer(service_answer const&, bool) {}
 
 } // namespace mulberry
--- a/src/completion_answer.hpp
+++ b/src/completion_answer.hpp
@@ -29,15 +29,15 @@
     request_id id_;
     adapter_ref adapter_;
     std::shared_ptr<http_answer> out_;
-    bool begun_ = false;
+    bool stream_started_ = false;
 };
 
 /// Puts the events together into one answer.
-class whole_answer : public response_writer
+class buffered_answer : public response_writer
 {
 public:
-    whole_answer(request_id id, adapter_ref adapter, model_endpoint endpoint,
-                 std::shared_ptr<http_answer> out);
+    buffered_answer(request_id id, adapter_ref adapter, model_endpoint endpoint,
+                    std::shared_ptr<http_answer> out);
     void on_event(std::uint64_t offset, std::string const& payload) override;
     void on_end() override;
     void on_error(error const& what) override;
--- a/src/completion_request.cpp
+++ b/src/completion_request.cpp
@@ -14,15 +14,15 @@
 {
 
 /// Prompts that share this much of their head share a cached prefix.
-constexpr std::size_t prefix_bytes = 256;
+constexpr std::size_t prefix_key_bytes = 256;
 constexpr std::size_t max_application_bytes = 128;
 
-error bad(std::string text)
+error bad_request_error(std::string text)
 {
     return {error_kind::bad_request, std::move(text)};
 }
 
-std::optional<long long> whole_number(std::string const& text)
+std::optional<long long> parse_integer(std::string const& text)
 {
     long long value = 0;
     auto const* end = text.data() + text.size();
@@ -34,8 +34,8 @@
 
 /// The text whose head names the cached prefix, or nothing if the prompt is
 /// not of the form supported.
-std::optional<std::string> prompt_of(Json::Value const& body,
-                                     model_endpoint endpoint)
+std::optional<std::string> find_prompt(Json::Value const& body,
+                                       model_endpoint endpoint)
 {
     if (endpoint == model_endpoint::completions)
     {
@@ -62,17 +62,18 @@
                                 request_limits const& limits)
 {
     if (!body["model"].isString())
-        return bad("`model` must be a text: ADAPTER@VERSION");
+        return bad_request_error("`model` must be a text: ADAPTER@VERSION");
     if (body.isMember("stream") && !body["stream"].isBool())
-        return bad("`stream` must be true or false");
+        return bad_request_error("`stream` must be true or false");
     if (body.isMember("n") && body["n"] != Json::Value(1))
-        return bad("`n` must be 1");
+        return bad_request_error("`n` must be 1");
     if (!body.isMember("max_tokens"))
         return std::nullopt;
     if (!body["max_tokens"].isUInt64() || body["max_tokens"].asUInt64() == 0 ||
         body["max_tokens"].asUInt64() > limits.max_tokens)
-        return bad("`max_tokens` must be a whole number from 1 to " +
-                   std::to_string(limits.max_tokens));
+        return bad_request_error(
+            "`max_tokens` must be a whole number from 1 to " +
+            std::to_string(limits.max_tokens));
     return std::nullopt;
 }
 
@@ -85,14 +86,14 @@
     auto const header = request.headers.find("X-Deadline-Ms");
     if (!header)
         return now + limits.default_deadline;
-    auto const most = std::chrono::duration_cast<std::chrono::milliseconds>(
-                          limits.max_deadline)
-                          .count();
-    auto const ms = whole_number(*header);
-    if (!ms || *ms < 1 || *ms > most)
+    auto const max_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
+                            limits.max_deadline)
+                            .count();
+    auto const ms = parse_integer(*header);
+    if (!ms || *ms < 1 || *ms > max_ms)
         return error(error_kind::bad_deadline,
                      "X-Deadline-Ms must be a whole number from 1 to " +
-                         std::to_string(most));
+                         std::to_string(max_ms));
     return now + std::chrono::milliseconds(*ms);
 }
 
@@ -102,7 +103,7 @@
 {
     auto parsed = from_text(request.body);
     if (!parsed || !parsed->isObject())
-        return bad("the body must be a JSON object");
+        return bad_request_error("the body must be a JSON object");
     Json::Value& body = *parsed;
     if (auto fault = check_body(body, limits))
         return *fault;
@@ -111,35 +112,37 @@
         return error(error_kind::unknown_model,
                      "`model` must name an adapter and its version: "
                      "ADAPTER@VERSION");
-    auto const prompt = prompt_of(body, endpoint);
+    auto const prompt = find_prompt(body, endpoint);
     if (!prompt)
-        return bad(endpoint == model_endpoint::chat
-                       ? "`messages` must be a list of objects with the texts "
-                         "`role` and `content`"
-                       : "`prompt` must be a text");
+        return bad_request_error(
+            endpoint == model_endpoint::chat
+                ? "`messages` must be a list of objects with the texts "
+                  "`role` and `content`"
+                : "`prompt` must be a text");
     auto const deadline = parse_deadline(request, limits, now);
     if (auto const* fault = std::get_if<error>(&deadline))
         return *fault;
     model_request result;
     if (auto const header = request.headers.find("X-Priority"))
     {
-        auto const priority = whole_number(*header);
+        auto const priority = parse_integer(*header);
         if (!priority || *priority < least_priority ||
             *priority > most_priority)
-            return bad("X-Priority must be a whole number from 0 to 9");
+            return bad_request_error(
+                "X-Priority must be a whole number from 0 to 9");
         result.priority = static_cast<int>(*priority);
     }
     std::string const application =
         request.headers.find("X-Application").value_or("");
     if (application.size() > max_application_bytes)
-        return bad("X-Application is too long");
+        return bad_request_error("X-Application is too long");
     result.application = application_id(application);
     result.adapter = *adapter;
     result.endpoint = endpoint;
     result.streamed = flag_or(body, "stream", false);
     result.arrived = now;
     result.deadline = std::get<time_point>(deadline);
-    result.prefix_key = stable_hash(prompt->substr(0, prefix_bytes));
+    result.prefix_key = stable_hash(prompt->substr(0, prefix_key_bytes));
     result.max_tokens = number_or(body, "max_tokens", result.max_tokens);
     body.removeMember("model");
     body.removeMember("stream");
--- a/src/error_page.cpp
+++ b/src/error_page.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-constexpr duration usual_retry_after = std::chrono::seconds(1);
+constexpr duration default_retry_after = std::chrono::seconds(1);
 
-std::string whole_seconds(duration span)
+std::string round_up_to_seconds(duration span)
 {
     auto const up = std::chrono::ceil<std::chrono::seconds>(span).count();
     return std::to_string(std::max<long long>(up, 1));
@@ -49,9 +49,9 @@
     if (!request.empty())
         page.headers.add("X-Request-Id", request);
     if (what.retry_after() || row.retry_helps)
-        page.headers.add(
-            "Retry-After",
-            whole_seconds(what.retry_after().value_or(usual_retry_after)));
+        page.headers.add("Retry-After",
+                         round_up_to_seconds(
+                             what.retry_after().value_or(default_retry_after)));
     return page;
 }
 
--- a/src/http_engine_port.cpp
+++ b/src/http_engine_port.cpp
@@ -22,11 +22,11 @@
 /// passes on, so they are put in front.
 std::string engine_body(start_attempt const& what)
 {
-    std::string const& rest = *what.request.body;
+    std::string const& caller_body = *what.request.body;
     return "{\"model\":\"" + what.name.str() +
            "\",\"stream\":true,\"priority\":" +
            std::to_string(what.request.priority) +
-           (rest.size() > 2 ? "," : "") + rest.substr(1);
+           (caller_body.size() > 2 ? "," : "") + caller_body.substr(1);
 }
 
 http_call stream_call(std::string const& base, start_attempt const& what)
@@ -56,7 +56,7 @@
     return call;
 }
 
-order_result result_of(order_id order, collected_response const& response)
+order_result to_order_result(order_id order, collected_response const& response)
 {
     order_result result{order, order_result::outcome::unknown, response.status,
                         ""};
@@ -87,19 +87,19 @@
 }
 
 std::optional<std::string>
-http_engine_port::url_of(worker_id const& worker) const
+http_engine_port::find_url(worker_id const& worker) const
 {
     if (!configuration_)
         return std::nullopt;
-    auto const place = configuration_->workers.find(worker);
-    if (place == configuration_->workers.end())
+    auto const entry = configuration_->workers.find(worker);
+    if (entry == configuration_->workers.end())
         return std::nullopt;
-    return place->second.url;
+    return entry->second.url;
 }
 
 void http_engine_port::start(start_attempt const& what)
 {
-    auto const base = url_of(what.worker);
+    auto const base = find_url(what.worker);
     if (!base)
     {
         sink_->post(attempt_failure{what.attempt, failure_stage::not_sent, 0,
@@ -115,7 +115,7 @@
 void http_engine_port::cancel(cancel_attempt const& what)
 {
     calls_.cancel(what.attempt);
-    auto const base = url_of(what.worker);
+    auto const base = find_url(what.worker);
     if (!what.stop_at_engine || !base)
         return;
     http_call call;
@@ -134,7 +134,7 @@
                              char const* path, std::string body,
                              fencing_number fence, time_point deadline)
 {
-    auto const base = url_of(worker);
+    auto const base = find_url(worker);
     if (!base)
     {
         sink_->post(order_result{order, order_result::outcome::refused, 0,
@@ -153,7 +153,7 @@
         std::move(call),
         std::make_shared<response_observer>(
             [order, sink = sink_](collected_response const& response)
-            { sink->post(result_of(order, response)); }));
+            { sink->post(to_order_result(order, response)); }));
 }
 
 void http_engine_port::load(load_adapter const& what)
@@ -178,7 +178,7 @@
 {
     for (worker_id const& worker : workers)
     {
-        auto const base = url_of(worker);
+        auto const base = find_url(worker);
         if (!base)
             continue;
         time_point const asked_at = shell_clock::now();
@@ -214,17 +214,19 @@
         asked_at - std::chrono::milliseconds(number_or(*value, "age_ms", 0));
     report.running = number_or(*value, "running", 0);
     report.waiting = number_or(*value, "waiting", 0);
-    std::size_t const any = report.running + report.waiting;
+    std::size_t const total_requests = report.running + report.waiting;
     for (Json::Value const& one : (*value)["adapters"])
     {
         // Engines that list bare names do not say which adapter runs what
         // runs; each then counts as running all of it, so that none is taken
         // for idle that is not.
         if (one.isString())
-            report.adapters.push_back({engine_name(one.asString()), any});
+            report.adapters.push_back(
+                {engine_name(one.asString()), total_requests});
         else
-            report.adapters.push_back({engine_name(text_or(one, "name", "")),
-                                       number_or(one, "running", any)});
+            report.adapters.push_back(
+                {engine_name(text_or(one, "name", "")),
+                 number_or(one, "running", total_requests)});
     }
     return report;
 }
--- a/src/http_engine_port.hpp
+++ b/src/http_engine_port.hpp
@@ -29,7 +29,7 @@
 
 private:
     /// Nothing if the worker is not declared any more.
-    std::optional<std::string> url_of(worker_id const& worker) const;
+    std::optional<std::string> find_url(worker_id const& worker) const;
     void order(order_id order, worker_id const& worker, char const* path,
                std::string body, fencing_number fence, time_point deadline);
 
--- a/src/http_peer_port.cpp
+++ b/src/http_peer_port.cpp
@@ -20,15 +20,15 @@
 /// silent for four times that has been lost by something in between, although
 /// neither end was told. Waiting for the answer's deadline instead would leave
 /// the caller with nothing until then.
-constexpr std::chrono::milliseconds peer_silence{2000};
+constexpr std::chrono::milliseconds peer_silence_timeout{2000};
 /// Messages to one VM that may be under way at once; a VM that does not answer
 /// must not collect connections.
-constexpr std::size_t most_under_way = 8;
+constexpr std::size_t max_messages_in_flight = 8;
 
 } // namespace
 
 /// Counts by address; shared with the observers of the calls.
-struct http_peer_port::messages_under_way
+struct http_peer_port::in_flight_counter
 {
     std::mutex mutex;
     std::map<std::string, std::size_t> count;
@@ -36,26 +36,26 @@
     bool begin(std::string const& address)
     {
         std::lock_guard const lock(mutex);
-        std::size_t& here = count[address];
-        if (here >= most_under_way)
+        std::size_t& address_count = count[address];
+        if (address_count >= max_messages_in_flight)
             return false;
-        ++here;
+        ++address_count;
         return true;
     }
 
     void end(std::string const& address)
     {
         std::lock_guard const lock(mutex);
-        auto const place = count.find(address);
-        if (--place->second == 0)
-            count.erase(place);
+        auto const entry = count.find(address);
+        if (--entry->second == 0)
+            count.erase(entry);
     }
 };
 
 http_peer_port::http_peer_port(vm_id self, std::string key, causal_clock& clock,
                                event_sink& sink)
     : self_(std::move(self)), key_(std::move(key)), clock_(&clock),
-      sink_(&sink), under_way_(std::make_shared<messages_under_way>())
+      sink_(&sink), in_flight_(std::make_shared<in_flight_counter>())
 {
 }
 
@@ -79,7 +79,7 @@
     call.body = forwarded_text(what.request, shell_clock::now());
     call.deadline = shell_clock::to_steady(what.request.deadline);
     call.connect_timeout = connect_timeout;
-    call.silence_timeout = peer_silence;
+    call.silence_timeout = peer_silence_timeout;
     calls_.start(
         what.attempt, std::move(call),
         std::make_shared<stream_observer>(what.attempt, *sink_, calls_));
@@ -92,7 +92,7 @@
 
 void http_peer_port::tell(tell_peer const& what, std::string const& address)
 {
-    if (address.empty() || !under_way_->begin(address))
+    if (address.empty() || !in_flight_->begin(address))
         return;
     Json::Value body;
     body["jsonrpc"] = "2.0";
@@ -113,7 +113,7 @@
     call.deadline = std::chrono::steady_clock::now() + message_timeout;
     call.connect_timeout = connect_timeout;
     message_client_.start(std::move(call), std::make_shared<response_observer>(
-                                               [address, counts = under_way_](
+                                               [address, counts = in_flight_](
                                                    collected_response const&)
                                                { counts->end(address); }));
 }
--- a/src/http_peer_port.hpp
+++ b/src/http_peer_port.hpp
@@ -31,13 +31,13 @@
     void tell(tell_peer const& what, std::string const& address) override;
 
 private:
-    struct messages_under_way;
+    struct in_flight_counter;
 
     vm_id self_;
     std::string key_;
     causal_clock* clock_;
     event_sink* sink_;
-    std::shared_ptr<messages_under_way> under_way_;
+    std::shared_ptr<in_flight_counter> in_flight_;
     call_registry calls_;
     http_client message_client_;
 };
--- a/src/http_platform_port.cpp
+++ b/src/http_platform_port.cpp
@@ -38,7 +38,8 @@
 
 /// What an answer of the table service means. No answer, or one that cannot be
 /// understood, leaves the outcome open.
-table_reply reply_to(operation_id operation, collected_response const& response)
+table_reply to_table_reply(operation_id operation,
+                           collected_response const& response)
 {
     table_reply reply{operation, table_outcome::unreachable, {}};
     if (response.status == 429)
@@ -84,7 +85,7 @@
     return to_text(body);
 }
 
-object_reply object_reply_to(operation_id operation,
+object_reply to_object_reply(operation_id operation,
                              collected_response response)
 {
     object_reply reply{operation, object_outcome::unreachable, {}};
@@ -136,8 +137,9 @@
     table_client_.start(std::move(call),
                         std::make_shared<response_observer>(
                             [operation = what.operation,
-                             sink = sink_](collected_response const& response)
-                            { sink->post(reply_to(operation, response)); }));
+                             sink = sink_](collected_response const& response) {
+                                sink->post(to_table_reply(operation, response));
+                            }));
 }
 
 void http_platform_port::read(operation_id operation, std::string url,
@@ -151,7 +153,7 @@
         std::move(call),
         std::make_shared<response_observer>(
             [operation, sink = sink_](collected_response const& response)
-            { sink->post(reply_to(operation, response)); }));
+            { sink->post(to_table_reply(operation, response)); }));
 }
 
 void http_platform_port::run(read_row const& what)
@@ -178,7 +180,7 @@
         std::make_shared<response_observer>(
             [operation = what.operation,
              sink = sink_](collected_response response)
-            { sink->post(object_reply_to(operation, std::move(response))); }));
+            { sink->post(to_object_reply(operation, std::move(response))); }));
 }
 
 void http_platform_port::run(store_object const& what)
@@ -195,7 +197,7 @@
         std::make_shared<response_observer>(
             [operation = what.operation,
              sink = sink_](collected_response response)
-            { sink->post(object_reply_to(operation, std::move(response))); }));
+            { sink->post(to_object_reply(operation, std::move(response))); }));
 }
 
 void http_platform_port::ask_vms()
--- a/src/http_service_port.cpp
+++ b/src/http_service_port.cpp
@@ -15,7 +15,7 @@
 /// A call's connection outlives its request by this much: an answer that comes
 /// after its caller was told "unknown" is kept for the caller's next try. The
 /// core cancels calls that it no longer waits for.
-constexpr std::chrono::seconds late_answer_time{35};
+constexpr std::chrono::seconds late_answer_grace{35};
 
 http_call to_call(call_service const& what, std::string const& base)
 {
@@ -30,7 +30,7 @@
     if (what.request.body)
         call.body = *what.request.body;
     call.deadline =
-        shell_clock::to_steady(what.request.deadline) + late_answer_time;
+        shell_clock::to_steady(what.request.deadline) + late_answer_grace;
     call.connect_timeout = connect_timeout;
     return call;
 }
@@ -58,8 +58,8 @@
 
 void http_service_port::call(call_service const& what)
 {
-    auto const place = urls_.find(what.worker);
-    if (place == urls_.end())
+    auto const entry = urls_.find(what.worker);
+    if (entry == urls_.end())
     {
         sink_->post(attempt_failure{
             what.attempt, failure_stage::not_sent, 0, "undeclared",
@@ -78,7 +78,7 @@
                 attempt_failure{attempt, to_failure_stage(response.stage), 0,
                                 "connection", response.failure, std::nullopt});
     };
-    calls_.start(what.attempt, to_call(what, place->second),
+    calls_.start(what.attempt, to_call(what, entry->second),
                  std::make_shared<response_observer>(std::move(done)));
 }
 
--- a/src/json_text.cpp
+++ b/src/json_text.cpp
@@ -13,14 +13,14 @@
 namespace
 {
 
-constexpr int deepest_nesting = 64;
+constexpr int max_nesting_depth = 64;
 
 std::unique_ptr<Json::CharReader> make_strict_reader()
 {
     Json::CharReaderBuilder strict;
     // Strict mode asks for an object or array at the top.
     Json::CharReaderBuilder::strictMode(&strict.settings_);
-    strict.settings_["stackLimit"] = deepest_nesting;
+    strict.settings_["stackLimit"] = max_nesting_depth;
     strict.settings_["failIfExtra"] = true;
     return std::unique_ptr<Json::CharReader>(strict.newCharReader());
 }
--- a/src/mulberryd.cpp
+++ b/src/mulberryd.cpp
@@ -38,8 +38,8 @@
 
 /// The settings, or nothing after their faults were printed.
 template <class Settings>
-std::optional<Settings>
-checked(std::variant<Settings, std::vector<mulberry::text_fault>> parsed)
+std::optional<Settings> value_or_print_faults(
+    std::variant<Settings, std::vector<mulberry::text_fault>> parsed)
 {
     if (auto const* faults =
             std::get_if<std::vector<mulberry::text_fault>>(&parsed))
@@ -53,7 +53,8 @@
 
 std::optional<mulberry::relay_settings> read_relay(std::string const& path)
 {
-    return checked(mulberry::parse_relay_settings(read_file(path), path));
+    return value_or_print_faults(
+        mulberry::parse_relay_settings(read_file(path), path));
 }
 
 int run_relay(std::string const& path)
@@ -85,7 +86,8 @@
     {
         bool const good =
             relay ? read_relay(path).has_value()
-                  : checked(mulberry::parse_settings(read_file(path), path))
+                  : value_or_print_faults(
+                        mulberry::parse_settings(read_file(path), path))
                         .has_value();
         if (good)
             std::cout << path << ": the settings are good\n";
@@ -93,7 +95,8 @@
     }
     if (relay)
         return run_relay(path);
-    auto const value = checked(mulberry::parse_settings(read_file(path), path));
+    auto const value =
+        value_or_print_faults(mulberry::parse_settings(read_file(path), path));
     return value ? mulberry::run_daemon(*value) : exit_bad_settings;
 }
 
--- a/src/operator_listener.cpp
+++ b/src/operator_listener.cpp
@@ -18,12 +18,12 @@
 
 constexpr std::size_t queue_capacity = 64;
 constexpr std::chrono::milliseconds peer_timeout{2000};
-constexpr std::size_t usual_timeline_limit = 1000;
+constexpr std::size_t default_timeline_limit = 1000;
 
 /// Codes of JSON-RPC errors: below the base, one for each kind.
 constexpr int error_code_base = -31000;
 
-[[noreturn]] void refuse(error const& what, Json::Value changes = {})
+[[noreturn]] void throw_rpc_failure(error const& what, Json::Value changes = {})
 {
     Json::Value data = error_json(what, "");
     if (!changes.isNull())
@@ -32,17 +32,18 @@
                       what.text(), std::move(data));
 }
 
-declaration parse_or_refuse(std::string const& text)
+declaration parse_or_throw(std::string const& text)
 {
     auto parsed = parse_declaration(text, "declaration");
     if (auto const* faults = std::get_if<std::vector<text_fault>>(&parsed))
-        refuse(error(error_kind::bad_request, faults->front().str()));
+        throw_rpc_failure(
+            error(error_kind::bad_request, faults->front().str()));
     return std::get<declaration>(std::move(parsed));
 }
 
 /// The time one load takes at the store's full speed, from its declared rate
 /// and width.
-duration full_speed_load(store_declaration const& store)
+duration min_load_time(store_declaration const& store)
 {
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>(
         static_cast<double>(store.loads_at_once) / store.loads_per_second));
@@ -56,7 +57,7 @@
     for (auto const& [worker, adapters] : status.residents)
         loaded[worker].insert(adapters.begin(), adapters.end());
     return make_plan(current, status.configuration, wanted, loaded,
-                     full_speed_load(wanted.store));
+                     min_load_time(wanted.store));
 }
 
 /// A reader's place in the time lines of all VMs: {VM: last number}.
@@ -98,10 +99,10 @@
         std::move(options),
         [this](http_request request, std::shared_ptr<http_answer> out)
         {
-            if (!has_key(request, settings_.key))
-                out->respond(key_refusal());
+            if (!is_authorized(request, settings_.key))
+                out->respond(unauthorized_response());
             else if (request.method == "POST" && request.path == "/rpc")
-                executor_->take(std::move(request.body), std::move(out));
+                executor_->submit(std::move(request.body), std::move(out));
             else
                 out->respond(error_page(
                     error(error_kind::not_found, "no " + request.path), ""));
@@ -125,9 +126,9 @@
     return decisions_->status()->members;
 }
 
-Json::Value operator_listener::ask_peer(member_view const& member,
-                                        std::string const& method,
-                                        Json::Value const& parameters)
+Json::Value operator_listener::call_peer(member_view const& member,
+                                         std::string const& method,
+                                         Json::Value const& parameters)
 {
     rpc_client peer(*client_, "http://" + member.address + "/rpc",
                     settings_.peers_key);
@@ -148,7 +149,8 @@
             continue;
         try
         {
-            result["vms"].append(ask_peer(member, "status", Json::objectValue));
+            result["vms"].append(
+                call_peer(member, "status", Json::objectValue));
         }
         catch (rpc_failure const&)
         {
@@ -168,24 +170,25 @@
     return result;
 }
 
-declaration operator_listener::declared_in(Json::Value const& parameters) const
+declaration
+operator_listener::requested_declaration(Json::Value const& parameters) const
 {
-    declaration wanted =
-        parse_or_refuse(text_or(parameters, "declaration", ""));
+    declaration wanted = parse_or_throw(text_or(parameters, "declaration", ""));
     if (wanted.deployment != settings_.deployment)
-        refuse(error(error_kind::bad_request,
-                     "the declaration is for " + wanted.deployment +
-                         ", these VMs serve " + settings_.deployment));
+        throw_rpc_failure(error(error_kind::bad_request,
+                                "the declaration is for " + wanted.deployment +
+                                    ", these VMs serve " +
+                                    settings_.deployment));
     return wanted;
 }
 
 Json::Value operator_listener::plan(Json::Value const& parameters) const
 {
-    declaration const wanted = declared_in(parameters);
-    mulberry::plan const made = plan_for(*decisions_->status(), wanted);
+    declaration const wanted = requested_declaration(parameters);
+    mulberry::plan const new_plan = plan_for(*decisions_->status(), wanted);
     Json::Value result;
-    result["plan"] = *from_text(plan_json(made));
-    result["text"] = describe(made);
+    result["plan"] = *from_text(plan_json(new_plan));
+    result["text"] = describe(new_plan);
     result["declaration"] = write_declaration(wanted);
     return result;
 }
@@ -194,31 +197,33 @@
 {
     std::string const text = text_or(parameters, "declaration", "");
     std::string const digest = text_or(parameters, "digest", "");
-    declaration const wanted = declared_in(parameters);
+    declaration const wanted = requested_declaration(parameters);
     if (digest_of(text) != digest || write_declaration(wanted) != text)
-        refuse(error(error_kind::bad_request,
-                     "the declaration is not the one that was planned"));
+        throw_rpc_failure(
+            error(error_kind::bad_request,
+                  "the declaration is not the one that was planned"));
     auto const status = decisions_->status();
-    mulberry::plan const made = plan_for(*status, wanted);
-    if (!made.feasible())
-        refuse(error(error_kind::plan_infeasible, made.obstacles.front()));
-    confirm_result const settled = decisions_->confirm(
+    mulberry::plan const new_plan = plan_for(*status, wanted);
+    if (!new_plan.feasible())
+        throw_rpc_failure(
+            error(error_kind::plan_infeasible, new_plan.obstacles.front()));
+    confirm_result const confirmed = decisions_->confirm(
         config_version(number_or(parameters, "base", 0)), digest, text);
-    if (auto const* why = std::get_if<error>(&settled.result))
+    if (auto const* why = std::get_if<error>(&confirmed.result))
     {
         Json::Value changes;
-        if (settled.current)
+        if (confirmed.current)
         {
             mulberry::plan const since =
-                make_plan(*settled.current, status->configuration, wanted, {},
+                make_plan(*confirmed.current, status->configuration, wanted, {},
                           duration::zero());
             changes = (*from_text(plan_json(since)))["changes"];
         }
-        refuse(*why, std::move(changes));
+        throw_rpc_failure(*why, std::move(changes));
     }
     Json::Value result;
     result["version"] =
-        Json::UInt64(std::get<config_version>(settled.result).value());
+        Json::UInt64(std::get<config_version>(confirmed.result).value());
     return result;
 }
 
@@ -227,8 +232,8 @@
     vm_id const wanted(text_or(parameters, "vm", ""));
     for (member_view const& member : members())
         if (member.vm == wanted)
-            return ask_peer(member, "drain", Json::objectValue);
-    refuse(error(error_kind::not_found, "no VM " + wanted.str()));
+            return call_peer(member, "drain", Json::objectValue);
+    throw_rpc_failure(error(error_kind::not_found, "no VM " + wanted.str()));
 }
 
 Json::Value operator_listener::targets() const
@@ -240,7 +245,7 @@
 {
     Json::Value cursor = parse_cursor(text_or(parameters, "after", ""));
     std::size_t const limit =
-        number_or(parameters, "limit", usual_timeline_limit);
+        number_or(parameters, "limit", default_timeline_limit);
     std::vector<Json::Value> events;
     for (member_view const& member : members())
     {
@@ -249,7 +254,7 @@
         ask["limit"] = Json::UInt64(limit);
         try
         {
-            for (Json::Value const& event : ask_peer(member, "timeline", ask))
+            for (Json::Value const& event : call_peer(member, "timeline", ask))
                 events.push_back(event);
         }
         catch (rpc_failure const&)
--- a/src/operator_listener.hpp
+++ b/src/operator_listener.hpp
@@ -40,13 +40,13 @@
 
 private:
     /// Calls a method of a VM's peers' listener; throws rpc_failure.
-    Json::Value ask_peer(member_view const& member, std::string const& method,
-                         Json::Value const& parameters);
+    Json::Value call_peer(member_view const& member, std::string const& method,
+                          Json::Value const& parameters);
     std::vector<member_view> members() const;
     Json::Value status(Json::Value const& parameters);
     Json::Value configuration() const;
     /// The declaration in a call's parameters; throws rpc_failure.
-    declaration declared_in(Json::Value const& parameters) const;
+    declaration requested_declaration(Json::Value const& parameters) const;
     Json::Value plan(Json::Value const& parameters) const;
     Json::Value confirm(Json::Value const& parameters);
     Json::Value drain(Json::Value const& parameters);
--- a/src/peer_listener.cpp
+++ b/src/peer_listener.cpp
@@ -18,8 +18,8 @@
 
 constexpr std::string_view forward_path = "/forward/";
 constexpr std::size_t queue_capacity = 1024;
-constexpr std::size_t most_events_at_once = 10000;
-constexpr std::size_t most_unsent_bytes = 4UL * 1024 * 1024;
+constexpr std::size_t max_timeline_events = 10000;
+constexpr std::size_t max_unsent_bytes = 4UL * 1024 * 1024;
 
 /// A peer's open connection, as the response writer of a forwarded request's
 /// answer.
@@ -36,12 +36,12 @@
 
     void on_event(std::uint64_t, std::string const& payload) override
     {
-        if (out_->unsent_bytes() > most_unsent_bytes)
+        if (out_->unsent_bytes() > max_unsent_bytes)
         {
             out_->abort();
             return;
         }
-        quiet_ = false;
+        idle_ = false;
         out_->write("data: " + payload + "\n\n");
     }
 
@@ -64,16 +64,16 @@
     {
         // While a request waits for its turn nothing is written; the entry VM
         // tells that from a dead connection by these comments.
-        if (quiet_)
+        if (idle_)
             out_->write(": waiting\n\n");
-        quiet_ = true;
+        idle_ = true;
     }
 
 private:
     request_id id_;
     std::shared_ptr<http_answer> out_;
     /// Used on the decision thread only, as are all calls.
-    bool quiet_ = true;
+    bool idle_ = true;
 };
 
 } // namespace
@@ -132,16 +132,16 @@
 void peer_listener::handle(http_request request,
                            std::shared_ptr<http_answer> out)
 {
-    if (!has_key(request, settings_.key))
+    if (!is_authorized(request, settings_.key))
     {
-        out->respond(key_refusal());
+        out->respond(unauthorized_response());
         return;
     }
     if (auto const stamp = request.headers.find("X-Stamp"))
-        if (auto const heard = parse_causal_stamp(*stamp))
-            clock_->hear(*heard);
+        if (auto const peer_stamp = parse_causal_stamp(*stamp))
+            clock_->hear(*peer_stamp);
     if (request.method == "POST" && request.path == "/rpc")
-        executor_->take(std::move(request.body), std::move(out));
+        executor_->submit(std::move(request.body), std::move(out));
     else if (request.method == "POST" && request.path.starts_with(forward_path))
         handle_forward(request, std::move(out));
     else
@@ -154,25 +154,27 @@
 void peer_listener::handle_forward(http_request const& request,
                                    std::shared_ptr<http_answer> out)
 {
-    auto asked = parse_forwarded(request.body, shell_clock::now());
+    auto forwarded = parse_forwarded(request.body, shell_clock::now());
     worker_id const worker(
         percent_decode(request.path.substr(forward_path.size())));
-    if (!asked || worker.empty())
+    if (!forwarded || worker.empty())
     {
         out->respond(error_page(
             error(error_kind::bad_request, "not a forwarded request"), ""));
         return;
     }
-    request_id const id = asked->id;
-    if (!ask(*decisions_, *answers_, id, std::make_shared<peer_writer>(id, out),
-             out, request_forwarded{worker, std::move(*asked)}))
+    request_id const id = forwarded->id;
+    if (!submit_request(*decisions_, *answers_, id,
+                        std::make_shared<peer_writer>(id, out), out,
+                        request_forwarded{worker, std::move(*forwarded)}))
         out->abort();
 }
 
 Json::Value peer_listener::tell(Json::Value const& parameters)
 {
-    if (auto const heard = parse_causal_stamp(text_or(parameters, "stamp", "")))
-        clock_->hear(*heard);
+    if (auto const peer_stamp =
+            parse_causal_stamp(text_or(parameters, "stamp", "")))
+        clock_->hear(*peer_stamp);
     auto message = parse_peer_message(parameters["message"]);
     if (!message)
         throw rpc_failure(-32602, "not a peer message");
@@ -189,8 +191,8 @@
 Json::Value peer_listener::read_timeline(Json::Value const& parameters) const
 {
     std::size_t const limit = std::min<std::size_t>(
-        number_or(parameters, "limit", most_events_at_once),
-        most_events_at_once);
+        number_or(parameters, "limit", max_timeline_events),
+        max_timeline_events);
     Json::Value events = Json::arrayValue;
     for (timeline_event const& event :
          timeline_->read(number_or(parameters, "after", 0), limit))
--- a/src/pending_answers.cpp
+++ b/src/pending_answers.cpp
@@ -6,30 +6,30 @@
 {
 
 bool pending_answers::add(request_id const& request,
-                          std::shared_ptr<response_writer> who)
+                          std::shared_ptr<response_writer> writer)
 {
     std::lock_guard const lock(mutex_);
-    return waiting_.emplace(request, std::move(who)).second;
+    return writers_.emplace(request, std::move(writer)).second;
 }
 
 std::shared_ptr<response_writer>
 pending_answers::find(request_id const& request) const
 {
     std::lock_guard const lock(mutex_);
-    auto const place = waiting_.find(request);
-    return place == waiting_.end() ? nullptr : place->second;
+    auto const entry = writers_.find(request);
+    return entry == writers_.end() ? nullptr : entry->second;
 }
 
 std::shared_ptr<response_writer>
 pending_answers::take(request_id const& request)
 {
     std::lock_guard const lock(mutex_);
-    auto const place = waiting_.find(request);
-    if (place == waiting_.end())
+    auto const entry = writers_.find(request);
+    if (entry == writers_.end())
         return nullptr;
-    auto who = std::move(place->second);
-    waiting_.erase(place);
-    return who;
+    auto writer = std::move(entry->second);
+    writers_.erase(entry);
+    return writer;
 }
 
 void pending_answers::keep_all_alive()
@@ -37,17 +37,17 @@
     std::vector<std::shared_ptr<response_writer>> all;
     {
         std::lock_guard const lock(mutex_);
-        for (auto const& [request, who] : waiting_)
-            all.push_back(who);
+        for (auto const& [request, writer] : writers_)
+            all.push_back(writer);
     }
-    for (auto const& who : all)
-        who->keep_alive();
+    for (auto const& writer : all)
+        writer->keep_alive();
 }
 
 std::size_t pending_answers::size() const
 {
     std::lock_guard const lock(mutex_);
-    return waiting_.size();
+    return writers_.size();
 }
 
 } // namespace mulberry
--- a/src/pending_answers.hpp
+++ b/src/pending_answers.hpp
@@ -36,7 +36,8 @@
 {
 public:
     /// False if an answer of that id is outstanding already.
-    bool add(request_id const& request, std::shared_ptr<response_writer> who);
+    bool add(request_id const& request,
+             std::shared_ptr<response_writer> writer);
     /// Null if nobody waits for it any more.
     std::shared_ptr<response_writer> find(request_id const& request) const;
     std::shared_ptr<response_writer> take(request_id const& request);
@@ -45,7 +46,7 @@
 
 private:
     mutable std::mutex mutex_;
-    std::unordered_map<request_id, std::shared_ptr<response_writer>> waiting_;
+    std::unordered_map<request_id, std::shared_ptr<response_writer>> writers_;
 };
 
 } // namespace mulberry
--- a/src/request_intake.cpp
+++ b/src/request_intake.cpp
@@ -5,13 +5,14 @@
 namespace mulberry
 {
 
-bool ask(event_sink& sink, pending_answers& answers, request_id const& id,
-         std::shared_ptr<response_writer> who,
-         std::shared_ptr<http_answer> const& out, core_event event)
+bool submit_request(event_sink& sink, pending_answers& answers,
+                    request_id const& id,
+                    std::shared_ptr<response_writer> writer,
+                    std::shared_ptr<http_answer> const& out, core_event event)
 {
     // On the table of pending answers before the event is offered: the core may
     // answer before this function returns, and would find nobody.
-    if (!answers.add(id, std::move(who)))
+    if (!answers.add(id, std::move(writer)))
         return false;
     if (!sink.offer(std::move(event)))
     {
--- a/src/request_intake.hpp
+++ b/src/request_intake.hpp
@@ -17,9 +17,10 @@
 /// once, not run; when its connection closes first, the core is told. False,
 /// with nothing done, if an answer of that id is outstanding already. Thread
 /// safe; `sink` and `answers` outlive the connection.
-bool ask(event_sink& sink, pending_answers& answers, request_id const& id,
-         std::shared_ptr<response_writer> who,
-         std::shared_ptr<http_answer> const& out, core_event event);
+bool submit_request(event_sink& sink, pending_answers& answers,
+                    request_id const& id,
+                    std::shared_ptr<response_writer> writer,
+                    std::shared_ptr<http_answer> const& out, core_event event);
 
 } // namespace mulberry
 
--- a/src/rpc_executor.cpp
+++ b/src/rpc_executor.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::chrono::hours no_hurry{1};
+constexpr std::chrono::hours idle_wait{1};
 
 } // namespace
 
@@ -26,7 +26,7 @@
     thread_.join();
 }
 
-void rpc_executor::take(std::string body, std::shared_ptr<http_answer> out)
+void rpc_executor::submit(std::string body, std::shared_ptr<http_answer> out)
 {
     if (!ring_.try_push({std::move(body), out}))
         out->respond(error_page(
@@ -37,13 +37,13 @@
 {
     while (!ring_.closed())
     {
-        auto next = ring_.pop(std::chrono::steady_clock::now() + no_hurry);
+        auto next = ring_.pop(std::chrono::steady_clock::now() + idle_wait);
         if (next)
             next->out->respond(json_response(200, server_.handle(next->body)));
     }
 }
 
-bool has_key(http_request const& request, std::string const& key)
+bool is_authorized(http_request const& request, std::string const& key)
 {
     std::string const wanted = "Bearer " + key;
     std::string const given =
@@ -57,7 +57,7 @@
     return difference == 0;
 }
 
-http_response key_refusal()
+http_response unauthorized_response()
 {
     return error_page(
         error(error_kind::unauthorized, "the key is missing or wrong"), "");
--- a/src/rpc_executor.hpp
+++ b/src/rpc_executor.hpp
@@ -24,7 +24,7 @@
                  std::size_t capacity);
     ~rpc_executor();
     /// Queues a request; answered as overloaded if there is no room.
-    void take(std::string body, std::shared_ptr<http_answer> out);
+    void submit(std::string body, std::shared_ptr<http_answer> out);
 
 private:
     struct job
@@ -42,10 +42,10 @@
 
 /// Whether the request carries the listener's key as a bearer token. Takes the
 /// same time wherever the texts differ.
-bool has_key(http_request const& request, std::string const& key);
+bool is_authorized(http_request const& request, std::string const& key);
 
 /// What a listener without the key answers to everything.
-http_response key_refusal();
+http_response unauthorized_response();
 
 } // namespace mulberry
 
--- a/src/stream_observer.cpp
+++ b/src/stream_observer.cpp
@@ -11,11 +11,11 @@
 {
 
 constexpr std::size_t max_event_bytes = 1024UL * 1024;
-constexpr std::size_t max_error_bytes = 64UL * 1024;
+constexpr std::size_t max_error_body_bytes = 64UL * 1024;
 
 /// The statuses by which an engine or a peer says that nothing ran; any other
 /// error status leaves it open.
-bool refuses(int status)
+bool is_rejection(int status)
 {
     return (status >= 400 && status < 500 && status != 408) || status == 503;
 }
@@ -57,23 +57,23 @@
 
 void stream_observer::on_data(std::string_view data)
 {
-    if (over_)
+    if (finished_)
         return;
     if (status_ != 200)
     {
-        if (body_.size() + data.size() <= max_error_bytes)
+        if (body_.size() + data.size() <= max_error_body_bytes)
             body_.append(data);
         return;
     }
     for (sse_event const& event : parser_.feed(data))
-        if (!over_)
-            take(event);
-    if (parser_.overflowed() && !over_)
+        if (!finished_)
+            handle_event(event);
+    if (parser_.overflowed() && !finished_)
         fail({attempt_, failure_stage::answering, 0, "event_too_large",
               "an event is over the limit", std::nullopt});
 }
 
-void stream_observer::take(sse_event const& event)
+void stream_observer::handle_event(sse_event const& event)
 {
     if (event.event == "error")
     {
@@ -88,7 +88,7 @@
     }
     if (event.data == "[DONE]")
     {
-        over_ = true;
+        finished_ = true;
         calls_->ended(attempt_);
         sink_->post(attempt_end{attempt_});
         return;
@@ -100,7 +100,7 @@
               "an event cannot be read", std::nullopt});
         return;
     }
-    begun_ = true;
+    event_seen_ = true;
     sink_->post(attempt_chunk{attempt_, (*value)["offset"].asUInt64(),
                               engine_name(text_or(*value, "model", "")),
                               request_id(text_or(*value, "id", "")), event.data,
@@ -109,7 +109,7 @@
 
 void stream_observer::on_end()
 {
-    if (over_)
+    if (finished_)
         return;
     if (status_ != 200)
     {
@@ -130,7 +130,7 @@
                             "",
                             "status " + std::to_string(status_),
                             std::nullopt};
-    if (refuses(status_))
+    if (is_rejection(status_))
         failure.stage = failure_stage::refused;
     auto const body = from_text(body_);
     if (body && body->isObject())
@@ -145,16 +145,16 @@
 
 void stream_observer::on_failure(call_stage stage, std::string const& text)
 {
-    if (over_)
+    if (finished_)
         return;
     failure_stage const reached =
-        begun_ ? failure_stage::answering : to_failure_stage(stage);
+        event_seen_ ? failure_stage::answering : to_failure_stage(stage);
     fail({attempt_, reached, 0, "connection", text, std::nullopt});
 }
 
 void stream_observer::fail(attempt_failure failure)
 {
-    over_ = true;
+    finished_ = true;
     calls_->ended(attempt_);
     sink_->post(std::move(failure));
 }
--- a/src/stream_observer.hpp
+++ b/src/stream_observer.hpp
@@ -30,7 +30,7 @@
     void on_failure(call_stage stage, std::string const& text) override;
 
 private:
-    void take(sse_event const& event);
+    void handle_event(sse_event const& event);
     void fail(attempt_failure failure);
     void fail_with_status();
 
@@ -40,8 +40,8 @@
     sse_parser parser_;
     int status_ = 0;
     std::string body_;
-    bool begun_ = false;
-    bool over_ = false;
+    bool event_seen_ = false;
+    bool finished_ = false;
 };
 
 } // namespace mulberry
--- a/tests/completion_request_test.cpp
+++ b/tests/completion_request_test.cpp
@@ -27,7 +27,7 @@
     return parse_completion(request, endpoint, {}, now);
 }
 
-error_kind fault_of(std::string body)
+error_kind error_kind_of(std::string body)
 {
     auto const parsed = parse(post(std::move(body)));
     REQUIRE(std::holds_alternative<error>(parsed));
@@ -63,23 +63,25 @@
 TEST_CASE("bad input gets the kind that says what is wrong",
           "[completion_request]")
 {
-    CHECK(fault_of("") == error_kind::bad_request);
-    CHECK(fault_of("[]") == error_kind::bad_request);
-    CHECK(fault_of(R"({"prompt":"p"})") == error_kind::bad_request);
-    CHECK(fault_of(R"({"model":"a","prompt":"p"})") ==
+    CHECK(error_kind_of("") == error_kind::bad_request);
+    CHECK(error_kind_of("[]") == error_kind::bad_request);
+    CHECK(error_kind_of(R"({"prompt":"p"})") == error_kind::bad_request);
+    CHECK(error_kind_of(R"({"model":"a","prompt":"p"})") ==
           error_kind::unknown_model);
-    CHECK(fault_of(R"({"model":"a@0","prompt":"p"})") ==
+    CHECK(error_kind_of(R"({"model":"a@0","prompt":"p"})") ==
           error_kind::unknown_model);
-    CHECK(fault_of(R"({"model":"a@1","prompt":7})") == error_kind::bad_request);
-    CHECK(fault_of(R"({"model":"a@1","prompt":"p","max_tokens":0})") ==
+    CHECK(error_kind_of(R"({"model":"a@1","prompt":7})") ==
           error_kind::bad_request);
-    CHECK(fault_of(R"({"model":"a@1","prompt":"p","stream":"yes"})") ==
+    CHECK(error_kind_of(R"({"model":"a@1","prompt":"p","max_tokens":0})") ==
           error_kind::bad_request);
-    CHECK(fault_of(std::string(100'000, '[')) == error_kind::bad_request);
-    for (char const* absurd : {"0", "-5", "1e9", "99999999999999999999", ""})
+    CHECK(error_kind_of(R"({"model":"a@1","prompt":"p","stream":"yes"})") ==
+          error_kind::bad_request);
+    CHECK(error_kind_of(std::string(100'000, '[')) == error_kind::bad_request);
+    for (char const* invalid_deadline :
+         {"0", "-5", "1e9", "99999999999999999999", ""})
     {
         http_request asked = post(R"({"model":"a@1","prompt":"p"})");
-        asked.headers.add("X-Deadline-Ms", absurd);
+        asked.headers.add("X-Deadline-Ms", invalid_deadline);
         auto const parsed = parse(asked);
         REQUIRE(std::holds_alternative<error>(parsed));
         CHECK(std::get<error>(parsed).kind() == error_kind::bad_deadline);
--- a/tests/stream_observer_test.cpp
+++ b/tests/stream_observer_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-class kept_events : public event_sink
+class recording_sink : public event_sink
 {
 public:
     bool offer(core_event event) override
@@ -30,9 +30,9 @@
 }
 
 /// Whether the event read from that text counts as an answer's last.
-bool read_as_last(std::string const& choices)
+bool is_last_event(std::string const& choices)
 {
-    kept_events sink;
+    recording_sink sink;
     call_registry calls;
     stream_observer observer(attempt_id(1), sink, calls);
     observer.on_status(200, {});
@@ -45,19 +45,19 @@
 
 TEST_CASE("the last event is the one with a finish_reason", "[stream_observer]")
 {
-    CHECK(read_as_last(R"([{"index":0,"finish_reason":"stop"}])"));
-    CHECK_FALSE(read_as_last(R"([{"index":0,"finish_reason":null}])"));
-    CHECK_FALSE(read_as_last(R"([{"index":0}])"));
-    CHECK_FALSE(read_as_last(R"([])"));
-    CHECK_FALSE(read_as_last(R"("stop")"));
-    CHECK_FALSE(read_as_last(R"([7])"));
+    CHECK(is_last_event(R"([{"index":0,"finish_reason":"stop"}])"));
+    CHECK_FALSE(is_last_event(R"([{"index":0,"finish_reason":null}])"));
+    CHECK_FALSE(is_last_event(R"([{"index":0}])"));
+    CHECK_FALSE(is_last_event(R"([])"));
+    CHECK_FALSE(is_last_event(R"("stop")"));
+    CHECK_FALSE(is_last_event(R"([7])"));
 }
 
 // A proxy in between closes the response properly in the middle of an answer.
 // Without the mark of the end it is a cut, whatever came before.
 TEST_CASE("a stream without its mark of the end is a cut", "[stream_observer]")
 {
-    kept_events sink;
+    recording_sink sink;
     call_registry calls;
     stream_observer observer(attempt_id(1), sink, calls);
     observer.on_status(200, {});
