--- a/src/pending_answers.hpp
+++ b/src/pending_answers.hpp
@@ -1,4 +1,5 @@
-/// Who waits for which answer.
+/// Maps the ids of unanswered requests to the connections that wait for the
+/// answers.
 #ifndef MULBERRY_PENDING_ANSWERS_HPP
 #define MULBERRY_PENDING_ANSWERS_HPP
 
@@ -16,8 +17,8 @@
 namespace mulberry
 {
 
-/// Whoever asked: a caller's or a peer's open connection. Called on the
-/// decision thread; must not block.
+/// Writes the answer to a request to the open connection of a caller or peer.
+/// All functions are called on the decision thread and must not block.
 class response_writer
 {
 public:
@@ -27,20 +28,22 @@
     virtual void on_error(error const& what) = 0;
     virtual void on_service_answer(service_answer const& answer,
                                    bool replayed) = 0;
-    /// Called now and then while the answer is outstanding.
+    /// Called periodically until the answer is complete.
     virtual void keep_alive() = 0;
 };
 
-/// Thread safe.
+/// Thread safety: all functions may be called from any thread.
 class pending_answers
 {
 public:
-    /// False if an answer of that id is outstanding already.
+    /// Returns false, without a change, if `request` already has a writer.
     bool add(request_id const& request,
              std::shared_ptr<response_writer> writer);
-    /// Null if nobody waits for it any more.
+    /// Returns null if no writer waits for the answer to `request`.
     std::shared_ptr<response_writer> find(request_id const& request) const;
+    /// Removes and returns the writer of `request`; null if there is none.
     std::shared_ptr<response_writer> take(request_id const& request);
+    /// Calls keep_alive() on every writer, without holding the lock.
     void keep_all_alive();
     std::size_t size() const;
 
--- a/src/request_intake.cpp
+++ b/src/request_intake.cpp
@@ -10,8 +10,8 @@
                     std::shared_ptr<response_writer> writer,
                     std::shared_ptr<http_answer> const& out, core_event event)
 {
-    // On the table of pending answers before the event is offered: the core may
-    // answer before this function returns, and would find nobody.
+    // Add the writer before offering the event: the core may answer before
+    // this function returns, and must find the writer.
     if (!answers.add(id, std::move(writer)))
         return false;
     if (!sink.offer(std::move(event)))
@@ -21,9 +21,8 @@
                                     "this VM's queue of events is full"));
         return true;
     }
-    // Whoever takes the response writer off the table of pending answers
-    // answers it, or tells that it went: the answer and the closing connection
-    // cannot both win.
+    // take() returns the writer only once, so either the core answers the
+    // request or this handler reports the closed connection, never both.
     out->on_closed(
         [&sink, &answers, id]
         {
--- a/src/request_intake.hpp
+++ b/src/request_intake.hpp
@@ -1,5 +1,5 @@
-/// How a listener hands a request to the core: the one order of steps in which
-/// no response writer is forgotten and none answered twice.
+/// Passes a listener's request to the core. The order of the steps ensures that
+/// every response writer is answered exactly once.
 #ifndef MULBERRY_REQUEST_INTAKE_HPP
 #define MULBERRY_REQUEST_INTAKE_HPP
 
@@ -12,11 +12,12 @@
 namespace mulberry
 {
 
-/// Puts `who` on the table of pending answers under `id` and offers the event.
-/// With the core's ring full the response writer is answered as overloaded at
-/// once, not run; when its connection closes first, the core is told. False,
-/// with nothing done, if an answer of that id is outstanding already. Thread
-/// safe; `sink` and `answers` outlive the connection.
+/// Adds `writer` to `answers` under `id` and offers `event` to the core. If the
+/// core's event queue is full, `writer` gets the error `overloaded` at once and
+/// the request does not run. If the connection closes before the answer, the
+/// core receives `writer_gone`. Returns false, and does nothing, if `id`
+/// already has a pending answer. Preconditions: `sink` and `answers` outlive
+/// the connection. Thread safety: may be called from any thread.
 bool submit_request(event_sink& sink, pending_answers& answers,
                     request_id const& id,
                     std::shared_ptr<response_writer> writer,
--- a/src/response_observer.cpp
+++ b/src/response_observer.cpp
@@ -7,8 +7,8 @@
 namespace
 {
 
-/// More than any answer of the platform or a service may hold; beyond it the
-/// answer is not whole.
+/// Above the maximum size of any answer of the platform or a service. A larger
+/// response counts as failed because its body is incomplete.
 constexpr std::size_t max_response_bytes = 64UL * 1024 * 1024;
 
 } // namespace
@@ -28,7 +28,7 @@
 void response_observer::on_data(std::string_view data)
 {
     if (response_.body.size() + data.size() > max_response_bytes)
-        response_.failure = "the response is over the limit";
+        response_.failure = "the response exceeds the size limit";
     else
         response_.body.append(data);
 }
--- a/src/response_observer.hpp
+++ b/src/response_observer.hpp
@@ -1,4 +1,4 @@
-/// Collects a whole response and hands it to one function.
+/// Collects a complete HTTP response and passes it to a callback.
 #ifndef MULBERRY_RESPONSE_OBSERVER_HPP
 #define MULBERRY_RESPONSE_OBSERVER_HPP
 
@@ -11,7 +11,8 @@
 namespace mulberry
 {
 
-/// A finished call. status 0: it failed at `stage`.
+/// The result of a call. If `status` is 0, the call failed at `stage` and
+/// `failure` says why; otherwise the response is complete.
 struct collected_response
 {
     int status = 0;
@@ -21,7 +22,8 @@
     std::string failure;
 };
 
-/// Used on the client's thread only; `done` is called there once.
+/// Calls `done` once, with the response or the failure.
+/// Thread safety: used on the HTTP client's thread only; `done` runs there.
 class response_observer : public http_call_observer
 {
 public:
--- a/src/stream_observer.cpp
+++ b/src/stream_observer.cpp
@@ -13,8 +13,8 @@
 constexpr std::size_t max_event_bytes = 1024UL * 1024;
 constexpr std::size_t max_error_body_bytes = 64UL * 1024;
 
-/// The statuses by which an engine or a peer says that nothing ran; any other
-/// error status leaves it open.
+/// Returns whether `status` means that the engine or peer did not run the
+/// request. After any other error status, the request may have run.
 bool is_rejection(int status)
 {
     return (status >= 400 && status < 500 && status != 408) || status == 503;
@@ -70,7 +70,7 @@
             handle_event(event);
     if (parser_.overflowed() && !finished_)
         fail({attempt_, failure_stage::answering, 0, "event_too_large",
-              "an event is over the limit", std::nullopt});
+              "an event exceeds the size limit", std::nullopt});
 }
 
 void stream_observer::handle_event(sse_event const& event)
@@ -97,7 +97,7 @@
     if (!value || !value->isObject() || !(*value)["offset"].isUInt64())
     {
         fail({attempt_, failure_stage::answering, 0, "not_an_event",
-              "an event cannot be read", std::nullopt});
+              "an event is not valid JSON with an `offset`", std::nullopt});
         return;
     }
     event_seen_ = true;
@@ -116,8 +116,8 @@
         fail_with_status();
         return;
     }
-    // The response ended properly but without [DONE]: the answer is not known
-    // to be whole, so it is a cut.
+    // The response ended without an HTTP error but without [DONE]. The answer
+    // may be incomplete, so it is treated as truncated.
     fail({attempt_, failure_stage::answering, 0, "no_done",
           "the stream ended without [DONE]", std::nullopt});
 }
--- a/src/stream_observer.hpp
+++ b/src/stream_observer.hpp
@@ -1,4 +1,4 @@
-/// Reads a stream of events, from an engine or a peer, into attempt events.
+/// Converts a server-sent event stream of an engine or peer to attempt events.
 #ifndef MULBERRY_STREAM_OBSERVER_HPP
 #define MULBERRY_STREAM_OBSERVER_HPP
 
@@ -13,12 +13,13 @@
 namespace mulberry
 {
 
-/// How far a failed call may have had an effect, from the stage the client
-/// reports.
+/// Converts the stage at which the HTTP client reports a failed call. The
+/// result says whether the call may have had an effect.
 failure_stage to_failure_stage(call_stage stage);
 
-/// Posts attempt_chunk for each event, then attempt_end after `[DONE]` or
-/// attempt_failure. Used on the client's thread only.
+/// Posts an attempt_chunk for each event, and finally an attempt_end after
+/// `[DONE]` or an attempt_failure.
+/// Thread safety: used on the HTTP client's thread only.
 class stream_observer : public http_call_observer
 {
 public:
--- a/tests/stream_observer_test.cpp
+++ b/tests/stream_observer_test.cpp
@@ -29,7 +29,7 @@
            choices + "}\n\n";
 }
 
-/// Whether the event read from that text counts as an answer's last.
+/// Returns whether an event with these `choices` is marked as the last one.
 bool is_last_event(std::string const& choices)
 {
     recording_sink sink;
@@ -53,9 +53,11 @@
     CHECK_FALSE(is_last_event(R"([7])"));
 }
 
-// A proxy in between closes the response properly in the middle of an answer.
-// Without the mark of the end it is a cut, whatever came before.
-TEST_CASE("a stream without its mark of the end is a cut", "[stream_observer]")
+// Guards against truncated answers taken for complete: a proxy closes the
+// response normally in the middle of an answer. Without [DONE] the attempt
+// fails, even if an event had a finish_reason.
+TEST_CASE("a stream that ends without [DONE] fails the attempt",
+          "[stream_observer]")
 {
     recording_sink sink;
     call_registry calls;
