--- a/src/http_engine_port.cpp
+++ b/src/http_engine_port.cpp
@@ -17,9 +17,9 @@
 constexpr std::chrono::milliseconds report_timeout{1000};
 constexpr std::chrono::milliseconds cancel_timeout{2000};
 
-/// The engine's body: the caller's, with the name to run in place of `model`.
-/// The callers' listener leaves `model`, `stream` and `priority` out of what it
-/// passes on, so they are put in front.
+/// Returns the request body for the engine: the caller's body with `model`,
+/// `stream` and `priority` prepended. The callers' listener has removed these
+/// three members; `model` becomes the engine's name for the adapter.
 std::string engine_body(start_attempt const& what)
 {
     std::string const& caller_body = *what.request.body;
@@ -123,8 +123,8 @@
     call.url = *base + "/v1/streams/" + percent_encode(what.request.str());
     call.deadline = std::chrono::steady_clock::now() + cancel_timeout;
     call.repeatable = true;
-    // Whether it arrives matters little: a stream that nobody reads is
-    // cancelled by the engine itself after a while.
+    // The result is ignored: the engine itself cancels a stream that is not
+    // read for some time.
     calls_.client().start(
         std::move(call),
         std::make_shared<response_observer>([](collected_response const&) {}));
@@ -217,9 +217,9 @@
     std::size_t const total_requests = report.running + report.waiting;
     for (Json::Value const& one : (*value)["adapters"])
     {
-        // Engines that list bare names do not say which adapter runs what
-        // runs; each then counts as running all of it, so that none is taken
-        // for idle that is not.
+        // Engines that list only names do not report requests per adapter.
+        // Each adapter then counts as running all requests, so that no busy
+        // adapter is treated as idle.
         if (one.isString())
             report.adapters.push_back(
                 {engine_name(one.asString()), total_requests});
--- a/src/http_engine_port.hpp
+++ b/src/http_engine_port.hpp
@@ -1,4 +1,5 @@
-/// Engines over HTTP, by the conventions of PROTOCOLS.md, "Towards engines".
+/// Sends requests and orders to engines over HTTP (PROTOCOLS.md, "Towards
+/// engines").
 #ifndef MULBERRY_HTTP_ENGINE_PORT_HPP
 #define MULBERRY_HTTP_ENGINE_PORT_HPP
 
@@ -28,8 +29,9 @@
     void ask_load(std::vector<worker_id> const& workers) override;
 
 private:
-    /// Nothing if the worker is not declared any more.
+    /// Returns nothing if `worker` is not declared.
     std::optional<std::string> find_url(worker_id const& worker) const;
+    /// Sends an order to load or unload an adapter; posts an order_result.
     void order(order_id order, worker_id const& worker, char const* path,
                std::string body, fencing_number fence, time_point deadline);
 
@@ -38,7 +40,9 @@
     call_registry calls_;
 };
 
-/// A worker's answer to GET /load. Nothing if it cannot be read.
+/// Parses a worker's answer to GET /load. `asked_at` is when the call was sent;
+/// the report's `as_of` is that time less the reported age. Returns nothing if
+/// `text` is not valid.
 std::optional<engine_report> parse_engine_report(worker_id const& worker,
                                                  std::string_view text,
                                                  time_point asked_at);
--- a/src/http_peer_port.cpp
+++ b/src/http_peer_port.cpp
@@ -16,23 +16,25 @@
 
 constexpr std::chrono::milliseconds connect_timeout{500};
 constexpr std::chrono::milliseconds message_timeout{1000};
-/// The owner writes something at least every half second; a connection that is
-/// silent for four times that has been lost by something in between, although
-/// neither end was told. Waiting for the answer's deadline instead would leave
-/// the caller with nothing until then.
+/// The owner writes at least every 500 ms. After four times that without data,
+/// the connection counts as lost on the path although neither end received an
+/// error. Waiting for the request's deadline instead would leave the caller
+/// without an answer until then.
 constexpr std::chrono::milliseconds peer_silence_timeout{2000};
-/// Messages to one VM that may be under way at once; a VM that does not answer
-/// must not collect connections.
+/// Limit of concurrent messages to one VM, so that a VM that does not answer
+/// cannot accumulate connections. Further messages are dropped.
 constexpr std::size_t max_messages_in_flight = 8;
 
 } // namespace
 
-/// Counts by address; shared with the observers of the calls.
+/// Counts the messages in flight per address. Shared with the call observers.
+/// Thread safety: both functions may be called from any thread.
 struct http_peer_port::in_flight_counter
 {
     std::mutex mutex;
     std::map<std::string, std::size_t> count;
 
+    /// Returns false, without counting, if the limit is reached.
     bool begin(std::string const& address)
     {
         std::lock_guard const lock(mutex);
@@ -64,9 +66,9 @@
 {
     if (address.empty())
     {
-        sink_->post(attempt_failure{what.attempt, failure_stage::not_sent, 0,
-                                    "no_address", "the owner is not known",
-                                    std::nullopt});
+        sink_->post(attempt_failure{
+            what.attempt, failure_stage::not_sent, 0, "no_address",
+            "the owner's address is unknown", std::nullopt});
         return;
     }
     http_call call;
@@ -107,8 +109,9 @@
     call.headers.add("Authorization", "Bearer " + key_);
     call.headers.add("Content-Type", "application/json");
     call.body = to_text(body);
-    // Every message may arrive more than once, so kept connections may be
-    // used: at five hints a second a new one each would cost more than it all.
+    // Messages are idempotent, so calls may be repeated and persistent
+    // connections reused. At five hints a second, a new connection for each
+    // message would cost more than all other work for it.
     call.repeatable = true;
     call.deadline = std::chrono::steady_clock::now() + message_timeout;
     call.connect_timeout = connect_timeout;
--- a/src/http_peer_port.hpp
+++ b/src/http_peer_port.hpp
@@ -1,5 +1,5 @@
-/// Other VMs over HTTP: forwarded requests as streams of events, messages as
-/// JSON-RPC.
+/// Communicates with other VMs over HTTP: forwarded requests are answered as
+/// event streams, messages are sent as JSON-RPC.
 #ifndef MULBERRY_HTTP_PEER_PORT_HPP
 #define MULBERRY_HTTP_PEER_PORT_HPP
 
--- a/src/http_platform_port.cpp
+++ b/src/http_platform_port.cpp
@@ -36,8 +36,8 @@
     return rows;
 }
 
-/// What an answer of the table service means. No answer, or one that cannot be
-/// understood, leaves the outcome open.
+/// Converts an answer of the table service. A missing or invalid answer gives
+/// `unreachable`: the operation may have taken effect.
 table_reply to_table_reply(operation_id operation,
                            collected_response const& response)
 {
@@ -131,8 +131,8 @@
                                  token_prefix_ + "-" +
                                      std::to_string(what.operation.value()));
     call.deadline = shell_clock::to_steady(what.deadline);
-    // A read may be made again by the client; a write may not, since only the
-    // core can tell from the rows whether it took effect.
+    // The client may retry a read. It must not retry a write: only the core can
+    // determine from the rows whether the first attempt took effect.
     call.repeatable = what.transaction.writes.empty();
     table_client_.start(std::move(call),
                         std::make_shared<response_observer>(
@@ -190,7 +190,7 @@
     call.url = urls_.objects + "/" + what.key;
     call.body = *what.bytes;
     call.deadline = shell_clock::to_steady(what.deadline);
-    // Objects are named by their content, so writing one twice does no harm.
+    // Objects are named by their content, so a write is idempotent.
     call.repeatable = true;
     object_client_.start(
         std::move(call),
@@ -210,9 +210,9 @@
                        std::make_shared<response_observer>(
                            [sink = sink_](collected_response const& response)
                            {
-                               // An empty list is what a list service that
-                               // has just restarted answers; believed, it
-                               // would declare every VM gone at once.
+                               // A list service that has just
+                               // restarted returns an empty list. Using
+                               // it would report every VM as gone.
                                auto vms = parse_vms(response.body);
                                if (response.status == 200 && !vms.empty())
                                    sink->post(vms_listed{std::move(vms)});
--- a/src/http_platform_port.hpp
+++ b/src/http_platform_port.hpp
@@ -1,5 +1,6 @@
-/// The platform's table service, object store and list of VMs over HTTP, one
-/// client for each, so that a slow one does not hold up another.
+/// Calls the platform's table service, object store and VM list service over
+/// HTTP. Each service has its own client, so that a slow service does not delay
+/// calls to the others.
 #ifndef MULBERRY_HTTP_PLATFORM_PORT_HPP
 #define MULBERRY_HTTP_PLATFORM_PORT_HPP
 
@@ -12,6 +13,7 @@
 namespace mulberry
 {
 
+/// Base URLs of the table service and object store, and the URL of the VM list.
 struct platform_urls
 {
     std::string table;
@@ -22,8 +24,8 @@
 class http_platform_port : public platform_port
 {
 public:
-    /// `sink` outlives this object. `token_prefix` makes this process's
-    /// transaction tokens differ from any other's.
+    /// Precondition: `sink` outlives this object. `token_prefix` must be unique
+    /// to this process: it makes the transaction tokens unique.
     http_platform_port(platform_urls urls, std::string token_prefix,
                        event_sink& sink);
 
@@ -35,6 +37,7 @@
     void ask_vms() override;
 
 private:
+    /// Sends an idempotent GET to the table service and posts the reply.
     void read(operation_id operation, std::string url, time_point deadline);
 
     platform_urls urls_;
--- a/src/http_service_port.cpp
+++ b/src/http_service_port.cpp
@@ -12,9 +12,9 @@
 {
 
 constexpr std::chrono::milliseconds connect_timeout{500};
-/// A call's connection outlives its request by this much: an answer that comes
-/// after its caller was told "unknown" is kept for the caller's next try. The
-/// core cancels calls that it no longer waits for.
+/// How long a call continues after its request's deadline. An answer that
+/// arrives after the caller received "unknown" is kept for the caller's next
+/// retry. The core cancels calls whose answers it no longer needs.
 constexpr std::chrono::seconds late_answer_grace{35};
 
 http_call to_call(call_service const& what, std::string const& base)
--- a/src/http_service_port.hpp
+++ b/src/http_service_port.hpp
@@ -1,4 +1,4 @@
-/// Plain services over HTTP.
+/// Sends the requests for plain services (no model) to their workers over HTTP.
 #ifndef MULBERRY_HTTP_SERVICE_PORT_HPP
 #define MULBERRY_HTTP_SERVICE_PORT_HPP
 
