--- a/src/completion_answer.cpp
+++ b/src/completion_answer.cpp
@@ -11,12 +11,13 @@
 namespace
 {
 
-/// A caller that reads so slowly that this much waits for it is cut off, so
-/// that it cannot hold memory that others need.
+/// The connection of a slow caller is aborted when this much unsent data has
+/// accumulated, to bound memory use.
 constexpr std::size_t max_unsent_bytes = 4UL * 1024 * 1024;
 
-/// Cuts what follows `head` up to the next quotation mark, where `mark` begins
-/// it: "ADAPTER@VERSION#12" becomes "ADAPTER@VERSION".
+/// Finds the first string in `text` that is `head`, `mark` and digits, and
+/// removes `mark` and the digits: "ADAPTER@VERSION#12" becomes
+/// "ADAPTER@VERSION".
 void remove_numeric_suffix(std::string& text, std::string const& head,
                            char mark)
 {
@@ -87,8 +88,8 @@
         out_->respond(error_page(what, id_.str()));
         return;
     }
-    // The stream is closed without [DONE] and without the last chunk, so that
-    // no reader can take the part it has for the whole.
+    // The stream ends without [DONE] and without the last HTTP chunk, so that
+    // no client treats the partial answer as complete.
     out_->write("event: error\ndata: " + error_text(what, id_.str()) + "\n\n");
     out_->abort();
 }
--- a/src/completion_answer.hpp
+++ b/src/completion_answer.hpp
@@ -1,4 +1,4 @@
-/// A caller's open connection, as the response writer of a model's answer.
+/// Response writers that write a model's answer to a caller's connection.
 #ifndef MULBERRY_COMPLETION_ANSWER_HPP
 #define MULBERRY_COMPLETION_ANSWER_HPP
 
@@ -12,7 +12,7 @@
 namespace mulberry
 {
 
-/// Passes events on as they come.
+/// Writes each event to the caller as it arrives (`stream`: true).
 class streamed_answer : public response_writer
 {
 public:
@@ -32,7 +32,7 @@
     bool stream_started_ = false;
 };
 
-/// Puts the events together into one answer.
+/// Collects all events and writes one JSON answer at the end (`stream`: false).
 class buffered_answer : public response_writer
 {
 public:
@@ -55,9 +55,9 @@
     std::string usage_;
 };
 
-/// An event's JSON as callers see it: the engine's name for the adapter, with
-/// the fencing number, becomes ADAPTER@VERSION, and the try's id the
-/// request's.
+/// Converts an event's JSON for callers: removes the fencing number from the
+/// engine's adapter name, which leaves ADAPTER@VERSION, and the attempt number
+/// from the id, which leaves the request's id.
 std::string caller_payload(std::string payload, adapter_ref const& adapter,
                            request_id const& id);
 
--- a/src/completion_request.cpp
+++ b/src/completion_request.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// Prompts that share this much of their head share a cached prefix.
+/// Prompts that agree in this many leading bytes share a prefix cache key.
 constexpr std::size_t prefix_key_bytes = 256;
 constexpr std::size_t max_application_bytes = 128;
 
@@ -32,8 +32,8 @@
     return value;
 }
 
-/// The text whose head names the cached prefix, or nothing if the prompt is
-/// not of the form supported.
+/// Returns the prompt text from which the prefix cache key is computed, or
+/// nothing if the prompt has an unsupported form.
 std::optional<std::string> find_prompt(Json::Value const& body,
                                        model_endpoint endpoint)
 {
--- a/src/completion_request.hpp
+++ b/src/completion_request.hpp
@@ -1,4 +1,4 @@
-/// Reads a caller's OpenAI-compatible request.
+/// Parses a caller's OpenAI-compatible completion request.
 #ifndef MULBERRY_COMPLETION_REQUEST_HPP
 #define MULBERRY_COMPLETION_REQUEST_HPP
 
@@ -12,6 +12,7 @@
 namespace mulberry
 {
 
+/// Limits and defaults for callers' requests.
 struct request_limits
 {
     duration default_deadline = std::chrono::seconds(60);
@@ -19,14 +20,17 @@
     std::size_t max_tokens = 32768;
 };
 
-/// The request without id, base model and (unless given) application; its body
-/// is the caller's without `model`, `stream` and `priority`. Or what is wrong
-/// with it.
+/// Returns the request, or an error that says what is wrong with it. The id and
+/// base model are not set, the application only if X-Application is given. The
+/// body is the caller's without `model`, `stream` and `priority`. `now` is the
+/// time of arrival.
 std::variant<model_request, error>
 parse_completion(http_request const& request, model_endpoint endpoint,
                  request_limits const& limits, time_point now);
 
-/// The deadline of a request's X-Deadline-Ms, or the default.
+/// Returns `now` plus the time in X-Deadline-Ms (milliseconds), or plus the
+/// default deadline if the header is missing; the error `bad_deadline` if its
+/// value is not from 1 to the maximum.
 std::variant<time_point, error> parse_deadline(http_request const& request,
                                                request_limits const& limits,
                                                time_point now);
--- a/src/error_page.cpp
+++ b/src/error_page.cpp
@@ -20,7 +20,7 @@
 
 error server_error(int status)
 {
-    // The request was whole and may have run.
+    // The request was received completely and may have run.
     if (status == 502)
         return error(error_kind::answer_cut,
                      "the connection was half closed by the caller before the "
--- a/src/error_page.hpp
+++ b/src/error_page.hpp
@@ -1,4 +1,4 @@
-/// Errors as HTTP responses.
+/// Converts errors to HTTP responses.
 #ifndef MULBERRY_ERROR_PAGE_HPP
 #define MULBERRY_ERROR_PAGE_HPP
 
@@ -10,14 +10,16 @@
 namespace mulberry
 {
 
-/// {"error": {...}} with the kind's status, and Retry-After in whole seconds
-/// where coming back makes sense. `request` may be empty.
+/// Returns a response with the body {"error": {...}} and the status of the
+/// error's kind. Adds Retry-After, rounded up to whole seconds, if a retry may
+/// succeed. `request` is the request's id, or empty.
 http_response error_page(error const& what, std::string const& request);
 
-/// The JSON text of the body.
+/// Returns the body of error_page() as JSON text.
 std::string error_text(error const& what, std::string const& request);
 
-/// What the HTTP server itself answers with a status.
+/// Returns the response for an error with HTTP status `status` that the HTTP
+/// server detects itself, such as a body that is too large.
 http_response server_error_page(int status);
 
 } // namespace mulberry
--- a/src/json_text.cpp
+++ b/src/json_text.cpp
@@ -18,7 +18,7 @@
 std::unique_ptr<Json::CharReader> make_strict_reader()
 {
     Json::CharReaderBuilder strict;
-    // Strict mode asks for an object or array at the top.
+    // Strict mode requires an object or array at the top.
     Json::CharReaderBuilder::strictMode(&strict.settings_);
     strict.settings_["stackLimit"] = max_nesting_depth;
     strict.settings_["failIfExtra"] = true;
@@ -33,9 +33,9 @@
     return std::unique_ptr<Json::StreamWriter>(compact.newStreamWriter());
 }
 
-// Making a reader or writer looks up each of its settings by name, which costs
-// more than reading one token's event. They keep nothing from one text to the
-// next, so each thread uses one of its own again.
+// Creating a reader or writer looks up each setting by name, which costs more
+// than parsing the event of one token. Readers and writers keep no state
+// between texts, so each thread reuses its own.
 Json::CharReader& strict_reader()
 {
     thread_local auto const reader = make_strict_reader();
@@ -59,8 +59,8 @@
 
 std::optional<Json::Value> from_text(std::string_view text)
 {
-    // jsoncpp throws beyond its stack limit; to the reader of a hostile body
-    // that is one more way of not being JSON.
+    // jsoncpp throws if the nesting exceeds its stack limit. A hostile body can
+    // cause that, so it is reported as invalid JSON.
     try
     {
         Json::Value value;
--- a/src/json_text.hpp
+++ b/src/json_text.hpp
@@ -1,4 +1,6 @@
-/// Small helpers over jsoncpp, for texts made and read by programs.
+/// Helpers over jsoncpp for machine-readable JSON.
+///
+/// Thread safety: all functions may be called from any thread.
 #ifndef MULBERRY_JSON_TEXT_HPP
 #define MULBERRY_JSON_TEXT_HPP
 
@@ -12,12 +14,14 @@
 namespace mulberry
 {
 
-/// Compact, on one line.
+/// Returns `value` as compact JSON on one line.
 std::string to_text(Json::Value const& value);
-/// Strict JSON; nothing if it is not, or nested too deep.
+/// Parses strict JSON with an object or array at the top. Returns nothing if
+/// `text` is invalid or nested too deeply.
 std::optional<Json::Value> from_text(std::string_view text);
 
-/// Members read with a fallback for a missing one or one of another type.
+/// Return the member `key` of `object`, or `otherwise` if the member is missing
+/// or has another type, or if `object` is not an object.
 std::string text_or(Json::Value const& object, char const* key,
                     std::string const& otherwise);
 std::uint64_t number_or(Json::Value const& object, char const* key,
--- a/tests/completion_request_test.cpp
+++ b/tests/completion_request_test.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("a completion is read, and what belongs to the layer taken out",
+TEST_CASE("parse_completion reads headers and removes the layer's members",
           "[completion_request]")
 {
     http_request asked = post(R"({"model":"a@2","prompt":"p","stream":true,
@@ -60,7 +60,7 @@
           std::vector<std::string>{"max_tokens", "prompt", "top_p"});
 }
 
-TEST_CASE("bad input gets the kind that says what is wrong",
+TEST_CASE("invalid input gives the error kind of its fault",
           "[completion_request]")
 {
     CHECK(error_kind_of("") == error_kind::bad_request);
@@ -88,7 +88,8 @@
     }
 }
 
-TEST_CASE("chat needs messages with a role and a text", "[completion_request]")
+TEST_CASE("chat messages need a role and a text content",
+          "[completion_request]")
 {
     auto const good = parse(post(R"({"model":"a@1","messages":[{"role":"user",
                        "content":"sum up"}]})"),
@@ -99,7 +100,7 @@
     CHECK(std::holds_alternative<error>(bad));
 }
 
-TEST_CASE("callers see neither the fencing number nor the try's id",
+TEST_CASE("caller_payload removes the fencing number and the attempt number",
           "[completion_answer]")
 {
     CHECK(caller_payload(R"({"id":"vm-1.3","model":"a@2#17","offset":0})",
@@ -110,7 +111,7 @@
                          request_id("vm-1")) == R"({"text":"a@2#17 vm-1.3"})");
 }
 
-TEST_CASE("an error page says when to come back only where that helps",
+TEST_CASE("error pages have Retry-After only if a retry may succeed",
           "[error_page]")
 {
     auto const full = error_page(
