--- a/src/caller_listener.cpp
+++ b/src/caller_listener.cpp
@@ -18,8 +18,7 @@
 constexpr std::string_view services_path = "/services/";
 constexpr std::size_t max_key_bytes = 200;
 
-/// A caller's open connection, as the response writer of a plain service's
-/// answer.
+/// Writes a plain service's answer to a caller's connection.
 class service_writer : public response_writer
 {
 public:
@@ -55,7 +54,8 @@
                        [](char c) { return c > ' ' && c <= '~'; });
 }
 
-/// Fields that belong to this listener, not to the service behind it.
+/// Returns whether the header is for this listener and is not forwarded to the
+/// service.
 bool is_listener_header(std::string name)
 {
     std::transform(name.begin(), name.end(), name.begin(),
--- a/src/caller_listener.hpp
+++ b/src/caller_listener.hpp
@@ -1,5 +1,5 @@
-/// The callers' listener: OpenAI-compatible paths, plain services, probes,
-/// metrics.
+/// Listener for callers: OpenAI-compatible paths, plain services, health probes
+/// and metrics.
 #ifndef MULBERRY_CALLER_LISTENER_HPP
 #define MULBERRY_CALLER_LISTENER_HPP
 
@@ -22,21 +22,21 @@
     vm_id vm;
     http_server_options server;
     request_limits limits;
-    /// Distinguishes this process's request ids from those of any other life
-    /// of the VM.
+    /// Makes this process's request ids differ from those of any other
+    /// incarnation of the VM.
     std::string id_prefix;
 };
 
 class caller_listener : public daemon_part
 {
 public:
-    /// `answers` outlives this object.
+    /// Precondition: `answers` outlives this object.
     caller_listener(callers_settings settings, pending_answers& answers);
     ~caller_listener() override;
 
     void start(kernel& parts) override;
     void stop() override;
-    /// IP:PORT. Precondition: started.
+    /// Returns IP:PORT, with the actual port. Precondition: start() was called.
     std::string address() const;
 
 private:
--- a/src/mulberryd.cpp
+++ b/src/mulberryd.cpp
@@ -1,4 +1,4 @@
-/// mulberryd: the serving layer's daemon, one on each entry VM.
+/// mulberryd: the serving layer's daemon. One instance runs on each entry VM.
 #include "daemon.hpp"
 #include "metadata_store.hpp"
 #include "relay_daemon.hpp"
@@ -36,7 +36,7 @@
     return text.str();
 }
 
-/// The settings, or nothing after their faults were printed.
+/// Returns the parsed settings, or prints their errors and returns nothing.
 template <class Settings>
 std::optional<Settings> value_or_print_faults(
     std::variant<Settings, std::vector<mulberry::text_fault>> parsed)
@@ -90,7 +90,7 @@
                         mulberry::parse_settings(read_file(path), path))
                         .has_value();
         if (good)
-            std::cout << path << ": the settings are good\n";
+            std::cout << path << ": the settings are valid\n";
         return good ? 0 : exit_bad_settings;
     }
     if (relay)
@@ -100,7 +100,8 @@
     return value ? mulberry::run_daemon(*value) : exit_bad_settings;
 }
 
-/// Empty when neither option names a file.
+/// Returns the path from --settings or --settings-variable; empty if neither
+/// gives one.
 std::string settings_path(po::variables_map const& given)
 {
     if (given.count("settings") != 0)
@@ -129,7 +130,7 @@
         "settings-variable", po::value<std::string>(),
         "the environment variable that holds the path of the settings")(
         "relay", "relay on a platform (docs/PLATFORM.md)")(
-        "check", "read the settings, say what is wrong, and end");
+        "check", "check the settings, print errors, and exit");
     try
     {
         po::variables_map given;
@@ -143,7 +144,8 @@
         std::string const path = settings_path(given);
         if (path.empty())
         {
-            std::cerr << "mulberryd: --settings FILE is needed (--help)\n";
+            std::cerr
+                << "mulberryd: --settings FILE is required (see --help)\n";
             return exit_bad_usage;
         }
         return run(path, given.count("relay") != 0, given.count("check") != 0);
--- a/src/operator_listener.cpp
+++ b/src/operator_listener.cpp
@@ -20,7 +20,7 @@
 constexpr std::chrono::milliseconds peer_timeout{2000};
 constexpr std::size_t default_timeline_limit = 1000;
 
-/// Codes of JSON-RPC errors: below the base, one for each kind.
+/// JSON-RPC error codes are this base minus the number of the error's kind.
 constexpr int error_code_base = -31000;
 
 [[noreturn]] void throw_rpc_failure(error const& what, Json::Value changes = {})
@@ -41,8 +41,8 @@
     return std::get<declaration>(std::move(parsed));
 }
 
-/// The time one load takes at the store's full speed, from its declared rate
-/// and width.
+/// Returns the time of one load at the store's full speed, from the declared
+/// number of concurrent loads and loads per second.
 duration min_load_time(store_declaration const& store)
 {
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>(
@@ -60,7 +60,9 @@
                      min_load_time(wanted.store));
 }
 
-/// A reader's place in the time lines of all VMs: {VM: last number}.
+/// Parses a reader's position in the timelines of all VMs, an object that maps
+/// each VM to the number of the last event read. Returns an empty object if
+/// `text` is invalid.
 Json::Value parse_cursor(std::string const& text)
 {
     if (auto value = from_text(text); value && value->isObject())
@@ -259,8 +261,8 @@
         }
         catch (rpc_failure const&)
         {
-            // A VM that cannot be asked now is read from the same place next
-            // time; its events are late, not lost.
+            // The cursor of an unreachable VM stays, so its events are returned
+            // by a later call.
             continue;
         }
     }
--- a/src/operator_listener.hpp
+++ b/src/operator_listener.hpp
@@ -1,4 +1,4 @@
-/// The operators' listener: JSON-RPC for mulberryctl.
+/// Listener for operators: JSON-RPC for mulberryctl.
 #ifndef MULBERRY_OPERATOR_LISTENER_HPP
 #define MULBERRY_OPERATOR_LISTENER_HPP
 
@@ -35,17 +35,18 @@
 
     void start(kernel& parts) override;
     void stop() override;
-    /// IP:PORT. Precondition: started.
+    /// Returns IP:PORT, with the actual port. Precondition: start() was called.
     std::string address() const;
 
 private:
-    /// Calls a method of a VM's peers' listener; throws rpc_failure.
+    /// Calls a method of the peer listener of another VM; throws rpc_failure.
     Json::Value call_peer(member_view const& member, std::string const& method,
                           Json::Value const& parameters);
     std::vector<member_view> members() const;
     Json::Value status(Json::Value const& parameters);
     Json::Value configuration() const;
-    /// The declaration in a call's parameters; throws rpc_failure.
+    /// Returns the declaration in a call's parameters. Throws rpc_failure if it
+    /// is invalid or for another deployment.
     declaration requested_declaration(Json::Value const& parameters) const;
     Json::Value plan(Json::Value const& parameters) const;
     Json::Value confirm(Json::Value const& parameters);
--- a/src/peer_listener.cpp
+++ b/src/peer_listener.cpp
@@ -21,8 +21,7 @@
 constexpr std::size_t max_timeline_events = 10000;
 constexpr std::size_t max_unsent_bytes = 4UL * 1024 * 1024;
 
-/// A peer's open connection, as the response writer of a forwarded request's
-/// answer.
+/// Writes the answer to a forwarded request to a peer's connection.
 class peer_writer : public response_writer
 {
 public:
@@ -62,8 +61,8 @@
 
     void keep_alive() override
     {
-        // While a request waits for its turn nothing is written; the entry VM
-        // tells that from a dead connection by these comments.
+        // No event is written while a request is queued. These comment lines
+        // let the entry VM distinguish that from a dead connection.
         if (idle_)
             out_->write(": waiting\n\n");
         idle_ = true;
@@ -72,7 +71,8 @@
 private:
     request_id id_;
     std::shared_ptr<http_answer> out_;
-    /// Used on the decision thread only, as are all calls.
+    /// No event was written since the last keep_alive(). Used on the decision
+    /// thread only, as are all functions.
     bool idle_ = true;
 };
 
--- a/src/peer_listener.hpp
+++ b/src/peer_listener.hpp
@@ -1,4 +1,4 @@
-/// The peers' listener: forwarded requests and messages of other VMs.
+/// Listener for peers: receives forwarded requests and messages of other VMs.
 #ifndef MULBERRY_PEER_LISTENER_HPP
 #define MULBERRY_PEER_LISTENER_HPP
 
@@ -28,23 +28,26 @@
 class peer_listener : public daemon_part
 {
 public:
-    /// The references outlive this object.
+    /// Precondition: the references outlive this object.
     peer_listener(peers_settings settings, pending_answers& answers,
                   causal_clock& clock, timeline& events);
     ~peer_listener() override;
 
     void start(kernel& parts) override;
     void stop() override;
-    /// IP:PORT. Precondition: started.
+    /// Returns IP:PORT, with the actual port. Precondition: start() was called.
     std::string address() const;
 
 private:
     void handle(http_request request, std::shared_ptr<http_answer> out);
     void handle_forward(http_request const& request,
                         std::shared_ptr<http_answer> out);
+    /// Passes a peer's message to the core; throws rpc_failure if it is
+    /// invalid.
     Json::Value tell(Json::Value const& parameters);
     Json::Value status() const;
     Json::Value read_timeline(Json::Value const& parameters) const;
+    /// Starts this VM's drain and returns at once.
     Json::Value drain();
 
     peers_settings settings_;
@@ -56,7 +59,8 @@
     std::unique_ptr<http_server> server_;
 };
 
-/// {"vm", "number", "stamp", "part", "kind", "text"}
+/// Returns the event as an object with the members "vm", "number", "stamp",
+/// "part", "kind" and "text".
 Json::Value timeline_event_json(timeline_event const& event, vm_id const& vm);
 
 } // namespace mulberry
--- a/src/rpc_executor.cpp
+++ b/src/rpc_executor.cpp
@@ -30,7 +30,8 @@
 {
     if (!ring_.try_push({std::move(body), out}))
         out->respond(error_page(
-            error(error_kind::overloaded, "too many requests wait here"), ""));
+            error(error_kind::overloaded, "the queue of RPC requests is full"),
+            ""));
 }
 
 void rpc_executor::run()
--- a/src/rpc_executor.hpp
+++ b/src/rpc_executor.hpp
@@ -1,5 +1,5 @@
-/// Answers JSON-RPC requests of a listener on a thread of its own, so that a
-/// method that waits never holds up the listener.
+/// Runs a listener's JSON-RPC requests on a separate thread, so that a blocking
+/// method does not delay the listener.
 #ifndef MULBERRY_RPC_EXECUTOR_HPP
 #define MULBERRY_RPC_EXECUTOR_HPP
 
@@ -16,14 +16,18 @@
 namespace mulberry
 {
 
-/// Thread safe but for the destructor.
+/// Requests run one after another, in the order of submit().
+/// Thread safety: submit() may be called from any thread. The destructor waits
+/// for the method that is running.
 class rpc_executor
 {
 public:
+    /// At most `capacity` requests wait.
     rpc_executor(std::map<std::string, rpc_method> const& methods,
                  std::size_t capacity);
     ~rpc_executor();
-    /// Queues a request; answered as overloaded if there is no room.
+    /// Queues a request; `out` gets the error `overloaded` if the queue is
+    /// full.
     void submit(std::string body, std::shared_ptr<http_answer> out);
 
 private:
@@ -40,11 +44,11 @@
     std::thread thread_;
 };
 
-/// Whether the request carries the listener's key as a bearer token. Takes the
-/// same time wherever the texts differ.
+/// Returns whether the request has `key` as its bearer token. The time taken
+/// does not depend on where the token and the key differ.
 bool is_authorized(http_request const& request, std::string const& key);
 
-/// What a listener without the key answers to everything.
+/// Returns the response to a request whose key is missing or wrong.
 http_response unauthorized_response();
 
 } // namespace mulberry
