--- a/src/operator_listener.cpp
+++ b/src/operator_listener.cpp
@@ -211,7 +211,7 @@
             error(error_kind::plan_infeasible, new_plan.obstacles.front()));
     confirm_result const confirmed = decisions_->confirm(
         config_version(number_or(parameters, "base", 0)), digest, text);
-    if (auto const* why = std::get_if<error>(&confirmed.result))
+    if (auto const* failure = std::get_if<error>(&confirmed.result))
     {
         Json::Value changes;
         if (confirmed.current)
@@ -221,7 +221,7 @@
                           duration::zero());
             changes = (*from_text(plan_json(since)))["changes"];
         }
-        throw_rpc_failure(*why, std::move(changes));
+        throw_rpc_failure(*failure, std::move(changes));
     }
     Json::Value result;
     result["version"] =
@@ -251,12 +251,13 @@
     std::vector<Json::Value> events;
     for (member_view const& member : members())
     {
-        Json::Value ask;
-        ask["after"] = cursor[member.vm.str()];
-        ask["limit"] = Json::UInt64(limit);
+        Json::Value query;
+        query["after"] = cursor[member.vm.str()];
+        query["limit"] = Json::UInt64(limit);
         try
         {
-            for (Json::Value const& event : call_peer(member, "timeline", ask))
+            for (Json::Value const& event :
+                 call_peer(member, "timeline", query))
                 events.push_back(event);
         }
         catch (rpc_failure const&)
--- a/tests/completion_request_test.cpp
+++ b/tests/completion_request_test.cpp
@@ -39,12 +39,12 @@
 TEST_CASE("parse_completion reads headers and removes the layer's members",
           "[completion_request]")
 {
-    http_request asked = post(R"({"model":"a@2","prompt":"p","stream":true,
+    http_request http = post(R"({"model":"a@2","prompt":"p","stream":true,
                                   "priority":1,"max_tokens":9,"top_p":0.5})");
-    asked.headers.add("x-deadline-ms", "1500");
-    asked.headers.add("X-Priority", "7");
-    asked.headers.add("X-Application", "tallies");
-    auto const parsed = parse(asked);
+    http.headers.add("x-deadline-ms", "1500");
+    http.headers.add("X-Priority", "7");
+    http.headers.add("X-Application", "tallies");
+    auto const parsed = parse(http);
     REQUIRE(std::holds_alternative<model_request>(parsed));
     auto const& request = std::get<model_request>(parsed);
     CHECK(request.adapter.str() == "a@2");
@@ -80,9 +80,9 @@
     for (char const* invalid_deadline :
          {"0", "-5", "1e9", "99999999999999999999", ""})
     {
-        http_request asked = post(R"({"model":"a@1","prompt":"p"})");
-        asked.headers.add("X-Deadline-Ms", invalid_deadline);
-        auto const parsed = parse(asked);
+        http_request http = post(R"({"model":"a@1","prompt":"p"})");
+        http.headers.add("X-Deadline-Ms", invalid_deadline);
+        auto const parsed = parse(http);
         REQUIRE(std::holds_alternative<error>(parsed));
         CHECK(std::get<error>(parsed).kind() == error_kind::bad_deadline);
     }
