--- a/src/completion_request.cpp
+++ b/src/completion_request.cpp
@@ -62,7 +62,7 @@
                                 request_limits const& limits)
 {
     if (!body["model"].isString())
-        return bad_request_error("`model` must be a text: ADAPTER@VERSION");
+        return bad_request_error("`model` must be a string: ADAPTER@VERSION");
     if (body.isMember("stream") && !body["stream"].isBool())
         return bad_request_error("`stream` must be true or false");
     if (body.isMember("n") && body["n"] != Json::Value(1))
@@ -116,9 +116,9 @@
     if (!prompt)
         return bad_request_error(
             endpoint == model_endpoint::chat
-                ? "`messages` must be a list of objects with the texts "
+                ? "`messages` must be a list of objects with the strings "
                   "`role` and `content`"
-                : "`prompt` must be a text");
+                : "`prompt` must be a string");
     auto const deadline = parse_deadline(request, limits, now);
     if (auto const* fault = std::get_if<error>(&deadline))
         return *fault;
--- a/src/http_peer_port.cpp
+++ b/src/http_peer_port.cpp
@@ -28,6 +28,7 @@
 } // namespace
 
 /// Counts the messages in flight per address. Shared with the call observers.
+///
 /// Thread safety: both functions may be called from any thread.
 struct http_peer_port::in_flight_counter
 {
--- a/src/request_intake.hpp
+++ b/src/request_intake.hpp
@@ -1,5 +1,5 @@
 /// Passes a listener's request to the core. The order of the steps ensures that
-/// every response writer is answered exactly once.
+/// no response writer is left without an answer or answered twice.
 #ifndef MULBERRY_REQUEST_INTAKE_HPP
 #define MULBERRY_REQUEST_INTAKE_HPP
 
@@ -16,8 +16,11 @@
 /// core's event queue is full, `writer` gets the error `overloaded` at once and
 /// the request does not run. If the connection closes before the answer, the
 /// core receives `writer_gone`. Returns false, and does nothing, if `id`
-/// already has a pending answer. Preconditions: `sink` and `answers` outlive
-/// the connection. Thread safety: may be called from any thread.
+/// already has a pending answer.
+///
+/// Preconditions: `sink` and `answers` outlive the connection.
+///
+/// Thread safety: may be called from any thread.
 bool submit_request(event_sink& sink, pending_answers& answers,
                     request_id const& id,
                     std::shared_ptr<response_writer> writer,
--- a/src/response_observer.hpp
+++ b/src/response_observer.hpp
@@ -23,6 +23,7 @@
 };
 
 /// Calls `done` once, with the response or the failure.
+///
 /// Thread safety: used on the HTTP client's thread only; `done` runs there.
 class response_observer : public http_call_observer
 {
--- a/src/rpc_executor.hpp
+++ b/src/rpc_executor.hpp
@@ -17,6 +17,7 @@
 {
 
 /// Requests run one after another, in the order of submit().
+///
 /// Thread safety: submit() may be called from any thread. The destructor waits
 /// for the method that is running.
 class rpc_executor
--- a/src/stream_observer.hpp
+++ b/src/stream_observer.hpp
@@ -19,6 +19,7 @@
 
 /// Posts an attempt_chunk for each event, and finally an attempt_end after
 /// `[DONE]` or an attempt_failure.
+///
 /// Thread safety: used on the HTTP client's thread only.
 class stream_observer : public http_call_observer
 {
