--- a/src/boot_clock.hpp
+++ b/src/boot_clock.hpp
@@ -1,4 +1,4 @@
-/// The relay's clock: time since boot, suspends included.
+/// The relay's clock: time since boot, including time spent suspended.
 #ifndef MULBERRY_BOOT_CLOCK_HPP
 #define MULBERRY_BOOT_CLOCK_HPP
 
@@ -10,10 +10,11 @@
 namespace mulberry
 {
 
-/// Failure: a suspended VM's steady clock stands still, so that after it wakes
-/// a lease that lapsed meanwhile still looks held, and the VM gives orders
-/// beside the new owner. CLOCK_BOOTTIME counts the suspend. Thread safety:
-/// stateless.
+/// Reads CLOCK_BOOTTIME, which also advances while the VM is suspended. The
+/// steady clock stops during a suspend: after a resume, a lease that expired
+/// meanwhile would still seem to be held, and the VM would give orders to
+/// workers that already have a new owner.
+/// Thread safety: stateless.
 struct boot_clock
 {
     static time_point now()
@@ -25,7 +26,7 @@
             std::chrono::nanoseconds(read.tv_nsec)));
     }
 
-    /// The same moment for timers, which run on the steady clock.
+    /// Converts a time of this clock to the steady clock, on which timers run.
     static std::chrono::steady_clock::time_point to_steady(time_point moment)
     {
         return std::chrono::steady_clock::now() + (moment - now());
--- a/src/daemon.cpp
+++ b/src/daemon.cpp
@@ -25,10 +25,10 @@
 namespace
 {
 
-constexpr timespec signal_poll{0, 50'000'000};
+constexpr timespec signal_poll_interval{0, 50'000'000};
 
-/// Blocks the signals that end the process in this thread and all started
-/// after, so that one place waits for them.
+/// Blocks SIGTERM and SIGINT in this thread and in all threads started later,
+/// so that only wait_for_end() receives these signals. Ignores SIGPIPE.
 sigset_t block_signals()
 {
     sigset_t set;
@@ -40,8 +40,9 @@
     return set;
 }
 
-/// Ids must differ between two lives of a VM that both count from 1.
-std::string life_prefix(vm_id const& vm)
+/// Returns a random prefix for ids. Each incarnation of a VM numbers its ids
+/// from 1, so the prefix keeps the ids of two incarnations apart.
+std::string incarnation_prefix(vm_id const& vm)
 {
     std::random_device random;
     char text[20];
@@ -94,10 +95,10 @@
     explicit process(settings const& value)
         : clock_(&shell_clock::wall_ms),
           timeline_(clock_, value.timeline_capacity),
-          prefix_(life_prefix(value.vm))
+          prefix_(incarnation_prefix(value.vm))
     {
-        // The peers' listener comes first, since its port is part of what the
-        // VM registers under.
+        // The peer listener starts first because its port is part of the
+        // address under which the VM registers.
         add_peer_listener(value);
         add_decisions(value);
         add_operator_listener(value);
@@ -147,7 +148,7 @@
 
     void add_peer_listener(settings const& value)
     {
-        // The forwarded requests of all other VMs come in here.
+        // This listener receives the forwarded requests of all other VMs.
         http_server_options peers = server_of(value, value.peers);
         peers.max_body_bytes = 2 * value.max_body_bytes;
         parts_.add("peers",
@@ -185,19 +186,19 @@
     kernel parts_;
 };
 
-/// Waits for the end; the first signal starts leaving, the second ends at
-/// once.
+/// Waits until the VM has left and returns the exit status. The first signal
+/// makes the VM leave; the second returns 1 at once.
 int wait_for_end(process& running, sigset_t const& signals)
 {
     auto const ended = running.decisions().ended();
-    bool asked = false;
+    bool leave_requested = false;
     while (ended.wait_for(std::chrono::seconds(0)) != std::future_status::ready)
     {
-        if (sigtimedwait(&signals, nullptr, &signal_poll) <= 0)
+        if (sigtimedwait(&signals, nullptr, &signal_poll_interval) <= 0)
             continue;
-        if (std::exchange(asked, true))
+        if (std::exchange(leave_requested, true))
             return 1;
-        running.decisions().post(leave_asked{"a signal came"});
+        running.decisions().post(leave_asked{"a signal was received"});
     }
     return 0;
 }
@@ -215,8 +216,8 @@
     write_line("listening " + running.addresses());
     int const status = wait_for_end(running, signals);
     log(log_level::info, "daemon",
-        status == 0 ? "left: nothing is in progress"
-                    : "ended by a second signal");
+        status == 0 ? "the VM has left; no request is in progress"
+                    : "stopped by a second signal");
     running.stop();
     stop_logging();
     return status;
--- a/src/daemon.hpp
+++ b/src/daemon.hpp
@@ -1,4 +1,4 @@
-/// Puts the parts of one entry VM's process together.
+/// Assembles and runs the process of one entry VM.
 #ifndef MULBERRY_DAEMON_HPP
 #define MULBERRY_DAEMON_HPP
 
@@ -7,9 +7,11 @@
 namespace mulberry
 {
 
-/// Runs until the VM has left: on SIGTERM or SIGINT, an operator's drain, or
-/// the platform's list. A second signal ends it at once. Returns the exit
-/// status. Throws std::runtime_error if a listener cannot be opened.
+/// Runs the VM until it has left. The VM begins to leave on SIGTERM or SIGINT,
+/// when an operator drains it, or because of the platform's list of VMs. A
+/// second signal ends the process at once. Returns the exit status: 0 after the
+/// VM has left, 1 after a second signal. Throws std::runtime_error if a
+/// listener cannot be opened.
 int run_daemon(settings const& value);
 
 } // namespace mulberry
--- a/src/decision_loop.cpp
+++ b/src/decision_loop.cpp
@@ -45,9 +45,11 @@
     ring_.close();
     thread_.join();
     std::lock_guard const lock(mutex_);
-    for (auto& [ticket, waiting] : confirms_)
-        waiting.set_value(
-            {ticket, error(error_kind::outcome_unknown, "this VM stops"), {}});
+    for (auto& [ticket, promise] : confirms_)
+        promise.set_value(
+            {ticket,
+             error(error_kind::outcome_unknown, "this VM is stopping"),
+             {}});
     confirms_.clear();
 }
 
@@ -66,7 +68,7 @@
     core_->start(shell_clock::now(), actions_);
     for (action const& one : std::exchange(actions_, {}))
         perform(one);
-    follow_calendar(shell_clock::now());
+    update_calendar_quarter(shell_clock::now());
     while (!ring_.closed())
     {
         auto event = ring_.pop(shell_clock::to_steady(next_tick_));
@@ -77,9 +79,9 @@
             continue;
         next_tick_ = now + tick_interval;
         handle(clock_ticked{});
-        follow_configuration();
-        ask_around(now);
-        follow_calendar(now);
+        apply_configuration();
+        poll_ports(now);
+        update_calendar_quarter(now);
         publish(now);
     }
 }
@@ -89,7 +91,7 @@
     core_->handle(event, shell_clock::now(), actions_);
     for (action const& one : std::exchange(actions_, {}))
         perform(one);
-    settle_confirms();
+    complete_confirms();
 }
 
 void decision_loop::perform(action const& one)
@@ -110,23 +112,23 @@
                 ports_.peers->forward(what, address_of(what.owner));
             else if constexpr (std::is_same_v<kind, deliver_event>)
             {
-                if (auto const who = answers_->find(what.request))
-                    who->on_event(what.offset, what.payload);
+                if (auto const receiver = answers_->find(what.request))
+                    receiver->on_event(what.offset, what.payload);
             }
             else if constexpr (std::is_same_v<kind, deliver_end>)
             {
-                if (auto const who = answers_->take(what.request))
-                    who->on_end();
+                if (auto const receiver = answers_->take(what.request))
+                    receiver->on_end();
             }
             else if constexpr (std::is_same_v<kind, deliver_error>)
             {
-                if (auto const who = answers_->take(what.request))
-                    who->on_error(what.what);
+                if (auto const receiver = answers_->take(what.request))
+                    receiver->on_error(what.what);
             }
             else if constexpr (std::is_same_v<kind, deliver_service_answer>)
             {
-                if (auto const who = answers_->take(what.request))
-                    who->on_service_answer(what.answer, what.replayed);
+                if (auto const receiver = answers_->take(what.request))
+                    receiver->on_service_answer(what.answer, what.replayed);
             }
             else if constexpr (std::is_same_v<kind, load_adapter>)
                 ports_.engines->load(what);
@@ -144,7 +146,7 @@
             else if constexpr (std::is_same_v<kind, record_intent> ||
                                std::is_same_v<kind, forget_intent>)
             {
-                // The core keeps these inside.
+                // The core handles these two actions itself.
             }
             else
                 ports_.platform->run(what);
@@ -157,26 +159,26 @@
     return core_->address_of(vm);
 }
 
-void decision_loop::follow_configuration()
+void decision_loop::apply_configuration()
 {
     auto const current = core_->declared();
-    if (current == followed_ || !current)
+    if (current == applied_configuration_ || !current)
         return;
-    followed_ = current;
+    applied_configuration_ = current;
     ports_.engines->configure(current);
     ports_.services->configure(current);
 }
 
-void decision_loop::ask_around(time_point now)
+void decision_loop::poll_ports(time_point now)
 {
-    if (now >= next_report_)
+    if (now >= next_load_report_)
     {
-        next_report_ = now + settings_.load_report_interval;
+        next_load_report_ = now + settings_.load_report_interval;
         ports_.engines->ask_load(core_->watched_workers());
     }
-    if (now >= next_list_)
+    if (now >= next_vm_list_)
     {
-        next_list_ = now + settings_.vm_list_interval;
+        next_vm_list_ = now + settings_.vm_list_interval;
         ports_.platform->ask_vms();
     }
     if (now >= next_keep_alive_)
@@ -186,31 +188,33 @@
     }
 }
 
-void decision_loop::follow_calendar(time_point now)
+void decision_loop::update_calendar_quarter(time_point now)
 {
     if (now < next_calendar_)
         return;
     next_calendar_ = now + calendar_interval;
-    // Told each time: the wall clock may have been set since.
+    // The quarter and its end are sent to the core each time because the wall
+    // clock may have been set since the last update.
     auto const wall = std::chrono::system_clock::now();
     calendar_quarter const quarter = quarter_of(wall);
-    auto const left = std::chrono::duration_cast<duration>(quarter.ends - wall);
-    handle(quarter_began{quarter.name, now + left});
+    auto const time_left =
+        std::chrono::duration_cast<duration>(quarter.ends - wall);
+    handle(quarter_began{quarter.name, now + time_left});
 }
 
 void decision_loop::publish(time_point now)
 {
-    if (core_->may_end(now) && !ended_set_)
+    if (core_->may_end(now) && !end_reported_)
     {
-        ended_set_ = true;
+        end_reported_ = true;
         end_.set_value();
     }
     if (now < next_status_)
         return;
     next_status_ = now + status_interval;
-    auto fresh = std::make_shared<core_status const>(core_->status(now));
+    auto current = std::make_shared<core_status const>(core_->status(now));
     std::lock_guard const lock(mutex_);
-    status_ = std::move(fresh);
+    status_ = std::move(current);
 }
 
 std::shared_ptr<core_status const> decision_loop::status() const
@@ -222,28 +226,28 @@
 confirm_result decision_loop::confirm(config_version base, std::string digest,
                                       std::string canonical_text)
 {
-    std::future<confirm_result> settled;
+    std::future<confirm_result> outcome;
     std::uint64_t ticket = 0;
     {
         std::lock_guard const lock(mutex_);
         ticket = ++last_ticket_;
-        settled = confirms_[ticket].get_future();
+        outcome = confirms_[ticket].get_future();
     }
     post(confirm_asked{ticket, base, std::move(digest),
                        std::move(canonical_text)});
-    return settled.get();
+    return outcome.get();
 }
 
-void decision_loop::settle_confirms()
+void decision_loop::complete_confirms()
 {
     for (confirm_result& result : core_->take_confirms())
     {
         std::lock_guard const lock(mutex_);
-        auto const place = confirms_.find(result.ticket);
-        if (place == confirms_.end())
+        auto const entry = confirms_.find(result.ticket);
+        if (entry == confirms_.end())
             continue;
-        place->second.set_value(std::move(result));
-        confirms_.erase(place);
+        entry->second.set_value(std::move(result));
+        confirms_.erase(entry);
     }
 }
 
--- a/src/kernel.cpp
+++ b/src/kernel.cpp
@@ -34,10 +34,10 @@
 
 daemon_part& kernel::part(std::string_view name) const
 {
-    auto const place = by_name_.find(name);
-    if (place == by_name_.end())
+    auto const entry = by_name_.find(name);
+    if (entry == by_name_.end())
         throw std::logic_error("no part named " + std::string(name));
-    return *place->second;
+    return *entry->second;
 }
 
 } // namespace mulberry
--- a/src/kernel.hpp
+++ b/src/kernel.hpp
@@ -1,4 +1,5 @@
-/// The micro-kernel: parts of the daemon that find each other by name.
+/// A microkernel: starts and stops the parts of the daemon, which look each
+/// other up by name.
 #ifndef MULBERRY_KERNEL_HPP
 #define MULBERRY_KERNEL_HPP
 
@@ -14,39 +15,42 @@
 
 class kernel;
 
-/// A part of the daemon with a life of its own.
+/// A part of the daemon that is started and stopped on its own, usually with a
+/// thread of its own.
 class daemon_part
 {
 public:
     virtual ~daemon_part() = default;
-    /// Finds the parts it needs by name and starts its thread, if it has one.
-    /// Throws std::runtime_error if it cannot work.
+    /// Looks up the parts that this part needs by name and starts this part's
+    /// thread, if any. Throws std::runtime_error if the part cannot run.
     virtual void start(kernel& parts) = 0;
-    /// Ends its thread. Called once, if start() returned.
+    /// Ends the part's thread. Called once, and only if start() returned
+    /// without an exception.
     virtual void stop() = 0;
 };
 
-/// Owns the parts. They start in the order added and stop in the reverse.
-/// Thread safety: add and start before other threads look anything up; find()
-/// from any thread after that.
+/// Owns the parts. Parts start in the order in which they were added and stop
+/// in the reverse order. Thread safety: add() and start() must finish before
+/// other threads call find(); after that, any thread may call find().
 class kernel
 {
 public:
-    /// Throws std::logic_error if the name is taken.
+    /// Throws std::logic_error if there is already a part with this name.
     void add(std::string name, std::unique_ptr<daemon_part> part);
-    /// Starts all; if one throws, those started are stopped, then it rethrows.
+    /// Starts all parts. If the start of one part throws, stops the parts
+    /// already started and rethrows.
     void start();
     void stop();
 
-    /// The part of that name as a T. Throws std::logic_error if there is none
-    /// or it is no T.
+    /// Returns the part with this name. Throws std::logic_error if there is no
+    /// such part or if the part is not a T.
     template <class T>
     T& find(std::string_view name) const
     {
         auto* const found = dynamic_cast<T*>(&part(name));
         if (found == nullptr)
             throw std::logic_error("part " + std::string(name) +
-                                   " is of another kind");
+                                   " is of another type");
         return *found;
     }
 
--- a/src/shell_clock.hpp
+++ b/src/shell_clock.hpp
@@ -1,4 +1,4 @@
-/// The one place where a real clock is read for the decision core.
+/// The only place that reads a real clock for the decision core.
 #ifndef MULBERRY_SHELL_CLOCK_HPP
 #define MULBERRY_SHELL_CLOCK_HPP
 
@@ -10,8 +10,9 @@
 namespace mulberry
 {
 
-/// Maps the steady clock to the core's time and back. The epoch lies a day
-/// before the process started, so that no early moment is negative.
+/// Converts between the steady clock and the core's time_point. The epoch of
+/// time_point is 24 h before the first use of this clock in the process, so
+/// that time points shortly before the start of the process are not negative.
 /// Thread safety: stateless.
 class shell_clock
 {
@@ -24,6 +25,7 @@
             moment - process_start() + std::chrono::hours(24)));
     }
 
+    /// Converts `never` to 24 h from now.
     static std::chrono::steady_clock::time_point to_steady(time_point moment)
     {
         if (moment == never)
@@ -32,6 +34,7 @@
                (moment.time_since_epoch() - duration(std::chrono::hours(24)));
     }
 
+    /// Returns the wall clock in milliseconds since the Unix epoch.
     static std::uint64_t wall_ms()
     {
         using namespace std::chrono;
