--- a/src/peer_listener.cpp
+++ b/src/peer_listener.cpp
@@ -139,7 +139,7 @@
     }
     if (auto const stamp = request.headers.find("X-Stamp"))
         if (auto const heard = parse_causal_stamp(*stamp))
-            clock_->hear(*heard);
+            clock_->observe(*heard);
     if (request.method == "POST" && request.path == "/rpc")
         executor_->take(std::move(request.body), std::move(out));
     else if (request.method == "POST" && request.path.starts_with(forward_path))
@@ -172,7 +172,7 @@
 Json::Value peer_listener::tell(Json::Value const& parameters)
 {
     if (auto const heard = parse_causal_stamp(text_or(parameters, "stamp", "")))
-        clock_->hear(*heard);
+        clock_->observe(*heard);
     auto message = parse_peer_message(parameters["message"]);
     if (!message)
         throw rpc_failure(-32602, "not a peer message");
--- a/src/timeline.cpp
+++ b/src/timeline.cpp
@@ -58,7 +58,7 @@
     return last_;
 }
 
-void causal_clock::hear(causal_stamp const& heard)
+void causal_clock::observe(causal_stamp const& heard)
 {
     std::lock_guard const lock(mutex_);
     if (heard.wall_ms > wall_ms_() + most_ahead_ms)
--- a/src/timeline.hpp
+++ b/src/timeline.hpp
@@ -44,7 +44,7 @@
     causal_stamp next();
     /// Takes in a stamp that came with a message. One that is further ahead of
     /// this VM's wall clock than a minute is not believed.
-    void hear(causal_stamp const& heard);
+    void observe(causal_stamp const& heard);
 
 private:
     std::function<std::uint64_t()> wall_ms_;
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -12,7 +12,7 @@
     causal_clock clock([&] { return here; });
     causal_stamp const before = clock.next();
     causal_stamp const heard{1'020'000, 4};
-    clock.hear(heard);
+    clock.observe(heard);
     causal_stamp const after = clock.next();
     CHECK(before < heard);
     CHECK(heard < after);
@@ -23,7 +23,7 @@
 TEST_CASE("a wall clock that is wildly ahead is not followed", "[timeline]")
 {
     causal_clock clock([] { return std::uint64_t{1'000'000}; });
-    clock.hear(causal_stamp{9'000'000, 0});
+    clock.observe(causal_stamp{9'000'000, 0});
     CHECK(clock.next().wall_ms == 1'000'000);
 }
 
