--- a/src/kernel.hpp
+++ b/src/kernel.hpp
@@ -50,7 +50,7 @@
         auto* const found = dynamic_cast<T*>(&part(name));
         if (found == nullptr)
             throw std::logic_error("part " + std::string(name) +
-                                   " is of another type");
+                                   " is of another kind");
         return *found;
     }
 
--- a/src/log.cpp
+++ b/src/log.cpp
@@ -27,11 +27,11 @@
 
 namespace bl = boost::log;
 
-constexpr std::size_t log_queue_records = 65536;
+constexpr std::size_t max_queued_records = 65536;
 
 using backend = bl::sinks::text_ostream_backend;
 using sink = bl::sinks::asynchronous_sink<
-    backend, bl::sinks::bounded_fifo_queue<log_queue_records,
+    backend, bl::sinks::bounded_fifo_queue<max_queued_records,
                                            bl::sinks::drop_on_overflow>>;
 using logger = bl::sources::severity_channel_logger_mt<log_level, std::string>;
 
@@ -74,7 +74,8 @@
     return stamp ? boost::posix_time::to_iso_extended_string(*stamp) : "";
 }
 
-/// The sink writes a line's end apart from the record unless it is part of it.
+/// Ends the record with a line feed. Without it the sink would write the line
+/// feed separately from the record, so that write_line() could come in between.
 void end_record(bl::formatting_ostream& out)
 {
     out << "\n";
@@ -120,11 +121,12 @@
 void start_logging(std::string_view vm, std::string_view level,
                    std::string_view format)
 {
-    auto const least = level_named(level);
-    if (!least)
-        throw std::invalid_argument("no log level " + std::string(level));
+    auto const min_level = level_named(level);
+    if (!min_level)
+        throw std::invalid_argument("unknown log level: " + std::string(level));
     if (format != "text" && format != "json")
-        throw std::invalid_argument("no log format " + std::string(format));
+        throw std::invalid_argument("unknown log format: " +
+                                    std::string(format));
     auto stream = boost::make_shared<backend>();
     stream->add_stream(
         boost::shared_ptr<std::ostream>(&std::cout, boost::null_deleter()));
@@ -138,16 +140,16 @@
     else
         running_sink->set_formatter(&write_text);
     running_sink->set_filter(bl::expressions::attr<log_level>("Severity") >=
-                             *least);
+                             *min_level);
     bl::core::get()->add_global_attribute("TimeStamp",
                                           bl::attributes::utc_clock());
     bl::core::get()->add_sink(running_sink);
 }
 
-// Failure: the line and its end are two writes, and the sink's thread puts a
-// record between them; whoever waits for the line cannot read it. The stream is
-// not buffered and each of its writes is whole, so a line is one write, and a
-// record as well: see end_record().
+// The text and its line feed are written together: with two writes the sink's
+// thread could put a record between them, and the program that waits for the
+// line could not parse it. The stream is unbuffered and each write is output whole
+// interrupted, so each line and each record (see end_record()) is one write.
 void write_line(std::string const& line)
 {
     std::cout << line + "\n" << std::flush;
@@ -165,8 +167,8 @@
 
 void log(log_level level, std::string_view part, std::string_view text)
 {
-    // Without a sink Boost.Log would print to the console in a form of its
-    // own; tests and tools that start no sink stay quiet.
+    // Without a sink Boost.Log would print to the console in its default
+    // format. Tests and tools that do not start logging must print nothing.
     if (!running_sink)
         return;
     thread_local logger source;
--- a/src/timeline.cpp
+++ b/src/timeline.cpp
@@ -10,15 +10,16 @@
 namespace
 {
 
-/// A VM whose wall clock is wildly ahead must not drag all others along.
-constexpr std::uint64_t most_ahead_ms = 60'000;
+/// Bounds how far a VM whose wall clock is wrong can advance the clocks of all
+/// other VMs.
+constexpr std::uint64_t max_clock_skew_ms = 60'000;
 
 template <class Number>
-bool parse_whole(std::string_view text, Number& value)
+bool parse_number(std::string_view text, Number& value)
 {
     auto const* end = text.data() + text.size();
-    auto const [stop, fault] = std::from_chars(text.data(), end, value);
-    return fault == std::errc{} && stop == end;
+    auto const [parsed_end, fault] = std::from_chars(text.data(), end, value);
+    return fault == std::errc{} && parsed_end == end;
 }
 
 } // namespace
@@ -36,8 +37,8 @@
     auto const dot = text.find('.');
     causal_stamp stamp;
     if (dot == std::string_view::npos ||
-        !parse_whole(text.substr(0, dot), stamp.wall_ms) ||
-        !parse_whole(text.substr(dot + 1), stamp.count))
+        !parse_number(text.substr(0, dot), stamp.wall_ms) ||
+        !parse_number(text.substr(dot + 1), stamp.count))
         return std::nullopt;
     return stamp;
 }
@@ -58,12 +59,12 @@
     return last_;
 }
 
-void causal_clock::observe(causal_stamp const& heard)
+void causal_clock::observe(causal_stamp const& received)
 {
     std::lock_guard const lock(mutex_);
-    if (heard.wall_ms > wall_ms_() + most_ahead_ms)
+    if (received.wall_ms > wall_ms_() + max_clock_skew_ms)
         return;
-    last_ = std::max(last_, heard);
+    last_ = std::max(last_, received);
 }
 
 timeline::timeline(causal_clock& clock, std::size_t capacity)
@@ -84,12 +85,13 @@
                                            std::size_t limit) const
 {
     std::lock_guard const lock(mutex_);
-    auto const from =
+    auto const first =
         std::upper_bound(events_.begin(), events_.end(), after,
                          [](std::uint64_t number, timeline_event const& event)
                          { return number < event.number; });
-    auto const rest = static_cast<std::size_t>(events_.end() - from);
-    return {from, from + static_cast<std::ptrdiff_t>(std::min(rest, limit))};
+    auto const remaining = static_cast<std::size_t>(events_.end() - first);
+    return {first,
+            first + static_cast<std::ptrdiff_t>(std::min(remaining, limit))};
 }
 
 } // namespace mulberry
--- a/src/timeline.hpp
+++ b/src/timeline.hpp
@@ -1,5 +1,5 @@
-/// The time line: what happened on this VM, stamped so that the events of all
-/// VMs merge in causal order.
+/// The timeline of this VM: its recent events, with timestamps by which the
+/// events of all VMs can be merged in causal order.
 #ifndef MULBERRY_TIMELINE_HPP
 #define MULBERRY_TIMELINE_HPP
 
@@ -19,32 +19,34 @@
 namespace mulberry
 {
 
-/// A stamp of a hybrid logical clock: wall-clock milliseconds, then a count.
-/// A stamp made after one was heard is higher than it, also where the wall
-/// clocks of two VMs disagree. Source: Kulkarni et al., "Logical Physical
-/// Clocks", 2014.
+/// A timestamp of a hybrid logical clock: wall-clock milliseconds, then a
+/// counter. A stamp made after another stamp was observed compares greater than
+/// the observed stamp, even if the wall clocks of the two VMs disagree. See
+/// Kulkarni et al., "Logical Physical Clocks", 2014.
 struct causal_stamp
 {
     std::uint64_t wall_ms = 0;
     std::uint32_t count = 0;
 
-    /// WALL_MS.COUNT, fixed width, so that texts compare as stamps do.
+    /// Returns WALL_MS.COUNT in fixed width, so that the texts sort in the same
+    /// order as the stamps.
     std::string str() const;
     friend auto operator<=>(causal_stamp const&, causal_stamp const&) = default;
 };
+/// Returns nullopt if `text` does not have the form of causal_stamp::str().
 std::optional<causal_stamp> parse_causal_stamp(std::string_view text);
 
-/// Thread safe.
+/// Hybrid logical clock of this VM. Thread safe.
 class causal_clock
 {
 public:
-    /// `wall_ms` reads a wall clock.
+    /// `wall_ms` returns the wall clock in milliseconds since the Unix epoch.
     explicit causal_clock(std::function<std::uint64_t()> wall_ms);
-    /// A stamp higher than all made or heard before.
+    /// Returns a stamp greater than all stamps made or observed so far.
     causal_stamp next();
-    /// Takes in a stamp that came with a message. One that is further ahead of
-    /// this VM's wall clock than a minute is not believed.
-    void observe(causal_stamp const& heard);
+    /// Advances the clock to a stamp received with a message. A stamp more than
+    /// one minute ahead of this VM's wall clock is ignored.
+    void observe(causal_stamp const& received);
 
 private:
     std::function<std::uint64_t()> wall_ms_;
@@ -55,7 +57,7 @@
 /// Immutable value.
 struct timeline_event
 {
-    /// From 1, without gaps, per VM and life of its process.
+    /// Counts from 1, without gaps, in each incarnation of a VM.
     std::uint64_t number = 0;
     causal_stamp stamp;
     std::string part;
@@ -65,14 +67,15 @@
                            timeline_event const&) = default;
 };
 
-/// Keeps the newest events within a bound. Thread safe.
+/// Keeps the newest events, at most `capacity`. Thread safe.
 class timeline
 {
 public:
-    /// `clock` outlives this object.
+    /// `clock` must outlive this object.
     timeline(causal_clock& clock, std::size_t capacity);
     void add(std::string part, std::string kind, std::string text);
-    /// Events with a number above `after`, oldest first, at most `limit`.
+    /// Returns at most `limit` events with a number above `after`, oldest
+    /// first.
     std::vector<timeline_event> read(std::uint64_t after,
                                      std::size_t limit) const;
 
--- a/tests/kernel_test.cpp
+++ b/tests/kernel_test.cpp
@@ -18,7 +18,7 @@
     void start(kernel&) override
     {
         if (fails_)
-            throw std::runtime_error("cannot start");
+            throw std::runtime_error("cannot");
         calls_->push_back("start " + name_);
     }
     void stop() override { calls_->push_back("stop " + name_); }
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -16,8 +16,9 @@
 namespace
 {
 
-/// What is written to the standard output until finish(). Precondition: no
-/// other thread writes there when it begins or ends.
+/// Captures everything written to standard output until finish() is called.
+/// Precondition: no other thread writes to standard output during the
+/// constructor and finish().
 class captured_output
 {
 public:
@@ -61,16 +62,18 @@
 
 } // namespace
 
-// Whoever starts a VM waits for the line with its addresses, and gives it up
-// for one that cannot be read: `listening 127.0.0.1:38845` went on with the
-// time of a record. The log's own thread wrote it between the line and its end.
-TEST_CASE("a line of the program stands whole beside the log's", "[log]")
+// Failure: the program that starts a VM waits for the line with the VM's
+// addresses and gives the VM up if the line cannot be parsed. The log's thread
+// wrote a record between the line and its line feed, so that
+// `listening 127.0.0.1:38845` was followed by the time of the record.
+TEST_CASE("a line written by write_line is never interleaved with log records",
+          "[log]")
 {
     constexpr int lines = 3'000;
     std::string const line = "listening 127.0.0.1:38845";
     captured_output output;
     start_logging("vm", "info", "text");
-    std::thread busy(
+    std::thread log_writer(
         []
         {
             for (int count = 0; count < lines; ++count)
@@ -78,11 +81,11 @@
         });
     for (int count = 0; count < lines; ++count)
         write_line(line);
-    busy.join();
+    log_writer.join();
     stop_logging();
     std::istringstream written(output.finish());
-    int whole = 0;
-    for (std::string each; std::getline(written, each);)
-        whole += each == line;
-    CHECK(whole == lines);
+    int intact_lines = 0;
+    for (std::string written_line; std::getline(written, written_line);)
+        intact_lines += written_line == line;
+    CHECK(intact_lines == lines);
 }
