--- a/src/metrics_text.cpp
+++ b/src/metrics_text.cpp
@@ -23,7 +23,8 @@
     return sum;
 }
 
-/// A label's value, as the text form wants it.
+/// Escapes a label's value for the Prometheus text format. A line feed becomes
+/// a space.
 std::string escaped(std::string const& text)
 {
     std::string result;
@@ -58,7 +59,7 @@
              << spans.sum << "\nmulberry_" << name << "_count{vm=\"" << vm_
              << "\"} " << spans.count << "\n";
     }
-    /// One gauge a target that `value` tells something of.
+    /// Adds one gauge for each target for which `value` returns a number.
     template <class Value>
     void add(char const* name, char const* help,
              std::vector<target_standing> const& standings, Value value)
@@ -66,8 +67,8 @@
         out_ << "# HELP mulberry_" << name << " " << help
              << "\n# TYPE mulberry_" << name << " gauge\n";
         for (target_standing const& each : standings)
-            if (std::optional<double> const shown = value(each))
-                out_ << "mulberry_" << name << labels(each) << " " << *shown
+            if (std::optional<double> const number = value(each))
+                out_ << "mulberry_" << name << labels(each) << " " << *number
                      << "\n";
     }
     std::string text() const { return out_.str(); }
@@ -161,7 +162,7 @@
 std::string metrics_text(core_status const& status)
 {
     dispatch_counts const sum = total_of(status);
-    measures const two = measures_of(status);
+    measures const totals = measures_of(status);
     metric_page page(status.vm.str());
     auto count = [&](char const* name, char const* help, std::uint64_t value)
     { page.add(name, "counter", help, static_cast<double>(value)); };
@@ -180,7 +181,7 @@
           static_cast<double>(status.workers.size()));
     gauge("requests_in_progress", "Requests without a final answer.",
           static_cast<double>(status.in_progress));
-    count("requests_accepted_total", "Model requests taken from callers.",
+    count("requests_accepted_total", "Model requests accepted from callers.",
           status.entry.accepted);
     count("requests_answered_total", "Model requests answered whole.",
           status.entry.answered);
@@ -201,11 +202,11 @@
     count("requests_stalled_total", "Requests that waited for a load.",
           sum.stalled);
     page.add("stall_seconds_total", "counter",
-             "Time that requests waited for a load.", two.stall_seconds);
+             "Time that requests waited for a load.", totals.stall_seconds);
     gauge("stall_share", "Share of requests that waited for a load.",
-          two.stall_share);
-    gauge("batch_efficiency", "Running requests over open batch slots.",
-          two.batch_efficiency);
+          totals.stall_share);
+    gauge("batch_efficiency", "Ratio of running requests to open batch slots.",
+          totals.batch_efficiency);
     count("loads_total", "Adapters loaded.", sum.loads);
     count("failed_loads_total", "Loads that failed.", sum.failed_loads);
     count("evictions_total", "Adapters evicted.", sum.evictions);
@@ -215,7 +216,8 @@
           status.services.replayed);
     count("service_unknown_total", "Calls whose outcome is not known.",
           status.services.unknown);
-    gauge("service_claims_unwritten", "Ends of claims the table has not taken.",
+    gauge("service_claims_unwritten",
+          "Ends of claims not yet written to the table.",
           static_cast<double>(status.services.unwritten));
     page.add("target_reached", "The quarter to date, of the whole deployment.",
              status.standings,
@@ -265,10 +267,10 @@
     value["workers"] = Json::arrayValue;
     for (core_status::worker_status const& worker : status.workers)
         value["workers"].append(worker_json(worker));
-    measures const two = measures_of(status);
-    value["measures"]["stall_share"] = two.stall_share;
-    value["measures"]["stall_seconds"] = two.stall_seconds;
-    value["measures"]["batch_efficiency"] = two.batch_efficiency;
+    measures const totals = measures_of(status);
+    value["measures"]["stall_share"] = totals.stall_share;
+    value["measures"]["stall_seconds"] = totals.stall_seconds;
+    value["measures"]["batch_efficiency"] = totals.batch_efficiency;
     value["measures"]["first_event_p95_s"] = status.first_event.p95;
     value["measures"]["whole_answer_p95_s"] = status.whole_answer.p95;
     value["measures"]["answered"] = Json::UInt64(status.entry.answered);
--- a/src/metrics_text.hpp
+++ b/src/metrics_text.hpp
@@ -1,4 +1,4 @@
-/// A VM's status as Prometheus text and as JSON.
+/// Formats a VM's status as Prometheus text and as JSON.
 #ifndef MULBERRY_METRICS_TEXT_HPP
 #define MULBERRY_METRICS_TEXT_HPP
 
@@ -11,19 +11,26 @@
 namespace mulberry
 {
 
+/// Returns the metrics in the Prometheus text format.
 std::string metrics_text(core_status const& status);
 
-/// One element of `status`'s `vms` (see PROTOCOLS.md, "Towards operators").
+/// Returns one element of the array `vms` of `status` (see PROTOCOLS.md,
+/// "Towards operators").
 Json::Value status_json(core_status const& status);
 
-/// Where the quarter's targets stand (see PROTOCOLS.md, `targets`).
+/// Returns the progress of this quarter's targets (see PROTOCOLS.md,
+/// `targets`).
 Json::Value targets_json(core_status const& status);
 
-/// The two measures over all workers of this VM, past ones among them.
+/// Stalls and batch efficiency over all workers of this VM, including workers
+/// that it owned earlier. A stall is a request's wait for the load of an
+/// adapter.
 struct measures
 {
+    /// Share of the ended requests that stalled; 0 if none has ended.
     double stall_share = 0;
     double stall_seconds = 0;
+    /// Busy slot time over open slot time; 0 if no slot has been open.
     double batch_efficiency = 0;
 };
 measures measures_of(core_status const& status);
--- a/src/peer_codec.cpp
+++ b/src/peer_codec.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-constexpr std::int64_t longest_deadline_ms = 86'400'000;
+constexpr std::int64_t max_duration_ms = 86'400'000;
 
-Json::UInt64 wire(std::uint64_t value)
+Json::UInt64 to_json_uint(std::uint64_t value)
 {
     return value;
 }
@@ -24,11 +24,11 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
 }
 
-duration ms_or_none(Json::Value const& object, char const* key)
+duration ms_or_zero(Json::Value const& object, char const* key)
 {
     std::uint64_t const ms = number_or(object, key, 0);
     return std::chrono::milliseconds(std::min<std::uint64_t>(
-        ms, static_cast<std::uint64_t>(longest_deadline_ms)));
+        ms, static_cast<std::uint64_t>(max_duration_ms)));
 }
 
 char const* state_name(resident_state state)
@@ -58,8 +58,8 @@
     Json::Value value;
     value["a"] = resident.adapter.str();
     value["s"] = state_name(resident.state);
-    value["f"] = wire(resident.in_flight);
-    value["q"] = wire(resident.queued);
+    value["f"] = to_json_uint(resident.in_flight);
+    value["q"] = to_json_uint(resident.queued);
     if (resident.suspected)
         value["p"] = true;
     return value;
@@ -71,8 +71,8 @@
     value["id"] = worker.id.str();
     value["usable"] = worker.usable;
     value["evicts"] = worker.evicts;
-    value["running"] = wire(worker.running);
-    value["queued"] = wire(worker.queued);
+    value["running"] = to_json_uint(worker.running);
+    value["queued"] = to_json_uint(worker.queued);
     value["residents"] = Json::arrayValue;
     for (resident_view const& resident : worker.residents)
         value["residents"].append(resident_json(resident));
@@ -107,13 +107,13 @@
 {
     Json::Value value;
     value["type"] = "ownership_hint";
-    value["life"] = wire(hint.life.value());
-    value["configuration"] = wire(hint.configuration.value());
+    value["life"] = to_json_uint(hint.life.value());
+    value["configuration"] = to_json_uint(hint.configuration.value());
     value["takes_work"] = hint.takes_work;
-    value["loads"]["life"] = wire(hint.loads.life.value());
-    value["loads"]["started"] = wire(hint.loads.started);
-    value["loads"]["waiting"] = wire(hint.loads.waiting);
-    value["loads"]["running"] = wire(hint.loads.running);
+    value["loads"]["life"] = to_json_uint(hint.loads.life.value());
+    value["loads"]["started"] = to_json_uint(hint.loads.started);
+    value["loads"]["waiting"] = to_json_uint(hint.loads.waiting);
+    value["loads"]["running"] = to_json_uint(hint.loads.running);
     value["workers"] = Json::arrayValue;
     for (worker_view const& worker : hint.workers)
         value["workers"].append(worker_json(worker));
@@ -124,7 +124,7 @@
 {
     Json::Value value;
     value["type"] = "configuration_hint";
-    value["version"] = wire(hint.version.value());
+    value["version"] = to_json_uint(hint.version.value());
     return value;
 }
 
@@ -132,8 +132,8 @@
 {
     Json::Value value;
     value["type"] = "outage_question";
-    value["number"] = wire(question.number);
-    value["configuration"] = wire(question.configuration.value());
+    value["number"] = to_json_uint(question.number);
+    value["configuration"] = to_json_uint(question.configuration.value());
     return value;
 }
 
@@ -141,11 +141,11 @@
 {
     Json::Value value;
     value["type"] = "outage_answer";
-    value["number"] = wire(answer.number);
-    value["life"] = wire(answer.life.value());
+    value["number"] = to_json_uint(answer.number);
+    value["life"] = to_json_uint(answer.life.value());
     value["promised"] = answer.promised;
     value["holds_for_ms"] = Json::Int64(to_ms(answer.holds_for));
-    value["configuration"] = wire(answer.configuration.value());
+    value["configuration"] = to_json_uint(answer.configuration.value());
     return value;
 }
 
@@ -153,8 +153,8 @@
 {
     Json::Value value;
     value["type"] = "confirm_question";
-    value["number"] = wire(question.number);
-    value["base"] = wire(question.base.value());
+    value["number"] = to_json_uint(question.number);
+    value["base"] = to_json_uint(question.base.value());
     return value;
 }
 
@@ -162,8 +162,8 @@
 {
     Json::Value value;
     value["type"] = "confirm_answer";
-    value["number"] = wire(answer.number);
-    value["life"] = wire(answer.life.value());
+    value["number"] = to_json_uint(answer.number);
+    value["life"] = to_json_uint(answer.life.value());
     value["promised"] = answer.promised;
     value["holds_for_ms"] = Json::Int64(to_ms(answer.holds_for));
     return value;
@@ -189,8 +189,9 @@
 {
     std::uint64_t value = 0;
     auto const* end = text.data() + text.size();
-    auto const [stop, fault] = std::from_chars(text.data(), end, value, 16);
-    if (fault != std::errc{} || stop != end)
+    auto const [parsed_end, fault] =
+        std::from_chars(text.data(), end, value, 16);
+    if (fault != std::errc{} || parsed_end != end)
         return std::nullopt;
     return value;
 }
@@ -226,7 +227,7 @@
             number_or(value, "number", 0),
             incarnation(number_or(value, "life", 0)),
             flag_or(value, "promised", false),
-            ms_or_none(value, "holds_for_ms"),
+            ms_or_zero(value, "holds_for_ms"),
             config_version(number_or(value, "configuration", 0))};
     if (type == "confirm_question")
         return confirm_question{number_or(value, "number", 0),
@@ -235,7 +236,7 @@
         return confirm_answer{number_or(value, "number", 0),
                               incarnation(number_or(value, "life", 0)),
                               flag_or(value, "promised", false),
-                              ms_or_none(value, "holds_for_ms")};
+                              ms_or_zero(value, "holds_for_ms")};
     return std::nullopt;
 }
 
@@ -252,7 +253,7 @@
     value["age_ms"] = Json::Int64(to_ms(now - request.arrived));
     value["left_ms"] = Json::Int64(to_ms(request.deadline - now));
     value["prefix"] = to_hex(request.prefix_key);
-    value["max_tokens"] = wire(request.max_tokens);
+    value["max_tokens"] = to_json_uint(request.max_tokens);
     value["body"] = *request.body;
     return to_text(value);
 }
@@ -279,8 +280,8 @@
     request.streamed = flag_or(*value, "streamed", false);
     request.priority = static_cast<int>(std::min<std::uint64_t>(
         number_or(*value, "priority", default_priority), most_priority));
-    request.arrived = now - ms_or_none(*value, "age_ms");
-    request.deadline = now + ms_or_none(*value, "left_ms");
+    request.arrived = now - ms_or_zero(*value, "age_ms");
+    request.deadline = now + ms_or_zero(*value, "left_ms");
     request.prefix_key = *prefix;
     request.max_tokens = number_or(*value, "max_tokens", 16);
     request.body =
@@ -306,15 +307,17 @@
     auto const kind = error_kind_named(text_or(value, "kind", ""));
     if (!kind)
         return std::nullopt;
-    // A word that is not understood must not become a promise.
-    std::string const word = text_or(value, "ran", "unknown");
-    ran const said = word == "no"    ? ran::no
-                     : word == "yes" ? ran::yes
-                                     : ran::unknown;
+    // An unknown word must not be read as "no", which would promise that the
+    // request did not run.
+    std::string const ran_text = text_or(value, "ran", "unknown");
+    ran const request_ran = ran_text == "no"    ? ran::no
+                            : ran_text == "yes" ? ran::yes
+                                                : ran::unknown;
     std::optional<duration> retry_after;
     if (value.isMember("retry_after_ms"))
-        retry_after = ms_or_none(value, "retry_after_ms");
-    return error(*kind, text_or(value, "message", ""), said, retry_after);
+        retry_after = ms_or_zero(value, "retry_after_ms");
+    return error(*kind, text_or(value, "message", ""), request_ran,
+                 retry_after);
 }
 
 } // namespace mulberry
--- a/src/peer_message.hpp
+++ b/src/peer_message.hpp
@@ -1,6 +1,6 @@
-/// What the system's VMs tell each other. Every message is a hint or a
-/// promise; none is needed for safety to hold, and any may be lost, late or
-/// repeated.
+/// The messages that VMs send each other. Every message is a hint or part of
+/// the exchange of a promise. Safety does not depend on the delivery of any
+/// message: each may be lost, delayed or duplicated.
 #ifndef MULBERRY_PEER_MESSAGE_HPP
 #define MULBERRY_PEER_MESSAGE_HPP
 
@@ -17,29 +17,32 @@
 namespace mulberry
 {
 
-/// "Here is what I own and how busy it is", at each hint interval.
+/// Reports the sender's workers and their load. Sent once per hint interval.
 struct ownership_hint
 {
     incarnation life;
     config_version configuration;
-    /// Whether the sender takes new work.
+    /// Whether the sender accepts new work.
     bool takes_work = true;
     load_counts loads;
-    /// as_of is not sent; the receiver stamps its own time.
+    /// The field as_of is not sent; the receiver sets it to its own time.
     std::vector<worker_view> workers;
 };
 
-/// "A configuration of this version was confirmed: read the row now."
+/// Reports that a configuration of this version was confirmed, so that the
+/// receiver reads the configuration's row at once.
 struct configuration_hint
 {
     config_version version;
 };
 
-/// "I cannot reach the table. Can you? If not, promise for a while not to help
-/// a confirm, so that I may go on with version `configuration`."
+/// Sent by a VM that cannot reach the table. Asks whether the receiver can
+/// reach the table and, if it cannot, for a promise not to support a confirm
+/// for a while, so that the sender may continue with version `configuration`.
 struct outage_question
 {
-    /// Chosen by the sender; the answer repeats it.
+    /// Identifies the question; chosen by the sender and repeated in the
+    /// answer.
     std::uint64_t number = 0;
     config_version configuration;
 };
@@ -50,13 +53,15 @@
     incarnation life;
     /// Whether the promise is given.
     bool promised = false;
-    /// Measured by the response writer from the moment it asked.
+    /// How long the promise holds, counted by the VM that asked, from the
+    /// moment at which it sent the question.
     duration holds_for{};
     config_version configuration;
 };
 
-/// "I am about to confirm a configuration. Can you read the table, and do you
-/// promise for a while not to support going on without it?"
+/// Sent by a VM that is about to confirm a configuration. Asks whether the
+/// receiver can read the table, and for a promise not to support other VMs in
+/// continuing without the table for a while.
 struct confirm_question
 {
     std::uint64_t number = 0;
--- a/tests/peer_codec_test.cpp
+++ b/tests/peer_codec_test.cpp
@@ -12,7 +12,7 @@
 time_point const start{std::chrono::hours(24)};
 
 template <class Message>
-Message there_and_back(Message const& message)
+Message encode_and_parse(Message const& message)
 {
     auto const text = to_text(peer_message_json(message));
     auto const back = parse_peer_message(*from_text(text));
@@ -23,7 +23,8 @@
 
 } // namespace
 
-TEST_CASE("a hint says at the other end what it said here", "[peer_codec]")
+TEST_CASE("an ownership hint is unchanged after encoding and parsing",
+          "[peer_codec]")
 {
     ownership_hint hint;
     hint.life = incarnation(3);
@@ -44,7 +45,7 @@
     worker.residents.push_back(resident);
     hint.workers.push_back(worker);
 
-    ownership_hint const back = there_and_back(hint);
+    ownership_hint const back = encode_and_parse(hint);
     CHECK(back.life == hint.life);
     CHECK(back.configuration == hint.configuration);
     CHECK(back.takes_work == hint.takes_work);
@@ -56,30 +57,32 @@
     CHECK(back.workers[0].residents == worker.residents);
 }
 
-TEST_CASE("promises and questions keep their numbers and spans", "[peer_codec]")
+TEST_CASE("questions and answers keep their numbers and durations",
+          "[peer_codec]")
 {
-    auto const outage = there_and_back(
+    auto const outage = encode_and_parse(
         outage_answer{7, incarnation(2), true, 1500ms, config_version(4)});
     CHECK(outage.number == 7);
     CHECK(outage.promised);
     CHECK(outage.holds_for == duration(1500ms));
     auto const confirm =
-        there_and_back(confirm_answer{8, incarnation(2), false, 0ms});
+        encode_and_parse(confirm_answer{8, incarnation(2), false, 0ms});
     CHECK(confirm.number == 8);
     CHECK_FALSE(confirm.promised);
-    CHECK(there_and_back(confirm_question{9, config_version(4)}).base ==
+    CHECK(encode_and_parse(confirm_question{9, config_version(4)}).base ==
           config_version(4));
-    CHECK(there_and_back(outage_question{10, config_version(5)}).number == 10);
+    CHECK(encode_and_parse(outage_question{10, config_version(5)}).number ==
+          10);
 }
 
-TEST_CASE("what is no peer message is refused", "[peer_codec]")
+TEST_CASE("a value that is not a peer message is rejected", "[peer_codec]")
 {
     CHECK_FALSE(parse_peer_message(Json::Value()));
     CHECK_FALSE(parse_peer_message(*from_text(R"({"type":"greeting"})")));
     CHECK_FALSE(parse_peer_message(*from_text("[1]")));
 }
 
-TEST_CASE("a forwarded request's deadline follows the receiver's clock",
+TEST_CASE("a forwarded request's deadline is converted to the receiver's clock",
           "[peer_codec]")
 {
     model_request request;
@@ -90,18 +93,18 @@
     request.priority = 8;
     request.prefix_key = 0xfedcba9876543210U;
     request.body = std::make_shared<std::string const>(R"({"prompt":"x"})");
-    time_point const other = start + std::chrono::hours(7);
+    time_point const receiver_now = start + std::chrono::hours(7);
 
     auto const back =
-        parse_forwarded(forwarded_text(request, start + 1s), other);
+        parse_forwarded(forwarded_text(request, start + 1s), receiver_now);
     REQUIRE(back);
-    CHECK(back->deadline == other + 4s);
-    CHECK(back->arrived == other - 1s);
+    CHECK(back->deadline == receiver_now + 4s);
+    CHECK(back->arrived == receiver_now - 1s);
     CHECK(back->prefix_key == request.prefix_key);
     CHECK(back->priority == 8);
     CHECK(*back->body == *request.body);
-    CHECK_FALSE(parse_forwarded("{}", other));
-    CHECK_FALSE(parse_forwarded("not JSON", other));
+    CHECK_FALSE(parse_forwarded("{}", receiver_now));
+    CHECK_FALSE(parse_forwarded("not JSON", receiver_now));
 }
 
 TEST_CASE("an unknown word for `ran` is read as unknown, never as no",
@@ -111,6 +114,6 @@
         parse_error(*from_text(R"({"kind":"overloaded","ran":"perhaps"})"));
     REQUIRE(read);
     CHECK(read->request_ran() == ran::unknown);
-    error const told(error_kind::overloaded, "full", ran::no, 2s);
-    CHECK(*parse_error(error_json(told, "r")) == told);
+    error const sent(error_kind::overloaded, "full", ran::no, 2s);
+    CHECK(*parse_error(error_json(sent, "r")) == sent);
 }
