--- a/src/daemon.cpp
+++ b/src/daemon.cpp
@@ -50,7 +50,7 @@
     return vm.str() + "-" + text;
 }
 
-core_settings core_of(settings const& value)
+core_settings make_core_settings(settings const& value)
 {
     core_settings core;
     core.ownership.vm = value.vm;
@@ -77,8 +77,8 @@
     return core;
 }
 
-http_server_options server_of(settings const& value,
-                              listen_address const& listener)
+http_server_options make_server_options(settings const& value,
+                                        listen_address const& listener)
 {
     http_server_options options;
     options.address = listener.address;
@@ -124,23 +124,23 @@
     void add_decisions(settings const& value)
     {
         loop_settings loop;
-        loop.core = core_of(value);
+        loop.core = make_core_settings(value);
         loop.own_address = [](kernel const& parts)
         { return parts.find<peer_listener>("peers").address(); };
         loop.ring_capacity = value.ring_capacity;
         loop.load_report_interval = value.load_report_interval;
         auto ports = [this, value](event_sink& sink)
         {
-            loop_ports made;
-            made.engines = std::make_unique<http_engine_port>(sink);
-            made.services = std::make_unique<http_service_port>(sink);
-            made.platform = std::make_unique<http_platform_port>(
+            loop_ports created;
+            created.engines = std::make_unique<http_engine_port>(sink);
+            created.services = std::make_unique<http_service_port>(sink);
+            created.platform = std::make_unique<http_platform_port>(
                 platform_urls{value.table_url, value.objects_url,
                               value.vms_url},
                 prefix_, sink);
-            made.peers = std::make_unique<http_peer_port>(
+            created.peers = std::make_unique<http_peer_port>(
                 value.vm, value.peers_key, clock_, sink);
-            return made;
+            return created;
         };
         parts_.add("decisions", std::make_unique<decision_loop>(
                                     loop, ports, answers_, timeline_));
@@ -149,7 +149,7 @@
     void add_peer_listener(settings const& value)
     {
         // This listener receives the forwarded requests of all other VMs.
-        http_server_options peers = server_of(value, value.peers);
+        http_server_options peers = make_server_options(value, value.peers);
         peers.max_body_bytes = 2 * value.max_body_bytes;
         parts_.add("peers",
                    std::make_unique<peer_listener>(
@@ -159,9 +159,10 @@
 
     void add_operator_listener(settings const& value)
     {
-        operators_settings operators{value.vm, value.deployment,
-                                     server_of(value, value.operators),
-                                     value.operators_key, value.peers_key};
+        operators_settings operators{
+            value.vm, value.deployment,
+            make_server_options(value, value.operators), value.operators_key,
+            value.peers_key};
         operators.server.max_body_bytes = 64UL * 1024 * 1024;
         parts_.add("operators", std::make_unique<operator_listener>(operators));
     }
@@ -170,7 +171,7 @@
     {
         callers_settings callers;
         callers.vm = value.vm;
-        callers.server = server_of(value, value.callers);
+        callers.server = make_server_options(value, value.callers);
         callers.server.threads = value.caller_threads;
         callers.limits.default_deadline = value.default_deadline;
         callers.limits.max_deadline = value.max_deadline;
--- a/src/decision_loop.hpp
+++ b/src/decision_loop.hpp
@@ -65,9 +65,8 @@
     bool offer(core_event event) override;
     void post(core_event event) override;
 
-    /// Returns the newest published status, which is refreshed about
-    /// every 100 ms.
-    /// Never null.
+    /// Returns the newest published status, which is refreshed about every
+    /// 100 ms. Never null.
     std::shared_ptr<core_status const> status() const;
     /// Confirms a plan and blocks until its outcome is known; if the loop stops
     /// first, the result holds error_kind::outcome_unknown. Must not be called
--- a/src/kernel.hpp
+++ b/src/kernel.hpp
@@ -30,7 +30,9 @@
 };
 
 /// Owns the parts. Parts start in the order in which they were added and stop
-/// in the reverse order. Thread safety: add() and start() must finish before
+/// in the reverse order.
+///
+/// Thread safety: add() and start() must finish before
 /// other threads call find(); after that, any thread may call find().
 class kernel
 {
--- a/src/log.cpp
+++ b/src/log.cpp
@@ -148,8 +148,8 @@
 
 // The text and its line feed are written together: with two writes the sink's
 // thread could put a record between them, and the program that waits for the
-// line could not parse it. The stream is unbuffered and each write is output whole
-// interrupted, so each line and each record (see end_record()) is one write.
+// line could not parse it. The stream is unbuffered and does not split a
+// single write, so each line and each record (see end_record()) is one write.
 void write_line(std::string const& line)
 {
     std::cout << line + "\n" << std::flush;
--- a/src/metrics_text.hpp
+++ b/src/metrics_text.hpp
@@ -30,7 +30,8 @@
     /// Share of the ended requests that stalled; 0 if none has ended.
     double stall_share = 0;
     double stall_seconds = 0;
-    /// Busy slot time over open slot time; 0 if no slot has been open.
+    /// Ratio of running requests to batch slots, over the time in which at
+    /// least one request was running or queued; 0 if there was no such time.
     double batch_efficiency = 0;
 };
 measures measures_of(core_status const& status);
--- a/src/shell_clock.hpp
+++ b/src/shell_clock.hpp
@@ -13,6 +13,7 @@
 /// Converts between the steady clock and the core's time_point. The epoch of
 /// time_point is 24 h before the first use of this clock in the process, so
 /// that time points shortly before the start of the process are not negative.
+///
 /// Thread safety: stateless.
 class shell_clock
 {
