--- a/src/daemon.cpp
+++ b/src/daemon.cpp
@@ -199,7 +199,7 @@
             continue;
         if (std::exchange(leave_requested, true))
             return 1;
-        running.decisions().post(leave_asked{"a signal was received"});
+        running.decisions().post(leave_asked{"a signal came"});
     }
     return 0;
 }
@@ -217,7 +217,7 @@
     write_line("listening " + running.addresses());
     int const status = wait_for_end(running, signals);
     log(log_level::info, "daemon",
-        status == 0 ? "the VM has left; no request is in progress"
+        status == 0 ? "left: nothing is in progress"
                     : "stopped by a second signal");
     running.stop();
     stop_logging();
