--- a/src/http_caller_socket.hpp
+++ b/src/http_caller_socket.hpp
@@ -20,18 +20,18 @@
 struct caller_state
 {
     /// Bytes of a request came, and its end has not.
-    bool arriving = false;
+    bool receiving = false;
     /// Whole requests that came, and whose answers RESTinio has not yet.
-    std::size_t unanswered = 0;
+    std::size_t unanswered_requests = 0;
     /// The server itself ends the connection.
-    bool ending = false;
+    bool closing = false;
     /// Bytes of answers that the socket has not taken yet. From any thread.
     std::atomic<std::size_t> unsent_bytes{0};
     /// The bytes to send to a caller whose request did not arrive in time.
-    std::function<std::string()> too_slow;
+    std::function<std::string()> timeout_response;
     /// The caller closed its sending half while it waits for its only answer.
     /// Returns the bytes to send; none if that answer has begun.
-    std::function<std::string()> half_closed;
+    std::function<std::string()> half_close_response;
 };
 
 /// RESTinio closes the connection of a caller that sends too slowly, or that
@@ -42,7 +42,7 @@
 class caller_socket : public restinio::asio_ns::ip::tcp::socket
 {
     using plain = restinio::asio_ns::ip::tcp::socket;
-    using failure_code = restinio::asio_ns::error_code;
+    using error_code = restinio::asio_ns::error_code;
 
 public:
     caller_socket(plain socket, std::shared_ptr<caller_state> state)
@@ -61,10 +61,10 @@
             restinio::asio_ns::bind_executor(
                 executor,
                 [this, handler = std::forward<Handler>(handler)](
-                    failure_code const& failure, std::size_t bytes) mutable
+                    error_code const& failure, std::size_t bytes) mutable
                 {
                     reading_ = true;
-                    was_read(failure);
+                    on_read(failure);
                     handler(failure, bytes);
                     reading_ = false;
                 }));
@@ -81,7 +81,7 @@
             restinio::asio_ns::bind_executor(
                 executor,
                 [this, handler = std::forward<Handler>(handler)](
-                    failure_code const& failure, std::size_t bytes) mutable
+                    error_code const& failure, std::size_t bytes) mutable
                 {
                     writing_ = false;
                     handler(failure, bytes);
@@ -90,35 +90,36 @@
 
     /// RESTinio calls this first when it closes a connection. Within no
     /// handler of a read and with nothing to answer, its read timeout does.
-    void shutdown(shutdown_type what, failure_code& failure)
+    void shutdown(shutdown_type what, error_code& failure)
     {
-        bool const timed_out = state_->arriving && state_->unanswered == 0 &&
-                               !state_->ending && !reading_ && !writing_;
+        bool const timed_out = state_->receiving &&
+                               state_->unanswered_requests == 0 &&
+                               !state_->closing && !reading_ && !writing_;
         if (timed_out)
-            say(state_->too_slow());
+            write_before_close(state_->timeout_response());
         plain::shutdown(what, failure);
     }
 
 private:
-    void was_read(failure_code const& failure)
+    void on_read(error_code const& failure)
     {
         if (!failure)
-            state_->arriving = true;
+            state_->receiving = true;
         // With more than one request on the way, or part of an answer, the
         // page would be taken for the answer to another.
         else if (failure == restinio::asio_ns::error::eof &&
-                 state_->unanswered == 1 && !writing_)
-            say(state_->half_closed());
+                 state_->unanswered_requests == 1 && !writing_)
+            write_before_close(state_->half_close_response());
     }
 
     /// As much as the socket takes at once: a page is far smaller than its
     /// buffer, and nobody waits for a caller who is about to be cut off.
-    void say(std::string const& page)
+    void write_before_close(std::string const& response)
     {
-        failure_code ignored;
+        error_code ignored;
         plain::non_blocking(true, ignored);
-        if (!page.empty() && !ignored)
-            plain::write_some(restinio::asio_ns::buffer(page), ignored);
+        if (!response.empty() && !ignored)
+            plain::write_some(restinio::asio_ns::buffer(response), ignored);
     }
 
     std::shared_ptr<caller_state> state_;
--- a/src/http_request_limits.cpp
+++ b/src/http_request_limits.cpp
@@ -19,12 +19,12 @@
 constexpr int headers_too_large = 431;
 
 /// A body announced as larger than this many times the limit is not read.
-constexpr std::uint64_t readable_excess = 16;
+constexpr std::uint64_t max_discarded_body_factor = 16;
 
 /// The mark is kept among the header fields, since that is the one part of the
 /// parser's state that reaches the handler. No caller can send it: the parser
 /// takes no control characters in names.
-constexpr char const* refusal_mark = "\001refused";
+constexpr char const* refusal_field = "\001refused";
 
 http_parser_settings const& default_callbacks()
 {
@@ -41,7 +41,7 @@
 
 bool is_refused(http_parser* parser)
 {
-    return context_of(parser).m_header.has_field(refusal_mark);
+    return context_of(parser).m_header.has_field(refusal_field);
 }
 
 void drop_fields(http_parser_ctx_t& context)
@@ -55,14 +55,14 @@
 {
     http_parser_ctx_t& context = context_of(parser);
     drop_fields(context);
-    context.m_header.add_field(refusal_mark, std::to_string(status));
+    context.m_header.add_field(refusal_field, std::to_string(status));
     std::string().swap(context.m_body);
 }
 
 /// Runs one of RESTinio's callbacks, whose only failure is a limit, or a check
 /// of our own: 0 is within the limit.
 template <class Callback>
-int within_limit(http_parser* parser, int status, Callback callback)
+int enforce_limit(http_parser* parser, int status, Callback callback)
 {
     if (!is_refused(parser) && callback() != 0)
         refuse(parser, status);
@@ -80,14 +80,14 @@
 
 int on_url(http_parser* parser, char const* at, std::size_t length)
 {
-    return within_limit(
+    return enforce_limit(
         parser, target_too_long,
         [&] { return default_callbacks().on_url(parser, at, length); });
 }
 
 int on_header_field(http_parser* parser, char const* at, std::size_t length)
 {
-    return within_limit(
+    return enforce_limit(
         parser, headers_too_large,
         [&]
         { return default_callbacks().on_header_field(parser, at, length); });
@@ -95,7 +95,7 @@
 
 int on_header_value(http_parser* parser, char const* at, std::size_t length)
 {
-    return within_limit(
+    return enforce_limit(
         parser, headers_too_large,
         [&]
         { return default_callbacks().on_header_value(parser, at, length); });
@@ -110,17 +110,17 @@
     parser->upgrade = 0;
     http_parser_ctx_t& context = context_of(parser);
     context.m_header.http_minor(parser->http_minor);
-    within_limit(
+    enforce_limit(
         parser, headers_too_large,
         [&context]
         { return header_bytes(context) > context.m_limits.max_url_size(); });
-    within_limit(parser, body_too_large,
-                 [&]
-                 { return default_callbacks().on_headers_complete(parser); });
+    enforce_limit(parser, body_too_large,
+                  [&]
+                  { return default_callbacks().on_headers_complete(parser); });
     context.m_leading_headers_completed = true;
     bool const announced = parser->content_length != UINT64_MAX;
     std::uint64_t const readable =
-        context.m_limits.max_body_size() * readable_excess;
+        context.m_limits.max_body_size() * max_discarded_body_factor;
     if (announced && parser->content_length > readable)
         return skip_body;
     return body_follows;
@@ -128,7 +128,7 @@
 
 int on_body(http_parser* parser, char const* at, std::size_t length)
 {
-    return within_limit(
+    return enforce_limit(
         parser, body_too_large,
         [&] { return default_callbacks().on_body(parser, at, length); });
 }
@@ -152,9 +152,9 @@
 
 std::optional<int> refused_status(restinio::http_request_header_t const& header)
 {
-    if (!header.has_field(refusal_mark))
+    if (!header.has_field(refusal_field))
         return std::nullopt;
-    std::string const& text = header.get_field(refusal_mark);
+    std::string const& text = header.get_field(refusal_field);
     int status = 0;
     std::from_chars(text.data(), text.data() + text.size(), status);
     return status;
--- a/src/http_server.cpp
+++ b/src/http_server.cpp
@@ -32,7 +32,7 @@
 constexpr std::chrono::hours handling_timeout{1};
 constexpr std::chrono::milliseconds accept_retry_delay{100};
 /// How long the destructor waits for answers already given to go out.
-constexpr std::chrono::seconds farewell{1};
+constexpr std::chrono::seconds shutdown_timeout{1};
 
 using connection_settings =
     restinio::impl::connection_settings_t<server_traits>;
@@ -64,17 +64,17 @@
     return header.method() == restinio::http_method_head();
 }
 
-answer_form form_of(restinio::http_request_header_t const& header)
+response_format format_of(restinio::http_request_header_t const& header)
 {
-    answer_form form;
-    form.keep_alive = header.should_keep_alive();
-    form.head = is_head(header);
-    form.chunks = header.http_minor() >= 1;
-    return form;
+    response_format format;
+    format.keep_alive = header.should_keep_alive();
+    format.head = is_head(header);
+    format.chunks = header.http_minor() >= 1;
+    return format;
 }
 
 /// The status to refuse a request with before the handler sees it, or 0.
-int refusal_of(restinio::http_request_header_t const& header)
+int rejection_status(restinio::http_request_header_t const& header)
 {
     if (auto const status = refused_status(header))
         return *status;
@@ -103,14 +103,14 @@
     std::shared_ptr<connection_settings> make_settings();
     std::shared_ptr<connection_factory> make_factory();
     void accept_next();
-    void accepted(asio::error_code const& failure, tcp::socket socket);
+    void on_accept(asio::error_code const& failure, tcp::socket socket);
     void retry_accept();
-    void room_made();
+    void on_connection_removed();
     void open_connection(tcp::socket socket);
-    std::string last_word(int status) const;
-    void prepare_last_words(caller_state& state, connection_number number);
+    std::string closing_error_response(int status) const;
+    void set_closing_responses(caller_state& state, connection_number number);
     restinio::request_handling_status_t
-    take(restinio::request_handle_t const& received);
+    handle_request(restinio::request_handle_t const& received);
     void refuse(restinio::request_handle_t const& received, int status);
     void close_connections();
     void close(restinio::impl::connection_handle_t const& connection);
@@ -122,7 +122,7 @@
     asio::strand<asio::io_context::executor_type> accept_strand_;
     tcp::acceptor acceptor_;
     asio::steady_timer accept_timer_;
-    std::atomic<bool> waits_for_room_{false};
+    std::atomic<bool> accept_paused_{false};
     std::uint16_t port_ = 0;
     std::shared_ptr<connection_table> table_;
     std::shared_ptr<connection_factory> factory_;
@@ -138,8 +138,8 @@
       io_(own_io_ ? *own_io_ : *options_.shared_io), work_(io_.get_executor()),
       accept_strand_(io_.get_executor()), acceptor_(accept_strand_),
       accept_timer_(accept_strand_),
-      table_(std::make_shared<connection_table>(std::move(handler),
-                                                [this] { room_made(); })),
+      table_(std::make_shared<connection_table>(std::move(handler), [this]
+                                                { on_connection_removed(); })),
       factory_(make_factory())
 {
     listen();
@@ -155,7 +155,7 @@
     stop_accepting();
     // With a shared io_context nothing runs any more: there is nothing to wait
     // for.
-    auto const deadline = std::chrono::steady_clock::now() + farewell;
+    auto const deadline = std::chrono::steady_clock::now() + shutdown_timeout;
     if (own_io_)
         table_->wait_until_sent(deadline);
     close_connections();
@@ -212,7 +212,7 @@
         .connection_state_listener(
             std::make_shared<connection_listener>(table_))
         .request_handler([this](restinio::request_handle_t const& received)
-                         { return take(received); });
+                         { return handle_request(received); });
     auto timers = std::make_shared<restinio::asio_timer_manager_t>(
         io_, timer_period(options_.read_timeout));
     return std::make_shared<connection_settings>(
@@ -240,18 +240,18 @@
 {
     if (!acceptor_.is_open())
         return;
-    waits_for_room_ = true;
+    accept_paused_ = true;
     if (table_->size() >= options_.max_connections)
         return;
-    if (!waits_for_room_.exchange(false))
+    if (!accept_paused_.exchange(false))
         return;
     acceptor_.async_accept(
         io_, [this](asio::error_code const& failure, tcp::socket socket)
-        { accepted(failure, std::move(socket)); });
+        { on_accept(failure, std::move(socket)); });
 }
 
-void http_server::implementation::accepted(asio::error_code const& failure,
-                                           tcp::socket socket)
+void http_server::implementation::on_accept(asio::error_code const& failure,
+                                            tcp::socket socket)
 {
     if (failure == asio::error::operation_aborted)
         return;
@@ -275,9 +275,9 @@
         });
 }
 
-void http_server::implementation::room_made()
+void http_server::implementation::on_connection_removed()
 {
-    if (waits_for_room_.exchange(false))
+    if (accept_paused_.exchange(false))
         asio::post(accept_strand_, [this] { accept_next(); });
 }
 
@@ -291,52 +291,56 @@
     auto const connection = factory_->create_new_connection(
         caller_socket(std::move(socket), state), remote,
         server_connection::lifetime_monitor_t{nullptr});
-    prepare_last_words(*state, connection->connection_id());
+    set_closing_responses(*state, connection->connection_id());
     table_->add(connection, state);
     asio::post(connection->get_executor(),
                [connection] { connection->init(); });
 }
 
 /// A status line alone would not tell "cut off" from an answer of the handler.
-std::string http_server::implementation::last_word(int status) const
+std::string
+http_server::implementation::closing_error_response(int status) const
 {
     if (!options_.error_page || table_->closing())
         return {};
-    return closing_text(options_.error_page(status));
+    return closing_response_text(options_.error_page(status));
 }
 
 // Both run on the connection's strand, so never after the destructor.
-void http_server::implementation::prepare_last_words(caller_state& state,
-                                                     connection_number number)
+void http_server::implementation::set_closing_responses(
+    caller_state& state, connection_number number)
 {
-    state.too_slow = [this] { return last_word(request_timeout); };
-    state.half_closed = [this, number] {
-        return table_->given_up(number) ? last_word(bad_gateway)
-                                        : std::string();
+    state.timeout_response = [this]
+    { return closing_error_response(request_timeout); };
+    state.half_close_response = [this, number]
+    {
+        return table_->on_half_close(number)
+                   ? closing_error_response(bad_gateway)
+                   : std::string();
     };
 }
 
-restinio::request_handling_status_t
-http_server::implementation::take(restinio::request_handle_t const& received)
+restinio::request_handling_status_t http_server::implementation::handle_request(
+    restinio::request_handle_t const& received)
 {
     auto const state = table_->state_of(received->connection_id());
     if (!state)
         return restinio::request_accepted();
-    state->arriving = false;
-    if (int const status = refusal_of(received->header()))
+    state->receiving = false;
+    if (int const status = rejection_status(received->header()))
     {
-        state->ending = true;
+        state->closing = true;
         refuse(received, status);
         return restinio::request_accepted();
     }
     auto connection = std::static_pointer_cast<server_connection>(
         restinio::impl::access_req_connection(*received));
     connection_number const number = connection->connection_id();
-    ++state->unanswered;
-    auto answer = std::make_shared<server_answer>(table_, std::move(connection),
-                                                  state, received->request_id(),
-                                                  form_of(received->header()));
-    table_->take(number, {to_request(*received), std::move(answer)});
+    ++state->unanswered_requests;
+    auto answer = std::make_shared<server_answer>(
+        table_, std::move(connection), state, received->request_id(),
+        format_of(received->header()));
+    table_->handle_in_order(number, {to_request(*received), std::move(answer)});
     return restinio::request_accepted();
 }
 
--- a/src/http_server_answer.cpp
+++ b/src/http_server_answer.cpp
@@ -49,7 +49,7 @@
     return closing ? "Connection: close\r\n" : "Connection: keep-alive\r\n";
 }
 
-std::string whole_response_head(http_response const& response, bool closing)
+std::string complete_response_head(http_response const& response, bool closing)
 {
     std::string text =
         status_line_and_fields(response.status, response.headers);
@@ -74,13 +74,13 @@
                                          bool head)
 {
     bool const has_body = !head && may_have_body(response.status);
-    return group_of(whole_response_head(response, true),
+    return group_of(complete_response_head(response, true),
                     has_body ? response.body : std::string());
 }
 
-std::string closing_text(http_response const& response)
+std::string closing_response_text(http_response const& response)
 {
-    return whole_response_head(response, true) + response.body;
+    return complete_response_head(response, true) + response.body;
 }
 
 connection_listener::connection_listener(
@@ -120,7 +120,7 @@
     return found == entries_.end() ? nullptr : found->second.state;
 }
 
-bool connection_table::given_up(connection_number number)
+bool connection_table::on_half_close(connection_number number)
 {
     std::shared_ptr<server_answer> answer;
     {
@@ -147,8 +147,8 @@
     changed_.notify_all();
     if (auto const answer = removed.current.lock())
         answer->connection_closed();
-    if (removed.held)
-        removed.held->answer->connection_closed();
+    if (removed.queued)
+        removed.queued->answer->connection_closed();
     on_removed_();
 }
 
@@ -178,7 +178,7 @@
     std::vector<std::shared_ptr<server_connection>> connections;
     for (auto const& [number, entry] : entries_)
     {
-        if (entry.busy || entry.state->arriving ||
+        if (entry.busy || entry.state->receiving ||
             entry.state->unsent_bytes > 0)
             continue;
         if (auto connection = entry.connection.lock())
@@ -187,7 +187,8 @@
     return connections;
 }
 
-void connection_table::take(connection_number number, pending_request pending)
+void connection_table::handle_in_order(connection_number number,
+                                       pending_request pending)
 {
     {
         std::lock_guard const lock(mutex_);
@@ -200,7 +201,7 @@
         // read the old state. One at a time is the order they were sent in.
         if (entry.busy)
         {
-            entry.held = std::move(pending);
+            entry.queued = std::move(pending);
             return;
         }
         entry.busy = true;
@@ -209,7 +210,7 @@
     handle(std::move(pending));
 }
 
-void connection_table::answered(server_connection& connection)
+void connection_table::on_answer_complete(server_connection& connection)
 {
     std::optional<pending_request> next;
     {
@@ -218,7 +219,7 @@
         if (found == entries_.end())
             return;
         entry& entry = found->second;
-        next = std::exchange(entry.held, std::nullopt);
+        next = std::exchange(entry.queued, std::nullopt);
         entry.busy = next.has_value();
         entry.current = next ? next->answer : std::shared_ptr<server_answer>();
     }
@@ -280,9 +281,11 @@
 server_answer::server_answer(std::shared_ptr<connection_table> table,
                              std::shared_ptr<server_connection> connection,
                              std::shared_ptr<caller_state> state,
-                             restinio::request_id_t request, answer_form form)
+                             restinio::request_id_t request,
+                             response_format format)
     : table_(std::move(table)), state_(std::move(state)), request_(request),
-      form_(form), unsent_bytes_(std::make_shared<std::atomic<std::size_t>>(0)),
+      format_(format),
+      unsent_bytes_(std::make_shared<std::atomic<std::size_t>>(0)),
       connection_(std::move(connection))
 {
 }
@@ -302,9 +305,9 @@
 {
     if (stage_ != stage::waiting)
         return;
-    closing_ = !form_.keep_alive || table_->draining();
-    std::string head = whole_response_head(response, closing_);
-    if (form_.head || !may_have_body(response.status))
+    closing_ = !format_.keep_alive || table_->draining();
+    std::string head = complete_response_head(response, closing_);
+    if (format_.head || !may_have_body(response.status))
         response.body.clear();
     complete(last_part(), std::move(head), std::move(response.body));
 }
@@ -316,7 +319,7 @@
         std::lock_guard const lock(mutex_);
         if (stage_ != stage::waiting)
             return;
-        if (!form_.chunks)
+        if (!format_.chunks)
         {
             // HTTP/1.0 ends a stream by closing the connection, so that its
             // reader would take a cut stream for a whole one.
@@ -325,15 +328,15 @@
         }
         else
         {
-            closing_ = !form_.keep_alive || table_->draining();
+            closing_ = !format_.keep_alive || table_->draining();
             std::string head = status_line_and_fields(status, headers) +
                                "Transfer-Encoding: chunked\r\n" +
                                connection_field(closing_) + "\r\n";
-            if (form_.head)
+            if (format_.head)
                 complete(last_part(), std::move(head));
             else
                 send(part::more, std::move(head));
-            if (!form_.head)
+            if (!format_.head)
                 stage_ = stage::streaming;
         }
     }
@@ -410,7 +413,7 @@
     stage_ = stage::complete;
     on_closed_ = nullptr;
     auto const connection = std::exchange(connection_, nullptr);
-    table_->answered(*connection);
+    table_->on_answer_complete(*connection);
 }
 
 void server_answer::send(part which, std::string bytes, std::string body)
@@ -444,8 +447,8 @@
          state = state_, which, request = request_, flags,
          group = std::move(group)]() mutable
         {
-            state->unanswered -= which == part::more ? 0 : 1;
-            state->ending |= which == part::last_then_close;
+            state->unanswered_requests -= which == part::more ? 0 : 1;
+            state->closing |= which == part::last_then_close;
             handle->write_response_parts(request, flags, std::move(group));
         });
 }
--- a/src/http_server_answer.hpp
+++ b/src/http_server_answer.hpp
@@ -67,7 +67,7 @@
     std::shared_ptr<caller_state> state_of(connection_number number) const;
     /// The caller closed its sending half, and so gives its request up. Returns
     /// whether it waits for an answer of which nothing was sent.
-    bool given_up(connection_number number);
+    bool on_half_close(connection_number number);
     /// Forgets a connection and tells its answers that it closed.
     void remove(connection_number number);
     std::size_t size() const;
@@ -78,9 +78,9 @@
 
     /// Handles a request, or holds it until the one before it on the same
     /// connection is answered.
-    void take(connection_number number, pending_request pending);
+    void handle_in_order(connection_number number, pending_request pending);
     /// The answer in progress on that connection is complete.
-    void answered(server_connection& connection);
+    void on_answer_complete(server_connection& connection);
 
     /// From now on every answer closes its connection.
     void drain() { draining_ = true; }
@@ -105,7 +105,7 @@
         /// The answer in progress.
         std::weak_ptr<server_answer> current;
         bool busy = false;
-        std::optional<pending_request> held;
+        std::optional<pending_request> queued;
     };
 
     void handle(pending_request pending) const;
@@ -121,7 +121,7 @@
 };
 
 /// How a request wants to be answered.
-struct answer_form
+struct response_format
 {
     bool keep_alive = true;
     /// A response to HEAD has no body.
@@ -139,7 +139,7 @@
     server_answer(std::shared_ptr<connection_table> table,
                   std::shared_ptr<server_connection> connection,
                   std::shared_ptr<caller_state> state,
-                  restinio::request_id_t request, answer_form form);
+                  restinio::request_id_t request, response_format format);
     server_answer(server_answer const&) = delete;
     server_answer& operator=(server_answer const&) = delete;
     ~server_answer() override;
@@ -179,7 +179,7 @@
     std::shared_ptr<connection_table> const table_;
     std::shared_ptr<caller_state> const state_;
     restinio::request_id_t const request_;
-    answer_form const form_;
+    response_format const format_;
     std::shared_ptr<std::atomic<std::size_t>> const unsent_bytes_;
     std::mutex mutex_;
     std::shared_ptr<server_connection> connection_;
@@ -192,7 +192,7 @@
 restinio::write_group_t closing_response(http_response const& response,
                                          bool head);
 /// The same as one text.
-std::string closing_text(http_response const& response);
+std::string closing_response_text(http_response const& response);
 
 } // namespace mulberry
 
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -19,7 +19,7 @@
 {
 
 /// Hands each answer to the test, in the order the requests were handled.
-class held_answers
+class recording_handler
 {
 public:
     http_handler handler()
@@ -70,7 +70,7 @@
 }
 
 /// A promise kept by on_closed, and how often that was called.
-struct closed_watch
+struct close_counter
 {
     std::promise<void> closed;
     std::atomic<int> count{0};
@@ -105,7 +105,7 @@
     return options;
 }
 
-struct status_seen final : http_call_observer
+struct completion_observer final : http_call_observer
 {
     std::promise<std::pair<call_stage, std::string>> failed;
     std::string data;
@@ -126,7 +126,7 @@
 {
     // A caller sends two requests without waiting. The second must not run
     // before the first is answered, and the answers come in order.
-    held_answers held;
+    recording_handler held;
     http_server server({}, held.handler());
     auto const caller = raw_socket::connected(server.port());
     caller.send(get("/first") + get("/second"));
@@ -224,12 +224,12 @@
     // It closes its sending half while it waits, and reads on. Nothing more
     // can tell the server whether it is there: the request ends, and it is
     // told so. An answer that has begun is cut instead.
-    held_answers held;
+    recording_handler held;
     http_server server(with_error_page(), held.handler());
     auto const caller = raw_socket::connected(server.port());
     caller.send(get("/"));
     auto const answer = held.wait_for(0);
-    closed_watch watch;
+    close_counter watch;
     watch.watch(*answer);
     SECTION("nothing was sent yet")
     {
@@ -255,7 +255,7 @@
 {
     // Two requests are on the way; a page sent now would be taken for the
     // answer to the first.
-    held_answers held;
+    recording_handler held;
     http_server server(with_error_page(), held.handler());
     auto const caller = raw_socket::connected(server.port());
     caller.send(get("/first") + get("/second"));
@@ -271,12 +271,12 @@
     // slot is freed; later writes do nothing.
     auto const streaming = GENERATE(false, true);
     auto const half = GENERATE(false, true);
-    held_answers held;
+    recording_handler held;
     http_server server({}, held.handler());
     auto caller = raw_socket::connected(server.port());
     caller.send(get("/"));
     auto const answer = held.wait_for(0);
-    closed_watch watch;
+    close_counter watch;
     watch.watch(*answer);
     if (streaming)
     {
@@ -294,7 +294,7 @@
     answer->abort();
     CHECK(watch.count == 1);
     // It is closed already: told within the call.
-    closed_watch late;
+    close_counter late;
     late.watch(*answer);
     CHECK(late.count == 1);
 }
@@ -312,7 +312,7 @@
                            answer->abort();
                        });
     http_client client;
-    auto const observer = std::make_shared<status_seen>();
+    auto const observer = std::make_shared<completion_observer>();
     http_call call;
     call.url = "http://127.0.0.1:" + std::to_string(server.port()) + "/";
     call.deadline = std::chrono::steady_clock::now() + 20s;
@@ -325,7 +325,7 @@
 
 TEST_CASE("an answer that nobody gives closes the connection", "[http_server]")
 {
-    held_answers held;
+    recording_handler held;
     http_server server({}, held.handler());
     auto const caller = raw_socket::connected(server.port());
     caller.send(get("/"));
@@ -387,7 +387,7 @@
 
 TEST_CASE("bytes that the reader has not taken are counted", "[http_server]")
 {
-    held_answers held;
+    recording_handler held;
     http_server server({}, held.handler());
     auto const caller = raw_socket::connected(server.port());
     caller.send(get("/"));
@@ -407,14 +407,14 @@
 TEST_CASE("an answer outlives its server, which reports it closed",
           "[http_server]")
 {
-    held_answers held;
+    recording_handler held;
     auto server =
         std::make_unique<http_server>(http_server_options{}, held.handler());
     std::uint16_t const port = server->port();
     auto const caller = raw_socket::connected(port);
     caller.send(get("/"));
     auto const answer = held.wait_for(0);
-    closed_watch watch;
+    close_counter watch;
     watch.watch(*answer);
     server.reset();
     CHECK(watch.count == 1);
@@ -432,7 +432,7 @@
 TEST_CASE("an answer given just before the server stops still arrives whole",
           "[http_server]")
 {
-    held_answers held;
+    recording_handler held;
     auto server =
         std::make_unique<http_server>(http_server_options{}, held.handler());
     auto const caller = raw_socket::connected(server->port());
@@ -481,7 +481,7 @@
 // answered is answered.
 TEST_CASE("closing idle connections cuts no answer", "[http_server]")
 {
-    held_answers held;
+    recording_handler held;
     http_server server({}, held.handler());
     raw_socket idle = raw_socket::connected(server.port());
     raw_socket slow = raw_socket::connected(server.port());
