--- a/src/http_caller_socket.hpp
+++ b/src/http_caller_socket.hpp
@@ -1,5 +1,6 @@
-/// The socket of a caller's connection, with a last word before it is closed.
-/// Private to the HTTP server: it includes RESTinio.
+/// The socket of a caller's connection, which writes an error response before
+/// RESTinio closes the connection. Private to the HTTP server: this header
+/// includes RESTinio.
 #ifndef MULBERRY_HTTP_CALLER_SOCKET_HPP
 #define MULBERRY_HTTP_CALLER_SOCKET_HPP
 
@@ -15,30 +16,35 @@
 namespace mulberry
 {
 
-/// What is known of the request that a connection reads or answers. Used on
-/// the connection's strand only.
+/// State of the requests that a connection reads or answers. Thread safety:
+/// used on the connection's strand only, except unsent_bytes.
 struct caller_state
 {
-    /// Bytes of a request came, and its end has not.
+    /// A request was received in part.
     bool receiving = false;
-    /// Whole requests that came, and whose answers RESTinio has not yet.
+    /// Complete requests received whose answers were not yet handed to
+    /// RESTinio.
     std::size_t unanswered_requests = 0;
-    /// The server itself ends the connection.
+    /// The server itself closes the connection.
     bool closing = false;
-    /// Bytes of answers that the socket has not taken yet. From any thread.
+    /// Bytes of answers not yet written to the socket. Any thread.
     std::atomic<std::size_t> unsent_bytes{0};
-    /// The bytes to send to a caller whose request did not arrive in time.
+    /// Returns the response for a caller whose request did not arrive within
+    /// the
+    /// read timeout.
     std::function<std::string()> timeout_response;
-    /// The caller closed its sending half while it waits for its only answer.
-    /// Returns the bytes to send; none if that answer has begun.
+    /// Called when the caller has closed its sending half while it waits for
+    /// its
+    /// only answer. Returns the response to send; empty if that answer has
+    /// begun.
     std::function<std::string()> half_close_response;
 };
 
 /// RESTinio closes the connection of a caller that sends too slowly, or that
-/// closes its sending half, without a word: the caller sees a network fault
-/// and sends the same again. RESTinio has no hook for either, but its socket
-/// is a parameter of it; so the response is written right before the close.
-/// Thread safety: as RESTinio's, by the connection's strand.
+/// closes its sending half, without a response: the caller sees a network fault
+/// and retries the same request. RESTinio has no hook for either case, but its
+/// socket type is a template parameter, so this socket writes the response
+/// right before the close. Thread safety: used on the connection's strand only.
 class caller_socket : public restinio::asio_ns::ip::tcp::socket
 {
     using plain = restinio::asio_ns::ip::tcp::socket;
@@ -55,7 +61,7 @@
     {
         auto const executor = restinio::asio_ns::get_associated_executor(
             handler, plain::get_executor());
-        // The handler keeps the connection, and so this socket.
+        // The handler keeps the connection alive, and so this socket.
         plain::async_read_some(
             buffers,
             restinio::asio_ns::bind_executor(
@@ -88,8 +94,9 @@
                 }));
     }
 
-    /// RESTinio calls this first when it closes a connection. Within no
-    /// handler of a read and with nothing to answer, its read timeout does.
+    /// RESTinio calls this first when it closes a connection. A call outside of
+    /// the handlers of reads and writes, with no request to answer, comes from
+    /// RESTinio's read timeout.
     void shutdown(shutdown_type what, error_code& failure)
     {
         bool const timed_out = state_->receiving &&
@@ -105,15 +112,17 @@
     {
         if (!failure)
             state_->receiving = true;
-        // With more than one request on the way, or part of an answer, the
-        // page would be taken for the answer to another.
+        // With more than one request pending, or an answer sent in part, the
+        // caller
+        // would take this response for the answer to another request.
         else if (failure == restinio::asio_ns::error::eof &&
                  state_->unanswered_requests == 1 && !writing_)
             write_before_close(state_->half_close_response());
     }
 
-    /// As much as the socket takes at once: a page is far smaller than its
-    /// buffer, and nobody waits for a caller who is about to be cut off.
+    /// Writes as much as the socket accepts without blocking: an error response
+    /// is far smaller than the socket's buffer, and the server does not wait
+    /// for a caller whose connection is about to be closed.
     void write_before_close(std::string const& response)
     {
         error_code ignored;
--- a/src/http_message.hpp
+++ b/src/http_message.hpp
@@ -1,4 +1,4 @@
-/// HTTP messages as plain values, independent of the HTTP libraries.
+/// HTTP messages as value types, independent of the HTTP libraries.
 #ifndef MULBERRY_HTTP_MESSAGE_HPP
 #define MULBERRY_HTTP_MESSAGE_HPP
 
@@ -11,19 +11,20 @@
 namespace mulberry
 {
 
-/// Whether two header names are equal; they compare without case.
+/// Whether two header names are equal; case-insensitive.
 bool same_header_name(std::string_view a, std::string_view b);
 
-/// Whether a field speaks of one connection or of the framing of one message
+/// Whether a field concerns one connection or the framing of one message
 /// (hop-by-hop fields, Host, Content-Length). The server and the client write
-/// these themselves and leave out any that they are handed, so that the
-/// headers of a message received can be handed on as they are.
+/// these fields themselves and skip them in the headers passed to them, so that
+/// the headers of a received message can be forwarded unchanged.
 bool is_connection_header(std::string_view name);
 
-/// Whether a field can be written without ending its line early.
+/// Whether a field can be written without header injection: no line breaks or
+/// NUL, no colon in the name, and a name that is not empty.
 bool is_safe_header(std::string_view name, std::string_view value);
 
-/// Header fields in the order received. Names compare without case.
+/// Header fields in the order received. Names are case-insensitive.
 class http_headers
 {
 public:
@@ -49,11 +50,11 @@
     std::string query;
     http_headers headers;
     std::string body;
-    /// The IP address at the other end of the connection; empty where it is not
-    /// known.
+    /// The IP address of the peer; empty if unknown.
     std::string caller;
 
-    /// A query parameter, percent-decoded.
+    /// The first query parameter of that name, percent-decoded; empty if it has
+    /// no value, nullopt if it is absent.
     std::optional<std::string> parameter(std::string_view name) const;
 };
 
@@ -67,9 +68,9 @@
 /// A response with a JSON body and its content type.
 http_response json_response(int status, std::string body);
 
-/// Encodes every byte but letters, digits, `-`, `.`, `_` and `~`.
+/// Encodes every byte except letters, digits, `-`, `.`, `_` and `~`.
 std::string percent_encode(std::string_view text);
-/// Leaves an escape that is not two hexadecimal digits as it is.
+/// Leaves an escape without two hexadecimal digits unchanged.
 std::string percent_decode(std::string_view text);
 
 } // namespace mulberry
--- a/src/http_request_limits.cpp
+++ b/src/http_request_limits.cpp
@@ -18,12 +18,13 @@
 constexpr int target_too_long = 414;
 constexpr int headers_too_large = 431;
 
-/// A body announced as larger than this many times the limit is not read.
+/// A body whose announced length exceeds the limit by more than this factor is
+/// not read.
 constexpr std::uint64_t max_discarded_body_factor = 16;
 
-/// The mark is kept among the header fields, since that is the one part of the
-/// parser's state that reaches the handler. No caller can send it: the parser
-/// takes no control characters in names.
+/// Marks a refused request. The mark is a header field, because the header is
+/// the only part of the parser's state that reaches the handler. No caller can
+/// send this field: the parser accepts no control characters in names.
 constexpr char const* refusal_field = "\001refused";
 
 http_parser_settings const& default_callbacks()
@@ -59,8 +60,9 @@
     std::string().swap(context.m_body);
 }
 
-/// Runs one of RESTinio's callbacks, whose only failure is a limit, or a check
-/// of our own: 0 is within the limit.
+/// Runs one of RESTinio's callbacks, which fail only at a limit, or another
+/// check that returns 0 within the limit. Refuses the request with `status` if
+/// the callback returns another value.
 template <class Callback>
 int enforce_limit(http_parser* parser, int status, Callback callback)
 {
@@ -106,7 +108,8 @@
     constexpr int body_follows = 0;
     constexpr int skip_body = 1;
     // A request to upgrade is answered in HTTP/1.1, as the standard allows.
-    // RESTinio would stop reading and so not see that the caller has gone.
+    // With
+    // an upgrade RESTinio would stop reading and not notice a disconnect.
     parser->upgrade = 0;
     http_parser_ctx_t& context = context_of(parser);
     context.m_header.http_minor(parser->http_minor);
@@ -144,8 +147,8 @@
     callbacks.on_header_value = on_header_value;
     callbacks.on_headers_complete = on_headers_complete;
     callbacks.on_body = on_body;
-    // RESTinio's list of chunks is left out: with chunks of one byte it grows
-    // to many times the limit of the body.
+    // RESTinio's callbacks that record chunks are left out: with chunks of one
+    // byte the list of chunks grows to many times the limit of the body.
     callbacks.on_message_complete = default_callbacks().on_message_complete;
     return callbacks;
 }
--- a/src/http_server.cpp
+++ b/src/http_server.cpp
@@ -25,13 +25,13 @@
 constexpr std::size_t read_buffer_bytes = 16UL * 1024;
 constexpr std::size_t max_header_count = 100;
 constexpr std::size_t max_header_name_bytes = 256;
-/// The request in progress and one more, which keeps a read pending: without
-/// it a caller that goes away is not noticed before the next write.
+/// The request in progress and one more, which keeps a read pending: without a
+/// pending read a disconnect is not noticed before the next write.
 constexpr std::size_t requests_per_connection = 2;
-/// The deadlines of requests are the handler's; this is the last resort.
+/// An upper bound only: the handler enforces the deadlines of requests.
 constexpr std::chrono::hours handling_timeout{1};
 constexpr std::chrono::milliseconds accept_retry_delay{100};
-/// How long the destructor waits for answers already given to go out.
+/// Limit for the destructor to send complete answers and close connections.
 constexpr std::chrono::seconds shutdown_timeout{1};
 
 using connection_settings =
@@ -78,7 +78,7 @@
 {
     if (auto const status = refused_status(header))
         return *status;
-    // Neither an absolute URL nor CONNECT: this is no proxy.
+    // Absolute URLs and CONNECT are refused: this server is not a proxy.
     return header.request_target().starts_with('/') ? 0 : bad_request;
 }
 
@@ -153,8 +153,7 @@
 http_server::implementation::~implementation()
 {
     stop_accepting();
-    // With a shared io_context nothing runs any more: there is nothing to wait
-    // for.
+    // No thread runs a shared io_context any more, so waiting would not help.
     auto const deadline = std::chrono::steady_clock::now() + shutdown_timeout;
     if (own_io_)
         table_->wait_until_sent(deadline);
@@ -166,7 +165,8 @@
     }
     for (std::thread& thread : threads_)
         thread.join();
-    // The answers let go of their connections, which end with the io_context.
+    // The answers release their connections, which must not outlive the
+    // io_context.
     for (auto const& connection : table_->open_connections())
         table_->remove(connection->connection_id());
 }
@@ -178,7 +178,7 @@
         tcp::endpoint const endpoint(asio::ip::make_address(options_.address),
                                      options_.port);
         acceptor_.open(endpoint.protocol());
-        // A restarted process takes its port back while connections of its
+        // A restarted process can bind its port while connections of its
         // predecessor are still in TIME_WAIT.
         acceptor_.set_option(tcp::acceptor::reuse_address(true));
         acceptor_.bind(endpoint);
@@ -219,10 +219,11 @@
         settings, limiting_parser_settings(), std::move(timers));
 }
 
-// RESTinio's connections are used, its acceptor is not. After one failed
-// accept (the process is out of file descriptors) that acceptor never accepts
-// again: callers time out while the process looks healthy. And its connections
-// refer to it after it is destroyed. The loop below tries again after a while.
+// RESTinio's connections are used, but not its acceptor. After one failed
+// accept (the process is out of file descriptors) RESTinio's acceptor never
+// accepts again: callers time out while the process looks healthy. RESTinio's
+// connections also refer to their acceptor after its destruction. The accept
+// loop below retries after accept_retry_delay.
 std::shared_ptr<connection_factory> http_server::implementation::make_factory()
 {
     auto set_options = std::make_unique<restinio::socket_options_setter_t>(
@@ -297,7 +298,8 @@
                [connection] { connection->init(); });
 }
 
-/// A status line alone would not tell "cut off" from an answer of the handler.
+/// Empty without error_page: a status line alone could not be told from an
+/// answer of the handler.
 std::string
 http_server::implementation::closing_error_response(int status) const
 {
@@ -306,7 +308,7 @@
     return closing_response_text(options_.error_page(status));
 }
 
-// Both run on the connection's strand, so never after the destructor.
+// Both callbacks run on the connection's strand, so never after the destructor.
 void http_server::implementation::set_closing_responses(
     caller_state& state, connection_number number)
 {
@@ -344,8 +346,9 @@
     return restinio::request_accepted();
 }
 
-/// Runs on the connection's strand, so that RESTinio knows before it reads on
-/// that the connection ends: what follows is the rest of an unread body.
+/// Runs on the connection's strand, so that RESTinio knows that the connection
+/// closes before it reads on: the bytes that follow are the rest of an unread
+/// body.
 void http_server::implementation::refuse(
     restinio::request_handle_t const& received, int status)
 {
@@ -379,8 +382,8 @@
         close(connection);
 }
 
-/// RESTinio closes a connection that is handed the answer to a request it does
-/// not know; it has no other call for that.
+/// RESTinio has no call to close a connection, but closes one that receives an
+/// answer with an unknown request id.
 void http_server::implementation::close(
     restinio::impl::connection_handle_t const& connection)
 {
--- a/src/http_server.hpp
+++ b/src/http_server.hpp
@@ -19,35 +19,39 @@
 namespace mulberry
 {
 
-/// The answer to one request. Thread safe: every member may be called from
-/// any thread and with locks held, except that on_closed() may call back;
-/// calls after the answer is complete do nothing. If all references go without
-/// an answer, the connection is closed. May outlive the server.
+/// The answer to one request. May outlive the server. If the last reference is
+/// destroyed before the answer is complete, the connection is closed. Calls
+/// after the answer is complete do nothing. Thread safety: any thread may call
+/// every member, also with locks held, except that on_closed() may run its
+/// callback within the call.
 class http_answer
 {
 public:
     virtual ~http_answer() = default;
-    /// Sends a whole response. Precondition: nothing was sent before.
+    /// Sends a complete response. Precondition: nothing was sent before.
     virtual void respond(http_response response) = 0;
     /// Starts a chunked response. Precondition: nothing was sent before.
     virtual void start_stream(int status, http_headers headers) = 0;
-    /// Sends one chunk at once. Precondition: start_stream was called.
+    /// Sends one chunk without delay. Precondition: start_stream() was called.
     virtual void write(std::string chunk) = 0;
-    /// Ends a chunked response properly.
+    /// Sends the last chunk, which ends a chunked response.
     virtual void finish() = 0;
-    /// Closes the connection, after what was written has gone out, so that the
-    /// reader sees a cut, never an end.
+    /// Closes the connection after the bytes already written were sent. The
+    /// last
+    /// chunk is not sent, so the reader sees a truncated response.
     virtual void abort() = 0;
-    /// Called once, on a thread of the server, if the connection closes before
-    /// the answer was complete; a caller that only closes its sending half
-    /// counts as gone. Within this call if the connection is closed already,
-    /// and on the destroying thread if the server goes first.
+    /// Sets a callback that runs once if the connection closes before the
+    /// answer
+    /// is complete. A caller that closes only its sending half counts as
+    /// disconnected. The callback runs on a thread of the server, within this
+    /// call if the connection is closed already, or on the thread that destroys
+    /// the server if the server is destroyed first.
     virtual void on_closed(std::function<void()> callback) = 0;
-    /// Bytes handed over by write() that the socket has not taken yet.
+    /// Bytes passed to this answer that are not yet written to the socket.
     virtual std::size_t unsent_bytes() const = 0;
 };
 
-/// Takes a request. Called on a thread of the server; must not block.
+/// Handles a request. Called on a thread of the server; must not block.
 using http_handler =
     std::function<void(http_request, std::shared_ptr<http_answer>)>;
 
@@ -55,27 +59,29 @@
 {
     /// A numeric address; the server binds nothing else.
     std::string address = "127.0.0.1";
-    /// 0 lets the kernel pick.
+    /// 0: the kernel chooses a free port.
     std::uint16_t port = 0;
     std::size_t threads = 1;
-    /// Serves on this io_context, which the owner runs on one thread, instead
-    /// of threads of its own: an answer made on that thread then goes out
-    /// without a change of threads. It outlives the server, which is destroyed
-    /// when nothing runs it any more.
+    /// The server runs on this io_context instead of on threads of its own. The
+    /// caller runs the io_context on one thread; an answer given on that thread
+    /// is sent without a thread switch. Preconditions: the io_context outlives
+    /// the server, and no thread runs the io_context when the server is
+    /// destroyed.
     asio::io_context* shared_io = nullptr;
     std::size_t max_body_bytes = 4UL * 1024 * 1024;
     std::size_t max_header_bytes = 32UL * 1024;
     std::size_t max_connections = 4096;
-    /// The longest that a request may take to arrive, and a connection stay
-    /// idle between requests.
+    /// Limit for receiving a request, and for the idle time of a connection
+    /// between requests.
     std::chrono::milliseconds read_timeout{15000};
-    /// The longest that a caller may take to read what was written to it.
+    /// Limit for the caller to read what was written to its connection.
     std::chrono::milliseconds write_timeout{30000};
-    /// Makes the responses of the server itself, by status: 400, 413, 414 and
-    /// 431; without it they have no body. Also 408 for a request that does not
-    /// arrive in time, and 502 for one whose caller closed its sending half
-    /// before the answer began; without it those are cut off in silence. What
-    /// is not HTTP at all is always cut off.
+    /// Makes the server's own error responses. For 400, 413, 414 and 431, the
+    /// response has no body if this function is not set. For 408 (a request
+    /// that does not arrive in time) and 502 (the caller closed its sending
+    /// half before the answer began), the connection is closed without a
+    /// response if this function is not set. Input that is not HTTP closes the
+    /// connection without a response in any case.
     std::function<http_response(int status)> error_page;
 };
 
@@ -85,23 +91,25 @@
 public:
     /// Starts listening. Throws std::runtime_error if the address is taken.
     http_server(http_server_options options, http_handler handler);
-    /// Stops: gives complete answers up to a second to go out, closes every
-    /// connection and joins the threads. Not on a thread of the server.
+    /// Waits up to one second for complete answers to be sent (not with
+    /// shared_io), closes every connection and joins the threads. Precondition:
+    /// not called on a thread of the server.
     ~http_server();
     http_server(http_server const&) = delete;
     http_server& operator=(http_server const&) = delete;
 
-    /// The port bound.
+    /// The bound port.
     std::uint16_t port() const;
-    /// From now on every answer closes its connection; new ones are accepted
-    /// still.
+    /// From now on every answer closes its connection. New connections are
+    /// still
+    /// accepted.
     void close_after_answers();
     /// Closes the connections on which no request is being answered.
     void close_idle();
-    /// Whether a socket has yet to take bytes of an answer.
+    /// Whether bytes of an answer are not yet written to a socket.
     bool has_unsent() const;
-    /// Stops accepting connections; open ones go on, each until its next
-    /// answer, which says `Connection: close`.
+    /// Stops accepting connections. Each open connection is closed by its next
+    /// answer, which carries `Connection: close`.
     void stop_accepting();
 
 private:
--- a/src/http_server_answer.cpp
+++ b/src/http_server_answer.cpp
@@ -35,8 +35,9 @@
                     http_status_str(static_cast<http_status>(status)));
     for (auto const& [name, value] : headers.fields())
     {
-        // A line break taken over from a back end would let it write headers,
-        // or a whole second response, of its own choice.
+        // A line break in a header of a back end would allow header injection
+        // and
+        // response splitting.
         if (is_connection_header(name) || !is_safe_header(name, value))
             continue;
         text += fmt::format("{}: {}\r\n", name, value);
@@ -137,7 +138,7 @@
     entry removed;
     {
         std::lock_guard const lock(mutex_);
-        // RESTinio tells of a close twice if reading and writing both fail.
+        // RESTinio reports a close twice if reading and writing both fail.
         auto const found = entries_.find(number);
         if (found == entries_.end())
             return;
@@ -196,9 +197,9 @@
         if (found == entries_.end())
             return;
         entry& entry = found->second;
-        // Two requests of one connection handled at once could run in the
-        // wrong order: a caller that pipelines a write and a read of it would
-        // read the old state. One at a time is the order they were sent in.
+        // Requests of one connection are handled one at a time, in the order
+        // received. Handled concurrently, a caller that pipelines a write and a
+        // read of the same object could read the old state.
         if (entry.busy)
         {
             entry.queued = std::move(pending);
@@ -321,8 +322,9 @@
             return;
         if (!format_.chunks)
         {
-            // HTTP/1.0 ends a stream by closing the connection, so that its
-            // reader would take a cut stream for a whole one.
+            // HTTP/1.0 ends a stream by closing the connection, so the reader
+            // could
+            // not tell a truncated stream from a complete one.
             closed = std::exchange(on_closed_, nullptr);
             respond_locked(http_response{version_not_supported, {}, {}});
         }
@@ -347,7 +349,7 @@
 void server_answer::write(std::string chunk)
 {
     std::lock_guard const lock(mutex_);
-    // A chunk of no bytes would be read as the end of the stream.
+    // An empty chunk would end the stream.
     if (stage_ != stage::streaming || chunk.empty())
         return;
     std::string bytes = fmt::format("{:x}\r\n", chunk.size());
@@ -367,8 +369,9 @@
 void server_answer::abort()
 {
     std::lock_guard const lock(mutex_);
-    // What was written goes out first: the last event tells the caller why.
-    // Without the last chunk, the close after it is no proper end.
+    // Bytes already written are sent first, since the last event tells the
+    // caller the reason. Without the last chunk, the reader sees a truncated
+    // response.
     if (stage_ == stage::waiting || stage_ == stage::streaming)
         complete(part::last_then_close, {});
 }
@@ -429,7 +432,8 @@
     *unsent_bytes_ += size;
     state_->unsent_bytes += size;
     table_->add_unsent(size);
-    // Called in any case: a group that is dropped calls it when destroyed.
+    // Always called: a group that is dropped calls the notificator when
+    // destroyed.
     group.after_write_notificator(
         [unsent = unsent_bytes_, state = state_, table = table_,
          size](auto const&)
@@ -438,9 +442,9 @@
             state->unsent_bytes -= size;
             table->remove_unsent(size);
         });
-    // Posted, never run within this call, from whichever thread it comes: a
-    // dispatch would run at once on the strand and overtake what another
-    // thread had written before, and would call back under our lock.
+    // Always posted, never dispatched: a dispatch from the strand would run at
+    // once, overtake what another thread had written before, and call back
+    // while mutex_ is locked.
     restinio::asio_ns::post(
         connection_->get_executor(),
         [handle = restinio::impl::connection_handle_t(connection_),
--- a/src/http_server_answer.hpp
+++ b/src/http_server_answer.hpp
@@ -1,5 +1,5 @@
 /// The answers of the HTTP server and the connections that they belong to.
-/// Private to the HTTP server: it includes RESTinio.
+/// Private to the HTTP server: this header includes RESTinio.
 #ifndef MULBERRY_HTTP_SERVER_ANSWER_HPP
 #define MULBERRY_HTTP_SERVER_ANSWER_HPP
 
@@ -26,7 +26,7 @@
 class connection_table;
 class server_answer;
 
-/// Told by RESTinio when a connection closes.
+/// Receives RESTinio's notice that a connection has closed.
 class connection_listener
 {
 public:
@@ -46,16 +46,16 @@
 using server_connection = restinio::impl::connection_t<server_traits>;
 using connection_number = restinio::connection_id_t;
 
-/// A request taken from a connection, with the answer that it waits for.
+/// A request received on a connection, with its answer.
 struct pending_request
 {
     http_request request;
     std::shared_ptr<server_answer> answer;
 };
 
-/// The open connections of one server, each with the request it is answering.
-/// Thread safe. Lives as long as the last answer, which may be longer than the
-/// server.
+/// The open connections of one server, each with the request in progress. Lives
+/// as long as the last answer, which may outlive the server. Thread safety: any
+/// thread.
 class connection_table
 {
 public:
@@ -63,37 +63,37 @@
 
     void add(std::shared_ptr<server_connection> const& connection,
              std::shared_ptr<caller_state> state);
-    /// Null when the connection is gone.
+    /// Null if the connection is closed.
     std::shared_ptr<caller_state> state_of(connection_number number) const;
-    /// The caller closed its sending half, and so gives its request up. Returns
-    /// whether it waits for an answer of which nothing was sent.
+    /// Handles that the caller has closed its sending half, which abandons its
+    /// request. Returns whether an answer is pending of which nothing was sent.
     bool on_half_close(connection_number number);
-    /// Forgets a connection and tells its answers that it closed.
+    /// Removes a connection and reports the close to its answers.
     void remove(connection_number number);
     std::size_t size() const;
     std::vector<std::shared_ptr<server_connection>> open_connections() const;
-    /// Those that answer no request, have read no part of one, and whose last
-    /// answer has gone out whole.
+    /// Connections without a request in progress or received in part, whose
+    /// last answer was sent completely.
     std::vector<std::shared_ptr<server_connection>> idle_connections() const;
 
-    /// Handles a request, or holds it until the one before it on the same
+    /// Handles a request, or queues it until the previous request on the same
     /// connection is answered.
     void handle_in_order(connection_number number, pending_request pending);
-    /// The answer in progress on that connection is complete.
+    /// Called when the answer in progress on that connection is complete.
     void on_answer_complete(server_connection& connection);
 
     /// From now on every answer closes its connection.
     void drain() { draining_ = true; }
     bool draining() const { return draining_; }
-    /// From now on connections close for the server's sake.
+    /// From now on connections are closed because the server stops.
     void close() { closing_ = true; }
     bool closing() const { return closing_; }
 
     void add_unsent(std::size_t bytes);
     void remove_unsent(std::size_t bytes);
-    /// Whether bytes were handed over that no socket has taken.
+    /// Whether bytes of answers are not yet written to a socket.
     bool has_unsent() const;
-    /// Waits until every byte handed over was taken by a socket.
+    /// Waits until all bytes of answers are written to their sockets.
     void wait_until_sent(std::chrono::steady_clock::time_point deadline) const;
     void wait_until_empty(std::chrono::steady_clock::time_point deadline) const;
 
@@ -120,19 +120,19 @@
     std::size_t unsent_bytes_ = 0;
 };
 
-/// How a request wants to be answered.
+/// The form of response that a request asks for.
 struct response_format
 {
     bool keep_alive = true;
     /// A response to HEAD has no body.
     bool head = false;
-    /// HTTP/1.0 has no chunks.
+    /// HTTP/1.0 has no chunked encoding.
     bool chunks = true;
 };
 
-/// See http_answer. Everything is written from the connection's strand, in
-/// the order of the calls; no RESTinio code runs within a call, so that a
-/// caller may hold its own locks.
+/// See http_answer. All bytes are written from the connection's strand, in the
+/// order of the calls; no RESTinio code runs within a call, so that a caller
+/// may hold its own locks.
 class server_answer final : public http_answer
 {
 public:
@@ -152,8 +152,8 @@
     void on_closed(std::function<void()> callback) override;
     std::size_t unsent_bytes() const override { return *unsent_bytes_; }
 
-    /// The connection closed: reports it unless the answer is complete.
-    /// Returns whether nothing of the answer was sent.
+    /// Runs the callback of on_closed() unless the answer is complete. Returns
+    /// whether the answer was pending and nothing of it was sent.
     bool connection_closed();
 
 private:
@@ -188,10 +188,11 @@
     bool closing_ = false;
 };
 
-/// The bytes of a whole response that closes its connection; RESTinio's form.
+/// A complete response that closes its connection, as RESTinio's buffers.
+/// `head`: the request was HEAD, so the body is left out.
 restinio::write_group_t closing_response(http_response const& response,
                                          bool head);
-/// The same as one text.
+/// The same response, with its body, as one string.
 std::string closing_response_text(http_response const& response);
 
 } // namespace mulberry
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-/// Hands each answer to the test, in the order the requests were handled.
+/// Keeps the answers for the test, in the order in which requests were handled.
 class recording_handler
 {
 public:
@@ -69,7 +69,7 @@
     };
 }
 
-/// A promise kept by on_closed, and how often that was called.
+/// Counts the calls of an on_closed() callback and waits for the first.
 struct close_counter
 {
     std::promise<void> closed;
@@ -124,8 +124,8 @@
 TEST_CASE("requests sent at once on one connection are handled one by one",
           "[http_server]")
 {
-    // A caller sends two requests without waiting. The second must not run
-    // before the first is answered, and the answers come in order.
+    // A caller pipelines two requests. The second must not run before the first
+    // is answered, and the answers arrive in order.
     recording_handler held;
     http_server server({}, held.handler());
     auto const caller = raw_socket::connected(server.port());
@@ -180,7 +180,7 @@
     CHECK(text.ends_with("page " + status));
 }
 
-TEST_CASE("a sender that never ends its request is cut off", "[http_server]")
+TEST_CASE("a connection whose request never ends is closed", "[http_server]")
 {
     http_server_options options;
     options.read_timeout = 100ms;
@@ -192,11 +192,12 @@
     CHECK(caller.read_all().empty());
 }
 
-TEST_CASE("a caller that sends too slowly is told so", "[http_server]")
+TEST_CASE("a request that arrives too slowly is answered 408", "[http_server]")
 {
-    // It stops in the middle of its first or second request. At the limit it
-    // is told why, and its connection is closed; one that is idle between
-    // requests is closed without a word.
+    // The caller stops in the middle of its first or second request. At the
+    // read
+    // timeout the server answers 408 and closes the connection; a connection
+    // that is idle between requests is closed without a response.
     auto options = with_error_page();
     options.read_timeout = 100ms;
     http_server server(options, echo());
@@ -218,12 +219,12 @@
     CHECK(idle.read_all().find(" 408 ") == std::string::npos);
 }
 
-TEST_CASE("a caller that half closes is told that its request ends",
+TEST_CASE("a caller that half closes gets 502 unless its answer has begun",
           "[http_server]")
 {
-    // It closes its sending half while it waits, and reads on. Nothing more
-    // can tell the server whether it is there: the request ends, and it is
-    // told so. An answer that has begun is cut instead.
+    // The caller closes its sending half while it waits for the answer. After
+    // that the server cannot detect a disconnect, so the request ends with 502.
+    // An answer that has begun is truncated instead.
     recording_handler held;
     http_server server(with_error_page(), held.handler());
     auto const caller = raw_socket::connected(server.port());
@@ -250,10 +251,10 @@
     CHECK(watch.count == 1);
 }
 
-TEST_CASE("a caller that pipelines and half closes is not told amiss",
+TEST_CASE("a caller that pipelines and half closes gets no response",
           "[http_server]")
 {
-    // Two requests are on the way; a page sent now would be taken for the
+    // Two requests are pending; the caller would take an error response for the
     // answer to the first.
     recording_handler held;
     http_server server(with_error_page(), held.handler());
@@ -264,10 +265,10 @@
     CHECK(caller.read_all().empty());
 }
 
-TEST_CASE("a caller that goes away is reported once", "[http_server]")
+TEST_CASE("a disconnect of the caller is reported once", "[http_server]")
 {
-    // The caller leaves before the first byte, in mid stream, or by closing
-    // its sending half only. on_closed tells it once, so that the engine's
+    // The caller disconnects before the first byte or in mid stream, or closes
+    // only its sending half. on_closed reports this once, so that the engine's
     // slot is freed; later writes do nothing.
     auto const streaming = GENERATE(false, true);
     auto const half = GENERATE(false, true);
@@ -293,17 +294,18 @@
     answer->finish();
     answer->abort();
     CHECK(watch.count == 1);
-    // It is closed already: told within the call.
+    // The connection is closed already: the callback runs within the call.
     close_counter late;
     late.watch(*answer);
     CHECK(late.count == 1);
 }
 
-TEST_CASE("an aborted stream is seen as cut after what was written",
+TEST_CASE("an aborted stream is truncated after the bytes written",
           "[http_server]")
 {
-    // The server writes one piece and aborts; our client must hear the piece
-    // and then a failure: an end would pass half an answer for a whole one.
+    // The server writes one piece and aborts. The client must receive the piece
+    // and then a failure: with a proper end a truncated answer would pass for a
+    // complete one.
     http_server server({},
                        [](auto const&, auto const& answer)
                        {
@@ -323,7 +325,8 @@
     CHECK(observer->data == "piece");
 }
 
-TEST_CASE("an answer that nobody gives closes the connection", "[http_server]")
+TEST_CASE("an answer destroyed before completion closes the connection",
+          "[http_server]")
 {
     recording_handler held;
     http_server server({}, held.handler());
@@ -334,7 +337,7 @@
     CHECK(caller.read_all().empty());
 }
 
-TEST_CASE("a draining server ends open connections with their next answer",
+TEST_CASE("a server that stops accepting closes connections after their answer",
           "[http_server]")
 {
     http_server server({}, echo());
@@ -368,9 +371,9 @@
 TEST_CASE("a server that ran out of file descriptors accepts again",
           "[http_server]")
 {
-    // Every descriptor of the process is taken when a caller connects, so the
-    // accept fails. When some are free again the caller is served: a server
-    // that gave up would look healthy and answer nobody.
+    // All file descriptors of the process are in use when a caller connects, so
+    // the accept fails. When some are free again the caller must be served: a
+    // server that stopped accepting would look healthy and answer nobody.
     http_server server({}, echo());
     auto const caller = raw_socket::unconnected();
     std::vector<int> taken;
@@ -385,7 +388,7 @@
     CHECK(caller.read_until("/late").ends_with("/late"));
 }
 
-TEST_CASE("bytes that the reader has not taken are counted", "[http_server]")
+TEST_CASE("bytes not yet written to the socket are counted", "[http_server]")
 {
     recording_handler held;
     http_server server({}, held.handler());
@@ -421,7 +424,7 @@
     answer->respond({200, {}, "late"});
     CHECK(caller.read_all().empty());
 
-    // The port is free for a successor at once, and for one only.
+    // One successor can bind the port at once, a second one cannot.
     http_server_options options;
     options.port = port;
     http_server const successor(options, echo());
@@ -429,7 +432,7 @@
     CHECK_THROWS_AS(http_server(options, echo()), std::runtime_error);
 }
 
-TEST_CASE("an answer given just before the server stops still arrives whole",
+TEST_CASE("an answer given just before the server stops arrives completely",
           "[http_server]")
 {
     recording_handler held;
@@ -476,10 +479,10 @@
     CHECK(percent_decode(percent_encode("a b/\xff@1#2")) == "a b/\xff@1#2");
 }
 
-// A process that stops closes the connections that nobody uses. An answer that
-// is still on its way to a slow reader arrives whole; a request that is being
-// answered is answered.
-TEST_CASE("closing idle connections cuts no answer", "[http_server]")
+// A process that stops closes its idle connections. An answer that a slow
+// reader is still receiving must arrive completely, and a request in progress
+// must be answered.
+TEST_CASE("closing idle connections truncates no answer", "[http_server]")
 {
     recording_handler held;
     http_server server({}, held.handler());
