--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -21,8 +21,8 @@
 using clock = http_transfer::clock;
 
 constexpr long max_kept_connections = 256;
-constexpr std::chrono::milliseconds longest_poll{10000};
-constexpr std::size_t max_collected_bytes = 64UL * 1024 * 1024;
+constexpr std::chrono::milliseconds max_poll_interval{10000};
+constexpr std::size_t max_response_bytes = 64UL * 1024 * 1024;
 
 void initialize_libcurl()
 {
@@ -45,7 +45,7 @@
     void on_data(std::string_view data) override
     {
         too_large_ = too_large_ ||
-                     result_.body.size() + data.size() > max_collected_bytes;
+                     result_.body.size() + data.size() > max_response_bytes;
         if (!too_large_)
             result_.body += data;
     }
@@ -104,13 +104,13 @@
     };
 
     void run();
-    bool take_commands();
-    void begin(new_call started);
+    bool process_commands();
+    void start_transfer(new_call started);
     void perform();
     void finish(CURL* handle, CURLcode code);
     void check_timers();
     void check(call_handle handle, clock::time_point now);
-    std::unique_ptr<http_transfer> take_out(call_handle handle);
+    std::unique_ptr<http_transfer> remove_call(call_handle handle);
     int poll_timeout() const;
 
     std::unique_ptr<CURLM, multi_deleter> const multi_;
@@ -120,7 +120,7 @@
     bool stopping_ = false;
     std::vector<new_call> started_;
     std::vector<call_handle> cancelled_;
-    std::unordered_map<call_handle, cancellation> live_;
+    std::unordered_map<call_handle, cancellation> cancellations_;
 
     /// The client's thread only.
     std::unordered_map<call_handle, running_call> running_;
@@ -144,7 +144,7 @@
     {
         std::lock_guard const lock(mutex_);
         stopping_ = true;
-        for (auto const& [handle, cancelled] : live_)
+        for (auto const& [handle, cancelled] : cancellations_)
             *cancelled = true;
     }
     curl_multi_wakeup(multi_.get());
@@ -160,7 +160,7 @@
     {
         std::lock_guard const lock(mutex_);
         handle = call_handle{++last_handle_};
-        live_.emplace(handle, cancelled);
+        cancellations_.emplace(handle, cancelled);
         started_.push_back(
             {handle, std::move(call), std::move(observer), cancelled});
     }
@@ -172,11 +172,11 @@
 {
     {
         std::lock_guard const lock(mutex_);
-        auto const found = live_.find(handle);
-        if (found == live_.end())
+        auto const found = cancellations_.find(handle);
+        if (found == cancellations_.end())
             return;
         *found->second = true;
-        live_.erase(found);
+        cancellations_.erase(found);
         cancelled_.push_back(handle);
     }
     curl_multi_wakeup(multi_.get());
@@ -184,18 +184,18 @@
 
 void http_client::implementation::run()
 {
-    while (take_commands())
+    while (process_commands())
     {
         perform();
         check_timers();
         curl_multi_poll(multi_.get(), nullptr, 0, poll_timeout(), nullptr);
     }
     while (!running_.empty())
-        take_out(running_.begin()->first);
+        remove_call(running_.begin()->first);
 }
 
 /// False when the client stops.
-bool http_client::implementation::take_commands()
+bool http_client::implementation::process_commands()
 {
     std::vector<new_call> started;
     std::vector<call_handle> cancelled;
@@ -207,21 +207,21 @@
         cancelled.swap(cancelled_);
     }
     for (new_call& call : started)
-        begin(std::move(call));
+        start_transfer(std::move(call));
     for (call_handle const handle : cancelled)
-        take_out(handle);
+        remove_call(handle);
     return true;
 }
 
-void http_client::implementation::begin(new_call started)
+void http_client::implementation::start_transfer(new_call started)
 {
     auto transfer = std::make_unique<http_transfer>(
         std::move(started.call), std::move(started.observer),
         std::move(started.cancelled));
-    if (auto const refusal = transfer->refusal(clock::now()))
+    if (auto const start_error = transfer->start_error(clock::now()))
     {
-        take_out(started.handle);
-        transfer->fail(*refusal);
+        remove_call(started.handle);
+        transfer->fail(*start_error);
         return;
     }
     CURL* const easy = transfer->handle();
@@ -251,17 +251,17 @@
     auto const found = handles_.find(handle);
     if (found == handles_.end())
         return;
-    auto const transfer = take_out(found->second);
+    auto const transfer = remove_call(found->second);
     transfer->done(code);
 }
 
 /// Forgets the call. libcurl closes its connection unless it is done with it.
 std::unique_ptr<http_transfer>
-http_client::implementation::take_out(call_handle handle)
+http_client::implementation::remove_call(call_handle handle)
 {
     {
         std::lock_guard const lock(mutex_);
-        live_.erase(handle);
+        cancellations_.erase(handle);
     }
     auto const found = running_.find(handle);
     if (found == running_.end())
@@ -285,9 +285,9 @@
                                         clock::time_point now)
 {
     running_call& call = running_.at(handle);
-    if (auto const reason = call.transfer->overdue(now))
+    if (auto const reason = call.transfer->timeout_reason(now))
     {
-        auto const transfer = take_out(handle);
+        auto const transfer = remove_call(handle);
         transfer->fail(*reason);
         return;
     }
@@ -300,11 +300,11 @@
 {
     using std::chrono::milliseconds;
     if (timers_.empty())
-        return static_cast<int>(longest_poll.count());
+        return static_cast<int>(max_poll_interval.count());
     auto const wait =
         std::chrono::ceil<milliseconds>(timers_.begin()->first - clock::now());
     return static_cast<int>(
-        std::clamp(wait, milliseconds(0), longest_poll).count());
+        std::clamp(wait, milliseconds(0), max_poll_interval).count());
 }
 
 http_client::http_client() : implementation_(std::make_unique<implementation>())
--- a/src/http_transfer.cpp
+++ b/src/http_transfer.cpp
@@ -15,11 +15,11 @@
 constexpr int not_modified = 304;
 /// Shorter than the idle time after which servers close: a kept connection
 /// that the other end is just closing costs a call a second try.
-constexpr long max_idle_seconds = 4;
+constexpr long max_idle_connection_seconds = 4;
 constexpr long keepalive_idle_seconds = 15;
 constexpr long keepalive_interval_seconds = 5;
 
-std::string_view without_line_end(std::string_view line)
+std::string_view trim_line_end(std::string_view line)
 {
     std::size_t const end = line.find_last_not_of("\r\n \t");
     return line.substr(0, end == std::string_view::npos ? 0 : end + 1);
@@ -86,12 +86,13 @@
     curl_easy_setopt(handle, CURLOPT_CUSTOMREQUEST, call_.method.c_str());
 }
 
-void http_transfer::add_line(std::string const& line)
+void http_transfer::add_header_line(std::string const& line)
 {
     // The list's first node stays its head; only an empty list gets a new one.
-    curl_slist* const head = curl_slist_append(lines_.get(), line.c_str());
-    if (!lines_)
-        lines_.reset(head);
+    curl_slist* const head =
+        curl_slist_append(header_lines_.get(), line.c_str());
+    if (!header_lines_)
+        header_lines_.reset(head);
 }
 
 void http_transfer::set_headers()
@@ -99,13 +100,13 @@
     // A name without a value takes out a field that libcurl adds by itself.
     // `Expect` would hold back a large body for a second before a server that
     // knows nothing of it.
-    add_line("Expect:");
+    add_header_line("Expect:");
     if (!call_.headers.find("Accept"))
-        add_line("Accept:");
+        add_header_line("Accept:");
     if (!call_.headers.find("Content-Type"))
-        add_line("Content-Type:");
+        add_header_line("Content-Type:");
     if (!call_.repeatable)
-        add_line("Connection: close");
+        add_header_line("Connection: close");
     for (auto const& [name, value] : call_.headers.fields())
     {
         if (is_connection_header(name))
@@ -114,9 +115,9 @@
         std::string line = name;
         line += value.empty() ? ";" : ": ";
         line += value;
-        add_line(line);
+        add_header_line(line);
     }
-    curl_easy_setopt(handle_.get(), CURLOPT_HTTPHEADER, lines_.get());
+    curl_easy_setopt(handle_.get(), CURLOPT_HTTPHEADER, header_lines_.get());
 }
 
 void http_transfer::set_connection()
@@ -127,7 +128,7 @@
     curl_easy_setopt(handle, CURLOPT_TCP_KEEPALIVE, 1L);
     curl_easy_setopt(handle, CURLOPT_TCP_KEEPIDLE, keepalive_idle_seconds);
     curl_easy_setopt(handle, CURLOPT_TCP_KEEPINTVL, keepalive_interval_seconds);
-    curl_easy_setopt(handle, CURLOPT_MAXAGE_CONN, max_idle_seconds);
+    curl_easy_setopt(handle, CURLOPT_MAXAGE_CONN, max_idle_connection_seconds);
     curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS,
                      static_cast<long>(std::max<std::int64_t>(
                          call_.connect_timeout.count(), 1)));
@@ -154,7 +155,8 @@
     curl_easy_setopt(handle, CURLOPT_WRITEDATA, this);
 }
 
-std::optional<std::string> http_transfer::refusal(clock::time_point now) const
+std::optional<std::string>
+http_transfer::start_error(clock::time_point now) const
 {
     if (now >= call_.deadline)
         return "the deadline has passed";
@@ -171,14 +173,15 @@
     return std::min(call_.deadline, last_byte_ + call_.silence_timeout);
 }
 
-std::optional<std::string> http_transfer::overdue(clock::time_point now)
+std::optional<std::string> http_transfer::timeout_reason(clock::time_point now)
 {
     if (now >= call_.deadline)
         return "the deadline passed";
     curl_off_t uploaded = 0;
     curl_easy_getinfo(handle_.get(), CURLINFO_SIZE_UPLOAD_T, &uploaded);
-    bool const sends = std::exchange(uploaded_, uploaded) != uploaded;
-    if (sends || !request_begun_)
+    bool const upload_progressed =
+        std::exchange(uploaded_bytes_, uploaded) != uploaded;
+    if (upload_progressed || !request_begun_)
         last_byte_ = now;
     if (now < next_check())
         return std::nullopt;
@@ -211,7 +214,7 @@
     transfer.response_begun_ = true;
     // What comes after the body is trailers.
     if (!transfer.status_reported_)
-        transfer.take_header_line({data, size * count});
+        transfer.parse_header_line({data, size * count});
     return size * count;
 }
 
@@ -226,9 +229,9 @@
     return size * count;
 }
 
-void http_transfer::take_header_line(std::string_view line)
+void http_transfer::parse_header_line(std::string_view line)
 {
-    line = without_line_end(line);
+    line = trim_line_end(line);
     if (line.starts_with("HTTP/"))
     {
         status_ = status_of(line);
@@ -256,7 +259,7 @@
     observer_->on_status(status_, headers_);
 }
 
-bool http_transfer::has_proper_end() const
+bool http_transfer::has_message_framing() const
 {
     return call_.method == "HEAD" || status_ == no_content ||
            status_ == not_modified || headers_.find("Content-Length") ||
@@ -272,7 +275,7 @@
     }
     // A body that ends with its connection can't be told from one that was
     // cut: a summary that lost its second half would pass for a whole one.
-    if (!status_reported_ || !has_proper_end())
+    if (!status_reported_ || !has_message_framing())
     {
         fail("the response does not say where it ends");
         return;
--- a/src/http_transfer.hpp
+++ b/src/http_transfer.hpp
@@ -35,11 +35,11 @@
 
     CURL* handle() const { return handle_.get(); }
     /// Why the call can't be made at all, if so.
-    std::optional<std::string> refusal(clock::time_point now) const;
+    std::optional<std::string> start_error(clock::time_point now) const;
     /// When overdue() is to be asked next; may lie before the real time.
     clock::time_point next_check() const;
     /// Why the call is to be given up by now, if so.
-    std::optional<std::string> overdue(clock::time_point now);
+    std::optional<std::string> timeout_reason(clock::time_point now);
     /// libcurl is done with the call: reports its end or its failure.
     void done(CURLcode code);
     /// Reports a failure. Last call, as is done().
@@ -60,7 +60,7 @@
     void set_headers();
     void set_connection();
     void set_callbacks();
-    void add_line(std::string const& line);
+    void add_header_line(std::string const& line);
 
     static int before_request(void* self, char* remote, char* local, int port,
                               int local_port);
@@ -69,10 +69,10 @@
     static std::size_t on_body(char* data, std::size_t size, std::size_t count,
                                void* self);
 
-    void take_header_line(std::string_view line);
+    void parse_header_line(std::string_view line);
     void headers_complete();
     bool cancelled() const { return *cancelled_; }
-    bool has_proper_end() const;
+    bool has_message_framing() const;
     call_stage stage() const;
     std::string failure_text(CURLcode code) const;
 
@@ -80,11 +80,11 @@
     std::shared_ptr<http_call_observer> const observer_;
     cancellation const cancelled_;
     std::unique_ptr<CURL, easy_deleter> const handle_;
-    std::unique_ptr<curl_slist, list_deleter> lines_;
+    std::unique_ptr<curl_slist, list_deleter> header_lines_;
     std::array<char, CURL_ERROR_SIZE> error_text_{};
     http_headers headers_;
     int status_ = 0;
-    curl_off_t uploaded_ = 0;
+    curl_off_t uploaded_bytes_ = 0;
     clock::time_point last_byte_;
     bool bad_header_ = false;
     bool request_begun_ = false;
--- a/tests/http_client_test.cpp
+++ b/tests/http_client_test.cpp
@@ -30,7 +30,7 @@
         return "http://127.0.0.1:" + std::to_string(listener_.port()) + "/";
     }
 
-    bool has_waiting_connection() const { return listener_.ready(0); }
+    bool has_pending_connection() const { return listener_.ready(0); }
 
 private:
     raw_socket listener_;
@@ -46,7 +46,7 @@
     return call;
 }
 
-http_call kept_call_to(std::string url)
+http_call repeatable_call_to(std::string url)
 {
     http_call call = call_to(std::move(url), "GET");
     call.repeatable = true;
@@ -60,7 +60,7 @@
 }
 
 /// Reads one request without a body and answers it.
-void serve(raw_socket const& connection, std::string const& body)
+void answer_request(raw_socket const& connection, std::string const& body)
 {
     connection.read_until(end_of_headers);
     connection.send(answer(body));
@@ -69,21 +69,21 @@
 struct counting_observer final : http_call_observer
 {
     std::promise<void> first_data;
-    std::atomic<int> heard{0};
+    std::atomic<int> callbacks{0};
 
     void on_status(int /*status*/, http_headers const& /*headers*/) override
     {
-        ++heard;
+        ++callbacks;
     }
     void on_data(std::string_view /*data*/) override
     {
-        ++heard;
+        ++callbacks;
         first_data.set_value();
     }
-    void on_end() override { ++heard; }
+    void on_end() override { ++callbacks; }
     void on_failure(call_stage /*stage*/, std::string const& /*text*/) override
     {
-        ++heard;
+        ++callbacks;
     }
 };
 
@@ -138,17 +138,18 @@
         [&](raw_socket const& listener)
         {
             auto kept = listener.accepted();
-            serve(kept, "first");
+            answer_request(kept, "first");
             auto again = raw_socket::first_ready(kept, listener)
                              ? std::move(kept)
                              : listener.accepted();
             requests += again.read_until(end_of_headers).empty() ? 0 : 1;
             again.close();
             if (repeatable)
-                serve(listener.accepted(), "second");
+                answer_request(listener.accepted(), "second");
         });
     http_client client;
-    REQUIRE(client.call_and_wait(kept_call_to(back_end.url())).status == 200);
+    REQUIRE(client.call_and_wait(repeatable_call_to(back_end.url())).status ==
+            200);
     http_call call = call_to(back_end.url());
     call.repeatable = repeatable;
     auto const result = client.call_and_wait(call);
@@ -160,7 +161,7 @@
     CHECK(result.status == 0);
     CHECK(result.stage == call_stage::sent);
     CHECK(requests == 1);
-    CHECK_FALSE(back_end.has_waiting_connection());
+    CHECK_FALSE(back_end.has_pending_connection());
 }
 
 TEST_CASE("a silent back end is given up", "[http_client]")
@@ -202,14 +203,15 @@
             first.read_until(end_of_headers);
             given_up.get_future().wait();
             first.send(answer("late"));
-            serve(listener.accepted(), "own");
+            answer_request(listener.accepted(), "own");
         });
     http_client client;
-    auto call = kept_call_to(back_end.url());
+    auto call = repeatable_call_to(back_end.url());
     call.deadline = std::chrono::steady_clock::now() + 50ms;
     CHECK(client.call_and_wait(call).stage == call_stage::sent);
     given_up.set_value();
-    CHECK(client.call_and_wait(kept_call_to(back_end.url())).body == "own");
+    CHECK(client.call_and_wait(repeatable_call_to(back_end.url())).body ==
+          "own");
 }
 
 TEST_CASE("an answer that nobody asked for never reaches the next call",
@@ -221,11 +223,13 @@
             auto const first = listener.accepted();
             first.read_until(end_of_headers);
             first.send(answer("asked") + answer("not asked"));
-            serve(listener.accepted(), "own");
+            answer_request(listener.accepted(), "own");
         });
     http_client client;
-    CHECK(client.call_and_wait(kept_call_to(back_end.url())).body == "asked");
-    CHECK(client.call_and_wait(kept_call_to(back_end.url())).body == "own");
+    CHECK(client.call_and_wait(repeatable_call_to(back_end.url())).body ==
+          "asked");
+    CHECK(client.call_and_wait(repeatable_call_to(back_end.url())).body ==
+          "own");
 }
 
 TEST_CASE("a response without a proper end is a failure", "[http_client]")
@@ -266,7 +270,7 @@
     observer->first_data.get_future().wait();
     client.cancel(handle);
     CHECK(closed.get_future().get());
-    CHECK(observer->heard == 2);
+    CHECK(observer->callbacks == 2);
 }
 
 TEST_CASE("a client that goes tells the observers of its calls nothing",
@@ -280,7 +284,7 @@
             call_to("http://127.0.0.1:" + std::to_string(listener.port())),
             observer);
     }
-    CHECK(observer->heard == 0);
+    CHECK(observer->callbacks == 0);
     CHECK(observer.use_count() == 1);
 }
 
