--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -31,7 +31,7 @@
         throw std::runtime_error("libcurl cannot be initialised");
 }
 
-/// Gathers one response for call_and_wait().
+/// Collects one response for call_and_wait().
 class response_collector final : public http_call_observer
 {
 public:
@@ -122,7 +122,7 @@
     std::vector<call_handle> cancelled_;
     std::unordered_map<call_handle, cancellation> cancellations_;
 
-    /// The client's thread only.
+    // The members below are used by the client's thread only.
     std::unordered_map<call_handle, running_call> running_;
     std::unordered_map<CURL*, call_handle> handles_;
     std::set<timer> timers_;
@@ -134,7 +134,7 @@
     : multi_((initialize_libcurl(), curl_multi_init()))
 {
     if (!multi_)
-        throw std::runtime_error("libcurl has no multi handle");
+        throw std::runtime_error("libcurl cannot create a multi handle");
     curl_multi_setopt(multi_.get(), CURLMOPT_MAXCONNECTS, max_kept_connections);
     thread_ = std::thread([this] { run(); });
 }
@@ -194,7 +194,7 @@
         remove_call(running_.begin()->first);
 }
 
-/// False when the client stops.
+/// Starts and cancels calls as requested. Returns false when the client stops.
 bool http_client::implementation::process_commands()
 {
     std::vector<new_call> started;
@@ -255,7 +255,8 @@
     transfer->done(code);
 }
 
-/// Forgets the call. libcurl closes its connection unless it is done with it.
+/// Removes the call. libcurl closes the call's connection unless the transfer
+/// is complete.
 std::unique_ptr<http_transfer>
 http_client::implementation::remove_call(call_handle handle)
 {
--- a/src/http_client.hpp
+++ b/src/http_client.hpp
@@ -13,12 +13,13 @@
 namespace mulberry
 {
 
-/// How far a failed call had got.
+/// How far a call had progressed when it failed.
 enum class call_stage
 {
-    /// No byte of the request was written: the back end cannot have seen it.
+    /// No byte of the request was written: the back end cannot have received
+    /// the request.
     not_sent,
-    /// Some of the request was written; it may have run.
+    /// Part of the request may have been written, so the request may have run.
     sent,
     /// The response had begun.
     answering
@@ -29,61 +30,65 @@
     std::string method = "GET";
     /// http://a.b.c.d:port/path?query
     std::string url;
-    /// Fields of the connection (see is_connection_header) are left out.
+    /// Connection fields (see is_connection_header) are not sent.
     http_headers headers;
     std::string body;
-    /// The call may be made more than once. Only then does it go over a kept
-    /// connection, and libcurl makes it again when that turns out to be dead.
-    /// Every other call has a connection of its own.
+    /// The call may run more than once. Only such calls use kept connections,
+    /// and
+    /// libcurl retries them when a kept connection turns out to be dead. Every
+    /// other call has a connection of its own.
     bool repeatable = false;
-    /// The whole call is given up at this moment (steady clock).
+    /// The call fails if it has not ended by this time.
     std::chrono::steady_clock::time_point deadline;
     std::chrono::milliseconds connect_timeout{1000};
-    /// Give up when no byte arrives for that long after the request was
-    /// begun, nor any more of the body can be sent; 0 for never.
+    /// The call fails when, after the request has begun, no byte is received
+    /// and
+    /// none of the body can be sent for this long; 0 for no limit.
     std::chrono::milliseconds silence_timeout{0};
 };
 
-/// Sees the progress of one call. Called on the client's thread; must not
-/// block or throw. Exactly one of on_end and on_failure comes last, unless
-/// cancelled.
+/// Receives the progress of one call. Called on the client's thread; must not
+/// block or throw. Exactly one of on_end and on_failure is called, last, unless
+/// the call is cancelled.
 class http_call_observer
 {
 public:
     virtual ~http_call_observer() = default;
     virtual void on_status(int status, http_headers const& headers) = 0;
     virtual void on_data(std::string_view data) = 0;
-    /// The response ended properly (length or last chunk seen). One that ends
-    /// with its connection is a failure, since it may have been cut.
+    /// The response is complete (by its length or last chunk). A response that
+    /// ends with its connection is a failure, since it may be truncated.
     virtual void on_end() = 0;
     virtual void on_failure(call_stage stage, std::string const& text) = 0;
 };
 
-/// Names a started call, so that it can be cancelled.
+/// Identifies a started call for cancel().
 enum class call_handle : std::uint64_t
 {
 };
 
-/// Thread safe. A connection is used again only after an answer that ended
-/// properly: one with an answer outstanding could hand a late answer to the
-/// next request.
+/// A connection is reused only after a complete answer: on a connection with an
+/// answer outstanding, the next request could receive that late answer. Thread
+/// safety: any thread.
 class http_client
 {
 public:
     http_client();
-    /// Gives up every call without telling its observer, joins the thread.
+    /// Cancels every call without a callback to its observer and joins the
+    /// thread.
     ~http_client();
     http_client(http_client const&) = delete;
     http_client& operator=(http_client const&) = delete;
 
     call_handle start(http_call call,
                       std::shared_ptr<http_call_observer> observer);
-    /// Closes the call's connection; its observer hears nothing more (a
-    /// callback that is running finishes).
+    /// Closes the call's connection. Its observer is not called any more, but a
+    /// callback that is running may still finish after cancel() returns.
     void cancel(call_handle handle);
 
-    /// Makes the call and waits. Not on the client's own thread. status 0:
-    /// the call failed, `body` says why, `stage` how far it had got.
+    /// Result of call_and_wait(). If the call failed, `status` is 0, `body`
+    /// holds
+    /// the reason and `stage` how far the call had progressed.
     struct result
     {
         int status = 0;
@@ -91,6 +96,8 @@
         std::string body;
         call_stage stage = call_stage::not_sent;
     };
+    /// Makes the call and waits for its end. Precondition: not called on the
+    /// client's own thread.
     result call_and_wait(http_call call);
 
 private:
--- a/src/http_transfer.cpp
+++ b/src/http_transfer.cpp
@@ -13,8 +13,8 @@
 constexpr int first_final_status = 200;
 constexpr int no_content = 204;
 constexpr int not_modified = 304;
-/// Shorter than the idle time after which servers close: a kept connection
-/// that the other end is just closing costs a call a second try.
+/// Shorter than the idle timeout of servers: a call on a kept connection that
+/// the server is closing has to be sent again.
 constexpr long max_idle_connection_seconds = 4;
 constexpr long keepalive_idle_seconds = 15;
 constexpr long keepalive_interval_seconds = 5;
@@ -25,7 +25,7 @@
     return line.substr(0, end == std::string_view::npos ? 0 : end + 1);
 }
 
-/// Of a line like `HTTP/1.1 200 OK`; 0 if it is none.
+/// The status in a line such as `HTTP/1.1 200 OK`; 0 if the line has none.
 int status_of(std::string_view line)
 {
     std::size_t const space = line.find(' ');
@@ -88,7 +88,7 @@
 
 void http_transfer::add_header_line(std::string const& line)
 {
-    // The list's first node stays its head; only an empty list gets a new one.
+    // Appending changes the head only of an empty list.
     curl_slist* const head =
         curl_slist_append(header_lines_.get(), line.c_str());
     if (!header_lines_)
@@ -97,9 +97,9 @@
 
 void http_transfer::set_headers()
 {
-    // A name without a value takes out a field that libcurl adds by itself.
-    // `Expect` would hold back a large body for a second before a server that
-    // knows nothing of it.
+    // A name without a value removes a field that libcurl adds by default.
+    // `Expect` would delay a large body by a second if the server does not
+    // support it.
     add_header_line("Expect:");
     if (!call_.headers.find("Accept"))
         add_header_line("Accept:");
@@ -133,11 +133,12 @@
                      static_cast<long>(std::max<std::int64_t>(
                          call_.connect_timeout.count(), 1)));
     // When a kept connection closes before the first byte of the answer,
-    // libcurl sends the request again on a new one, unasked. If the back end
-    // had run it and died answering, a slip is billed twice while the caller
-    // sees one answer. libcurl does so on kept connections only, so a call
-    // that must run at most once has a connection of its own. That also keeps
-    // it off a kept connection that has silently gone dead.
+    // libcurl
+    // sends the request again on a new connection. If the back end ran the
+    // request and crashed before it answered, a slip is billed twice while the
+    // caller sees one answer. libcurl retries on kept connections only, so a
+    // call that must run at most once gets a connection of its own. Such a call
+    // also never uses a kept connection that is dead without a sign.
     long const own_connection = call_.repeatable ? 0L : 1L;
     curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, own_connection);
     curl_easy_setopt(handle, CURLOPT_FORBID_REUSE, own_connection);
@@ -161,13 +162,13 @@
     if (now >= call_.deadline)
         return "the deadline has passed";
     if (bad_header_)
-        return "a header field has a line break";
+        return "a header field has an invalid name or a line break";
     return std::nullopt;
 }
 
 http_transfer::clock::time_point http_transfer::next_check() const
 {
-    // Until the request is begun, the connect timeout watches the connection.
+    // Until the request begins, the connect timeout applies.
     if (call_.silence_timeout.count() == 0)
         return call_.deadline;
     return std::min(call_.deadline, last_byte_ + call_.silence_timeout);
@@ -194,9 +195,9 @@
     auto& transfer = *static_cast<http_transfer*>(self);
     if (transfer.cancelled())
         return CURL_PREREQFUNC_ABORT;
-    // Asked before every time that the request is written. A second time for
-    // a call that must run at most once would double it; see set_connection()
-    // for why it should not come to that.
+    // libcurl calls this before each time that it sends the request. A second
+    // time would run a call twice that must run at most once; set_connection()
+    // should already prevent this.
     if (transfer.request_begun_ && !transfer.call_.repeatable)
         return CURL_PREREQFUNC_ABORT;
     transfer.request_begun_ = true;
@@ -212,7 +213,7 @@
         return 0;
     transfer.last_byte_ = clock::now();
     transfer.response_begun_ = true;
-    // What comes after the body is trailers.
+    // Header lines after the body are trailers.
     if (!transfer.status_reported_)
         transfer.parse_header_line({data, size * count});
     return size * count;
@@ -273,8 +274,8 @@
         fail(failure_text(code));
         return;
     }
-    // A body that ends with its connection can't be told from one that was
-    // cut: a summary that lost its second half would pass for a whole one.
+    // A body that ends with its connection cannot be told from a truncated one:
+    // a summary that lost its second half would pass for a complete one.
     if (!status_reported_ || !has_message_framing())
     {
         fail("the response does not say where it ends");
@@ -294,10 +295,11 @@
 {
     if (response_begun_)
         return call_stage::answering;
-    // "Not sent" makes the caller try elsewhere, and a wrong one runs the
+    // After "not sent" the caller retries elsewhere, so a wrong "not sent" runs
+    // the
     // request twice. libcurl writes the first byte only after it has called
-    // before_request(), so without that call there was no byte; with it there
-    // may have been one, and then it counts as sent.
+    // before_request(): without that call no byte was written; after it a byte
+    // may have been written, which counts as sent.
     return request_begun_ ? call_stage::sent : call_stage::not_sent;
 }
 
--- a/src/http_transfer.hpp
+++ b/src/http_transfer.hpp
@@ -1,5 +1,5 @@
 /// One call of the HTTP client on one libcurl handle. Private to the client:
-/// it includes libcurl.
+/// this header includes libcurl.
 #ifndef MULBERRY_HTTP_TRANSFER_HPP
 #define MULBERRY_HTTP_TRANSFER_HPP
 
@@ -19,10 +19,10 @@
 namespace mulberry
 {
 
-/// Set once, by any thread, when the observer is to hear nothing more.
+/// Set once, by any thread, to stop all further callbacks to the observer.
 using cancellation = std::shared_ptr<std::atomic<bool>>;
 
-/// Used by the client's thread only.
+/// Thread safety: used by the client's thread only.
 class http_transfer
 {
 public:
@@ -34,15 +34,19 @@
     http_transfer& operator=(http_transfer const&) = delete;
 
     CURL* handle() const { return handle_.get(); }
-    /// Why the call can't be made at all, if so.
+    /// The reason why the call cannot be started, if there is one.
     std::optional<std::string> start_error(clock::time_point now) const;
     /// When overdue() is to be asked next; may lie before the real time.
     clock::time_point next_check() const;
-    /// Why the call is to be given up by now, if so.
+    /// The reason why the call has timed out, if it has.
     std::optional<std::string> timeout_reason(clock::time_point now);
-    /// libcurl is done with the call: reports its end or its failure.
+    /// Reports the end or the failure of the call to the observer, after
+    /// libcurl
+    /// has finished the transfer with `code`.
     void done(CURLcode code);
-    /// Reports a failure. Last call, as is done().
+    /// Reports a failure to the observer. No member may be called after fail()
+    /// or
+    /// done().
     void fail(std::string const& text);
 
 private:
--- a/tests/http_client_test.cpp
+++ b/tests/http_client_test.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// A back end whose connections follow the test's script, on one thread.
+/// A back end that runs the test's script on a thread of its own.
 class scripted_back_end
 {
 public:
@@ -89,7 +89,8 @@
 
 } // namespace
 
-TEST_CASE("a refused connection was not sent", "[http_client]")
+TEST_CASE("a call whose connection is refused fails as not sent",
+          "[http_client]")
 {
     auto listener = raw_socket::listening();
     auto const url = "http://127.0.0.1:" + std::to_string(listener.port());
@@ -115,7 +116,8 @@
     CHECK(result.stage == call_stage::not_sent);
 }
 
-TEST_CASE("a connection accepted and then closed was sent", "[http_client]")
+TEST_CASE("a call whose connection closes without an answer fails as sent",
+          "[http_client]")
 {
     scripted_back_end back_end([](raw_socket const& listener)
                                { listener.accepted(); });
@@ -128,10 +130,10 @@
 TEST_CASE("a call that must run at most once is never made twice",
           "[http_client]")
 {
-    // A call leaves a kept connection behind. The back end takes one more
-    // request on it and closes without an answer, having perhaps run it.
-    // libcurl, unasked, makes a repeatable call again; a slip's call must
-    // fail as `sent` after exactly one request, or a family is billed twice.
+    // The back end reads a second request on a kept connection and closes it
+    // without an answer, but may have run the request. libcurl retries a
+    // repeatable call by itself; a slip's call must fail as `sent` after
+    // exactly one request, otherwise a family is billed twice.
     bool const repeatable = GENERATE(true, false);
     std::atomic<int> requests{0};
     scripted_back_end back_end(
@@ -164,11 +166,13 @@
     CHECK_FALSE(back_end.has_pending_connection());
 }
 
-TEST_CASE("a silent back end is given up", "[http_client]")
+TEST_CASE("a call to a silent back end fails at the silence timeout",
+          "[http_client]")
 {
-    // The back end reads the request and says nothing, or begins its answer
-    // and goes silent. Its connection is open and acknowledges everything;
-    // only the silence timeout tells.
+    // The back end reads the request and sends nothing, or stops in the middle
+    // of
+    // its answer. Its connection stays open and acknowledges everything, so
+    // only the silence timeout can detect this.
     bool const begins = GENERATE(false, true);
     std::promise<void> given_up;
     scripted_back_end back_end(
@@ -192,9 +196,10 @@
 
 TEST_CASE("a late answer never reaches another call", "[http_client]")
 {
-    // The first call is given up at its deadline. Then its answer comes, on
-    // the connection that it used, and the next call is made. That must get
-    // its own answer: the other one is another caller's summary.
+    // The first call fails at its deadline. Its answer arrives later on the
+    // same
+    // connection, and the next call is made. The next call must get its own
+    // answer: the late one is another caller's summary.
     std::promise<void> given_up;
     scripted_back_end back_end(
         [&](raw_socket const& listener)
@@ -214,8 +219,7 @@
           "own");
 }
 
-TEST_CASE("an answer that nobody asked for never reaches the next call",
-          "[http_client]")
+TEST_CASE("an unsolicited answer never reaches the next call", "[http_client]")
 {
     scripted_back_end back_end(
         [](raw_socket const& listener)
@@ -232,7 +236,8 @@
           "own");
 }
 
-TEST_CASE("a response without a proper end is a failure", "[http_client]")
+TEST_CASE("a truncated response or one without framing is a failure",
+          "[http_client]")
 {
     auto const response = GENERATE(
         "HTTP/1.1 200 OK\r\n\r\nhalf a summary",
@@ -252,7 +257,7 @@
     CHECK(result.stage == call_stage::answering);
 }
 
-TEST_CASE("a cancelled call closes its connection and is silent",
+TEST_CASE("a cancelled call closes its connection and calls back no more",
           "[http_client]")
 {
     std::promise<bool> closed;
@@ -273,7 +278,7 @@
     CHECK(observer->callbacks == 2);
 }
 
-TEST_CASE("a client that goes tells the observers of its calls nothing",
+TEST_CASE("destroying a client makes no callbacks to observers",
           "[http_client]")
 {
     auto const listener = raw_socket::listening();
