--- a/src/bounded_ring.hpp
+++ b/src/bounded_ring.hpp
@@ -35,7 +35,7 @@
             slots_[(first_ + size_) % slots_.size()] = std::move(value);
             ++size_;
         }
-        changed_.notify_one();
+        consumer_wakeup_.notify_one();
         return true;
     }
 
@@ -45,14 +45,14 @@
     {
         {
             std::unique_lock lock(mutex_);
-            room_.wait(lock,
-                       [this] { return closed_ || size_ < slots_.size(); });
+            not_full_.wait(lock,
+                           [this] { return closed_ || size_ < slots_.size(); });
             if (closed_)
                 return false;
             slots_[(first_ + size_) % slots_.size()] = std::move(value);
             ++size_;
         }
-        changed_.notify_one();
+        consumer_wakeup_.notify_one();
         return true;
     }
 
@@ -61,16 +61,17 @@
     std::optional<T> pop(std::chrono::steady_clock::time_point deadline)
     {
         std::unique_lock lock(mutex_);
-        changed_.wait_until(lock, deadline,
-                            [this] { return size_ > 0 || woken_ || closed_; });
-        woken_ = false;
+        consumer_wakeup_.wait_until(
+            lock, deadline,
+            [this] { return size_ > 0 || wake_requested_ || closed_; });
+        wake_requested_ = false;
         if (size_ == 0)
             return std::nullopt;
         std::optional<T> value = std::exchange(slots_[first_], std::nullopt);
         first_ = (first_ + 1) % slots_.size();
         --size_;
         lock.unlock();
-        room_.notify_one();
+        not_full_.notify_one();
         return value;
     }
 
@@ -79,9 +80,9 @@
     {
         {
             std::lock_guard const lock(mutex_);
-            woken_ = true;
+            wake_requested_ = true;
         }
-        changed_.notify_one();
+        consumer_wakeup_.notify_one();
     }
 
     /// Takes no more values; those in the ring can still be popped.
@@ -91,8 +92,8 @@
             std::lock_guard const lock(mutex_);
             closed_ = true;
         }
-        changed_.notify_one();
-        room_.notify_all();
+        consumer_wakeup_.notify_one();
+        not_full_.notify_all();
     }
 
     bool closed() const
@@ -109,12 +110,12 @@
 
 private:
     mutable std::mutex mutex_;
-    std::condition_variable changed_;
-    std::condition_variable room_;
+    std::condition_variable consumer_wakeup_;
+    std::condition_variable not_full_;
     std::vector<std::optional<T>> slots_;
     std::size_t first_ = 0;
     std::size_t size_ = 0;
-    bool woken_ = false;
+    bool wake_requested_ = false;
     bool closed_ = false;
 };
 
--- a/src/json_rpc.cpp
+++ b/src/json_rpc.cpp
@@ -13,7 +13,7 @@
 constexpr int ok = 200;
 
 /// A method as the glue calls it: failures change their type, not their code.
-rpc_glue_method glued(rpc_method method)
+rpc_glue_method to_glue_method(rpc_method method)
 {
     return [method = std::move(method)](Json::Value const& parameters)
     {
@@ -30,15 +30,15 @@
 }
 
 std::map<std::string, rpc_glue_method>
-glued(std::map<std::string, rpc_method> const& methods)
+to_glue_method(std::map<std::string, rpc_method> const& methods)
 {
     std::map<std::string, rpc_glue_method> result;
     for (auto const& [name, method] : methods)
-        result.emplace(name, glued(method));
+        result.emplace(name, to_glue_method(method));
     return result;
 }
 
-int code_of(call_stage stage)
+int failure_code_of(call_stage stage)
 {
     return stage == call_stage::not_sent ? rpc_not_sent : rpc_outcome_unknown;
 }
@@ -54,7 +54,7 @@
 {
 public:
     explicit implementation(std::map<std::string, rpc_method> const& methods)
-        : server_(glued(methods))
+        : server_(to_glue_method(methods))
     {
     }
     std::string handle(std::string const& body) { return server_.handle(body); }
@@ -111,7 +111,7 @@
         call.deadline = deadline;
         http_client::result result = client_.call_and_wait(std::move(call));
         if (result.status == 0)
-            throw rpc_glue_error(code_of(result.stage), result.body);
+            throw rpc_glue_error(failure_code_of(result.stage), result.body);
         if (result.status != ok)
             throw rpc_glue_error(
                 rpc_refused, "HTTP status " + std::to_string(result.status));
--- a/src/latency_meter.cpp
+++ b/src/latency_meter.cpp
@@ -29,7 +29,7 @@
 
 struct latency_meter::accumulators
 {
-    accumulator spans{ba::extended_p_square_probabilities = probabilities};
+    accumulator samples{ba::extended_p_square_probabilities = probabilities};
 };
 
 latency_meter::latency_meter() : accumulators_(std::make_unique<accumulators>())
@@ -40,23 +40,23 @@
 latency_meter::latency_meter(latency_meter&&) noexcept = default;
 latency_meter& latency_meter::operator=(latency_meter&&) noexcept = default;
 
-void latency_meter::add(duration span)
+void latency_meter::add(duration latency)
 {
-    accumulators_->spans(std::chrono::duration<double>(span).count());
+    accumulators_->samples(std::chrono::duration<double>(latency).count());
 }
 
 latency_summary latency_meter::summary() const
 {
-    accumulator const& spans = accumulators_->spans;
+    accumulator const& samples = accumulators_->samples;
     latency_summary result;
-    result.count = ba::count(spans);
+    result.count = ba::count(samples);
     if (result.count == 0)
         return result;
-    result.sum = ba::sum(spans);
-    result.most = ba::max(spans);
+    result.sum = ba::sum(samples);
+    result.most = ba::max(samples);
     // Before a handful of samples the estimate may lie beyond the largest.
-    auto const quantile = [&](std::ptrdiff_t place)
-    { return std::min(ba::extended_p_square(spans)[place], result.most); };
+    auto const quantile = [&](std::ptrdiff_t index)
+    { return std::min(ba::extended_p_square(samples)[index], result.most); };
     result.median = quantile(0);
     result.p95 = quantile(1);
     result.p99 = quantile(2);
--- a/src/latency_meter.hpp
+++ b/src/latency_meter.hpp
@@ -34,7 +34,7 @@
     latency_meter(latency_meter&&) noexcept;
     latency_meter& operator=(latency_meter&&) noexcept;
 
-    void add(duration span);
+    void add(duration latency);
     latency_summary summary() const;
 
 private:
--- a/src/rpc_glue.cpp
+++ b/src/rpc_glue.cpp
@@ -16,10 +16,12 @@
 {
 
 /// Hands the library's messages to the sender.
-class connector : public jsonrpc::IClientConnector
+class sender_connector : public jsonrpc::IClientConnector
 {
 public:
-    explicit connector(rpc_glue_sender const& sender) : sender_(sender) {}
+    explicit sender_connector(rpc_glue_sender const& sender) : sender_(sender)
+    {
+    }
 
     // The library's exception specification lets nothing else out: any other
     // exception would end the process.
@@ -121,7 +123,7 @@
                           std::string const& method,
                           Json::Value const& parameters)
 {
-    connector connection(sender);
+    sender_connector connection(sender);
     jsonrpc::Client client(connection, jsonrpc::JSONRPC_CLIENT_V2);
     try
     {
--- a/src/sse_parser.cpp
+++ b/src/sse_parser.cpp
@@ -17,21 +17,21 @@
     {
         if (overflowed_)
             break;
-        take_byte(byte, events);
+        parse_byte(byte, events);
     }
     return events;
 }
 
-void sse_parser::take_byte(char byte, std::vector<sse_event>& events)
+void sse_parser::parse_byte(char byte, std::vector<sse_event>& events)
 {
     // The LF of a CRLF may come in the next piece: the line ended at the CR.
-    bool const ends_crlf = after_carriage_return_ && byte == '\n';
-    after_carriage_return_ = byte == '\r';
+    bool const ends_crlf = previous_was_cr_ && byte == '\n';
+    previous_was_cr_ = byte == '\r';
     if (ends_crlf)
         return;
     if (byte == '\n' || byte == '\r')
     {
-        take_line(events);
+        parse_line(events);
         return;
     }
     line_ += byte;
@@ -40,7 +40,7 @@
     overflowed_ = ++event_bytes_ > max_event_bytes_;
 }
 
-void sse_parser::take_line(std::vector<sse_event>& events)
+void sse_parser::parse_line(std::vector<sse_event>& events)
 {
     std::string const line = std::exchange(line_, {});
     if (line.empty())
@@ -53,16 +53,16 @@
         return;
     if (colon == std::string::npos)
     {
-        take_field(line, {});
+        parse_field(line, {});
         return;
     }
     std::string_view value = std::string_view(line).substr(colon + 1);
     if (value.starts_with(' '))
         value.remove_prefix(1);
-    take_field(std::string_view(line).substr(0, colon), value);
+    parse_field(std::string_view(line).substr(0, colon), value);
 }
 
-void sse_parser::take_field(std::string_view name, std::string_view value)
+void sse_parser::parse_field(std::string_view name, std::string_view value)
 {
     if (name == "event")
     {
--- a/src/sse_parser.hpp
+++ b/src/sse_parser.hpp
@@ -37,9 +37,9 @@
     bool overflowed() const { return overflowed_; }
 
 private:
-    void take_byte(char byte, std::vector<sse_event>& events);
-    void take_line(std::vector<sse_event>& events);
-    void take_field(std::string_view name, std::string_view value);
+    void parse_byte(char byte, std::vector<sse_event>& events);
+    void parse_line(std::vector<sse_event>& events);
+    void parse_field(std::string_view name, std::string_view value);
     void dispatch(std::vector<sse_event>& events);
 
     std::size_t max_event_bytes_;
@@ -47,7 +47,7 @@
     std::string line_;
     sse_event event_;
     bool has_data_ = false;
-    bool after_carriage_return_ = false;
+    bool previous_was_cr_ = false;
     bool overflowed_ = false;
 };
 
--- a/tests/bounded_ring_test.cpp
+++ b/tests/bounded_ring_test.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-auto later()
+auto far_deadline()
 {
     return std::chrono::steady_clock::now() + 20s;
 }
@@ -79,7 +79,7 @@
     bool in_order = true;
     for (int i = 0; i < producers * each; ++i)
     {
-        auto const value = ring.pop(later());
+        auto const value = ring.pop(far_deadline());
         REQUIRE(value);
         in_order = in_order && value->second == next[value->first]++;
     }
@@ -93,14 +93,14 @@
 {
     bounded_ring<std::unique_ptr<int>> ring(1);
     std::thread waker([&] { ring.wake(); });
-    CHECK_FALSE(ring.pop(later()));
+    CHECK_FALSE(ring.pop(far_deadline()));
     waker.join();
 
     CHECK(ring.try_push(std::make_unique<int>(7)));
     std::thread closer([&] { ring.close(); });
     closer.join();
     CHECK_FALSE(ring.try_push(std::make_unique<int>(8)));
-    CHECK(*ring.pop(later()).value() == 7);
-    CHECK_FALSE(ring.pop(later()));
+    CHECK(*ring.pop(far_deadline()).value() == 7);
+    CHECK_FALSE(ring.pop(far_deadline()));
     CHECK(ring.closed());
 }
--- a/tests/error_kind_test.cpp
+++ b/tests/error_kind_test.cpp
@@ -10,15 +10,15 @@
           "[error_kind]")
 {
     std::set<std::string_view> names;
-    std::size_t place = 0;
+    std::size_t index = 0;
     for (error_answer const& row : error_table())
     {
-        CHECK(static_cast<std::size_t>(row.kind) == place++);
+        CHECK(static_cast<std::size_t>(row.kind) == index++);
         CHECK(names.insert(row.name).second);
         CHECK(row.http_status >= 400);
         CHECK(error_kind_named(row.name) == row.kind);
     }
-    CHECK(place == static_cast<std::size_t>(error_kind::internal) + 1);
+    CHECK(index == static_cast<std::size_t>(error_kind::internal) + 1);
 }
 
 TEST_CASE("a kind that says the request did not run is never a time-out",
--- a/tests/json_rpc_test.cpp
+++ b/tests/json_rpc_test.cpp
@@ -57,12 +57,12 @@
     }
 };
 
-std::chrono::steady_clock::time_point soon()
+std::chrono::steady_clock::time_point test_deadline()
 {
     return std::chrono::steady_clock::now() + 20s;
 }
 
-Json::Value two_numbers(int a, int b)
+Json::Value add_parameters(int a, int b)
 {
     Json::Value parameters;
     parameters["a"] = a;
@@ -74,7 +74,7 @@
 {
     try
     {
-        caller.call(method, two_numbers(1, 2), soon());
+        caller.call(method, add_parameters(1, 2), test_deadline());
     }
     catch (rpc_failure const& failure)
     {
@@ -99,8 +99,8 @@
             {
                 for (int j = 0; j < 20; ++j)
                 {
-                    auto const sum =
-                        caller.call("add", two_numbers(i, j), soon());
+                    auto const sum = caller.call("add", add_parameters(i, j),
+                                                 test_deadline());
                     right += sum.asInt() == i + j ? 1 : 0;
                 }
             });
@@ -118,7 +118,8 @@
     CHECK(failure_code(caller, "refuse") == 17);
     CHECK(failure_code(caller, "break") == -32603);
     CHECK(failure_code(caller, "no such method") == -32601);
-    CHECK_THROWS_WITH(caller.call("refuse", {}, soon()), "not the owner");
+    CHECK_THROWS_WITH(caller.call("refuse", {}, test_deadline()),
+                      "not the owner");
 }
 
 TEST_CASE("a call that failed on the way says whether it may have run",
--- a/tests/raw_socket.hpp
+++ b/tests/raw_socket.hpp
@@ -85,9 +85,9 @@
 
     void limit_reads(int milliseconds) const
     {
-        timeval const limit{milliseconds / 1000, milliseconds % 1000 * 1000};
-        ::setsockopt(descriptor_, SOL_SOCKET, SO_RCVTIMEO, &limit,
-                     sizeof limit);
+        timeval const timeout{milliseconds / 1000, milliseconds % 1000 * 1000};
+        ::setsockopt(descriptor_, SOL_SOCKET, SO_RCVTIMEO, &timeout,
+                     sizeof timeout);
     }
 
     void send(std::string const& text) const
