--- a/src/base64.hpp
+++ b/src/base64.hpp
@@ -9,7 +9,7 @@
 {
 
 std::string to_base64(std::string const& bytes);
-/// Nothing when the text is no such encoding.
+/// Returns nullopt if the text is not valid Base64.
 std::optional<std::string> from_base64(std::string const& text);
 
 } // namespace mulberry
--- a/src/bounded_ring.hpp
+++ b/src/bounded_ring.hpp
@@ -1,4 +1,4 @@
-/// A bounded ring between threads: many producers, one consumer.
+/// A bounded queue in a ring buffer: many producers, one consumer.
 #ifndef MULBERRY_BOUNDED_RING_HPP
 #define MULBERRY_BOUNDED_RING_HPP
 
@@ -13,8 +13,9 @@
 namespace mulberry
 {
 
-/// Joins the threads of two duties. Every member but pop() may be called from
-/// any thread; pop() by one thread only.
+/// Passes values from producer threads to one consumer thread. Thread safety:
+/// any thread may call every member except pop(), which only one thread may
+/// call.
 template <class T>
 class bounded_ring
 {
@@ -24,8 +25,9 @@
     bounded_ring(bounded_ring const&) = delete;
     bounded_ring& operator=(bounded_ring const&) = delete;
 
-    /// False, with the value dropped, when the ring is full or closed. Never
-    /// waits for the consumer.
+    /// Adds a value without waiting for the consumer. Returns false and drops
+    /// the
+    /// value if the ring is full or closed.
     bool try_push(T value)
     {
         {
@@ -39,8 +41,10 @@
         return true;
     }
 
-    /// Waits for room. False, with the value dropped, when the ring is closed.
-    /// Precondition: not called by the consumer, which would wait for itself.
+    /// Adds a value, waiting while the ring is full. Returns false and drops
+    /// the
+    /// value if the ring is closed. Precondition: not called by the consumer,
+    /// which would deadlock on a full ring.
     bool push(T value)
     {
         {
@@ -56,8 +60,9 @@
         return true;
     }
 
-    /// The oldest value. Nothing at the deadline, after wake(), and when the
-    /// ring is closed and empty.
+    /// Removes and returns the oldest value, waiting while the ring is empty.
+    /// Returns nullopt if the ring is still empty at the deadline, after
+    /// wake(), or when the ring is closed.
     std::optional<T> pop(std::chrono::steady_clock::time_point deadline)
     {
         std::unique_lock lock(mutex_);
@@ -75,7 +80,9 @@
         return value;
     }
 
-    /// Ends the wait of pop(), or of the next one if none waits now.
+    /// Ends the wait of the current call of pop(), or of the next call if none
+    /// is
+    /// waiting.
     void wake()
     {
         {
@@ -85,7 +92,7 @@
         consumer_wakeup_.notify_one();
     }
 
-    /// Takes no more values; those in the ring can still be popped.
+    /// Rejects further values; values in the ring can still be popped.
     void close()
     {
         {
--- a/src/error_kind.hpp
+++ b/src/error_kind.hpp
@@ -1,4 +1,4 @@
-/// The closed list of error kinds and the table from kind to answer.
+/// The complete list of error kinds and the table from each kind to its answer.
 #ifndef MULBERRY_ERROR_KIND_HPP
 #define MULBERRY_ERROR_KIND_HPP
 
@@ -12,7 +12,8 @@
 namespace mulberry
 {
 
-/// Whether a request ran at a back end. `no` is said only where it is certain.
+/// Whether a request ran at a back end. `no` is reported only if this is
+/// certain.
 enum class ran
 {
     no,
@@ -20,7 +21,7 @@
     unknown
 };
 
-/// Every error that a caller, a peer or an operator can be answered with.
+/// Every error that a caller, a peer or an operator can receive.
 enum class error_kind
 {
     bad_request,
@@ -61,20 +62,20 @@
     /// As written in the JSON answer.
     std::string_view name;
     int http_status;
-    /// What the answer says of the request unless the error says otherwise.
+    /// Whether the request ran, unless the error states this itself.
     ran usual_ran;
-    /// Whether coming back later can help; only then is Retry-After sent.
+    /// Whether a later retry can succeed; only then is Retry-After sent.
     bool retry_helps;
     std::string_view meaning;
 };
 
-/// The whole table, one row a kind, in the order of the enumeration.
+/// The complete table, one row per kind, in the order of the enumeration.
 std::span<error_answer const> error_table();
 
-/// The row of a kind. Never fails: the table is complete (tested).
+/// The row of a kind. Never fails, since every kind has a row.
 error_answer const& answer_of(error_kind kind);
 
-/// Whether the caller could have avoided it; such answers do not count
+/// Whether the caller could have avoided the error; such answers do not count
 /// against the quarter's targets.
 bool is_callers_fault(error_kind kind);
 
@@ -83,7 +84,7 @@
 
 std::string_view to_string(ran value);
 
-/// An error on its way to whoever asked. Immutable value.
+/// An error to be answered to a caller, a peer or an operator. Immutable value.
 class error
 {
 public:
@@ -94,7 +95,7 @@
     error_kind kind() const { return kind_; }
     std::string const& text() const { return text_; }
     ran request_ran() const { return ran_; }
-    /// How long the caller should wait before asking again.
+    /// How long the caller should wait before a retry.
     std::optional<duration> retry_after() const { return retry_after_; }
 
     friend bool operator==(error const&, error const&) = default;
--- a/src/http_transfer.hpp
+++ b/src/http_transfer.hpp
@@ -36,7 +36,7 @@
     CURL* handle() const { return handle_.get(); }
     /// The reason why the call cannot be started, if there is one.
     std::optional<std::string> start_error(clock::time_point now) const;
-    /// When overdue() is to be asked next; may lie before the real time.
+    /// When to call timeout_reason() next; may be before the call times out.
     clock::time_point next_check() const;
     /// The reason why the call has timed out, if it has.
     std::optional<std::string> timeout_reason(clock::time_point now);
--- a/src/json_rpc.cpp
+++ b/src/json_rpc.cpp
@@ -12,7 +12,8 @@
 
 constexpr int ok = 200;
 
-/// A method as the glue calls it: failures change their type, not their code.
+/// Wraps a method so that its rpc_failure is thrown as rpc_glue_error with the
+/// same code, text and data.
 rpc_glue_method to_glue_method(rpc_method method)
 {
     return [method = std::move(method)](Json::Value const& parameters)
--- a/src/latency_meter.cpp
+++ b/src/latency_meter.cpp
@@ -54,7 +54,7 @@
         return result;
     result.sum = ba::sum(samples);
     result.most = ba::max(samples);
-    // Before a handful of samples the estimate may lie beyond the largest.
+    // With few samples the estimate may exceed the largest sample.
     auto const quantile = [&](std::ptrdiff_t index)
     { return std::min(ba::extended_p_square(samples)[index], result.most); };
     result.median = quantile(0);
--- a/src/latency_meter.hpp
+++ b/src/latency_meter.hpp
@@ -1,4 +1,4 @@
-/// Running quantiles of a span of time, by Boost.Accumulators.
+/// Running quantiles of a latency, by Boost.Accumulators.
 #ifndef MULBERRY_LATENCY_METER_HPP
 #define MULBERRY_LATENCY_METER_HPP
 
@@ -10,7 +10,7 @@
 namespace mulberry
 {
 
-/// What a meter shows. Value; spans in seconds.
+/// Statistics of the samples of a meter, in seconds.
 struct latency_summary
 {
     std::uint64_t count = 0;
@@ -23,9 +23,9 @@
                            latency_summary const&) = default;
 };
 
-/// Constant memory: the quantiles are estimates by the P-square algorithm
-/// (Jain and Chlamtac, 1985), as Boost.Accumulators implements it. Thread
-/// safety: none.
+/// Measures quantiles in constant memory: the quantiles are estimates by the
+/// P-square algorithm (Jain and Chlamtac, 1985), as implemented by
+/// Boost.Accumulators. Thread safety: none.
 class latency_meter
 {
 public:
--- a/src/rpc_glue.cpp
+++ b/src/rpc_glue.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// Hands the library's messages to the sender.
+/// Passes the library's request bodies to the sender.
 class sender_connector : public jsonrpc::IClientConnector
 {
 public:
@@ -23,8 +23,8 @@
     {
     }
 
-    // The library's exception specification lets nothing else out: any other
-    // exception would end the process.
+    // The library's exception specification allows only JsonRpcException: any
+    // other exception would terminate the process.
     void SendRPCMessage(std::string const& message, std::string& result) throw(
         jsonrpc::JsonRpcException) override
     {
--- a/src/rpc_glue.hpp
+++ b/src/rpc_glue.hpp
@@ -1,5 +1,5 @@
-/// libjsonrpccpp behind an interface that any C++ standard can include.
-/// Private to json_rpc.cpp.
+/// A wrapper of libjsonrpccpp whose header can be included under any C++
+/// standard. Private to json_rpc.cpp.
 #ifndef MULBERRY_RPC_GLUE_HPP
 #define MULBERRY_RPC_GLUE_HPP
 
@@ -14,7 +14,8 @@
 namespace mulberry
 {
 
-/// A JSON-RPC error on its way through the library, in either direction.
+/// A JSON-RPC error that passes through the library, from a method to the
+/// response or from a response to the caller.
 class rpc_glue_error : public std::runtime_error
 {
 public:
@@ -31,12 +32,13 @@
     Json::Value data_;
 };
 
-/// Throws rpc_glue_error to answer an error.
+/// A method: receives the parameters and returns the result. Throws
+/// rpc_glue_error to answer an error.
 using rpc_glue_method = std::function<Json::Value(Json::Value const&)>;
 /// Sends a request body, returns the response body. Throws rpc_glue_error.
 using rpc_glue_sender = std::function<std::string(std::string const&)>;
 
-/// Thread safe once built.
+/// Thread safety: any thread, after construction.
 class rpc_glue_server
 {
 public:
@@ -49,7 +51,8 @@
     std::unique_ptr<dispatcher> dispatcher_;
 };
 
-/// Makes one call. Throws rpc_glue_error.
+/// Makes one call and returns its result. Throws rpc_glue_error for an error in
+/// the response or a failure of the sender.
 Json::Value rpc_glue_call(rpc_glue_sender const& sender,
                           std::string const& method,
                           Json::Value const& parameters);
--- a/src/sse_parser.cpp
+++ b/src/sse_parser.cpp
@@ -24,7 +24,8 @@
 
 void sse_parser::parse_byte(char byte, std::vector<sse_event>& events)
 {
-    // The LF of a CRLF may come in the next piece: the line ended at the CR.
+    // The line ended at the CR already: the LF of a CRLF may arrive in the next
+    // piece.
     bool const ends_crlf = previous_was_cr_ && byte == '\n';
     previous_was_cr_ = byte == '\r';
     if (ends_crlf)
@@ -35,8 +36,8 @@
         return;
     }
     line_ += byte;
-    // An engine that never ends an event would otherwise fill the memory of
-    // the process, at the cost of every other stream.
+    // Without the limit, an engine that never ends an event would exhaust the
+    // memory of the process and break every other stream.
     overflowed_ = ++event_bytes_ > max_event_bytes_;
 }
 
--- a/src/sse_parser.hpp
+++ b/src/sse_parser.hpp
@@ -10,30 +10,30 @@
 namespace mulberry
 {
 
-/// One event. Fields other than `event` and `data` are not kept.
+/// One event. Fields other than `event` and `data` are ignored.
 struct sse_event
 {
-    /// Empty if the event has no name.
+    /// Empty if the event has no `event` field.
     std::string event;
-    /// Lines are joined by a line feed.
+    /// The values of the `data` fields, joined by line feeds.
     std::string data;
 
     friend bool operator==(sse_event const&, sse_event const&) = default;
 };
 
-/// Takes the bytes of one stream in pieces split anywhere. A line ends with
-/// LF, CRLF or CR. Not thread safe.
+/// Parses one stream, passed in pieces split at any byte. A line ends with LF,
+/// CRLF or CR. Thread safety: none.
 class sse_parser
 {
 public:
-    /// `max_event_bytes` bounds what one unfinished event may hold.
+    /// `max_event_bytes` limits the bytes of one event, line ends not counted.
     explicit sse_parser(std::size_t max_event_bytes);
 
-    /// The events completed by these bytes, in order. After an overflow:
-    /// none, ever.
+    /// Returns the events completed by these bytes, in order. After an overflow
+    /// no further event is returned.
     std::vector<sse_event> feed(std::string_view bytes);
 
-    /// An event was larger than the bound; the stream is of no more use.
+    /// An event exceeded max_event_bytes; the rest of the stream is ignored.
     bool overflowed() const { return overflowed_; }
 
 private:
--- a/tests/base64_test.cpp
+++ b/tests/base64_test.cpp
@@ -4,7 +4,8 @@
 
 using namespace mulberry;
 
-TEST_CASE("every length and byte comes back", "[base64]")
+TEST_CASE("every length and byte value survives encoding and decoding",
+          "[base64]")
 {
     std::string bytes;
     for (int value = 0; value < 256; ++value)
@@ -17,7 +18,7 @@
     CHECK(from_base64("") == "");
 }
 
-TEST_CASE("what is no base64 is told", "[base64]")
+TEST_CASE("invalid Base64 is rejected", "[base64]")
 {
     CHECK_FALSE(from_base64("YQ="));
     CHECK_FALSE(from_base64("Y!=="));
--- a/tests/bounded_ring_test.cpp
+++ b/tests/bounded_ring_test.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("the ring behaves as a queue that refuses when full",
+TEST_CASE("the ring is a FIFO queue that rejects values when full",
           "[bounded_ring]")
 {
     CHECK(rc::check(
@@ -89,7 +89,7 @@
     CHECK(ring.size() == 0);
 }
 
-TEST_CASE("waking and closing end the consumer's wait", "[bounded_ring]")
+TEST_CASE("wake and close end the consumer's wait", "[bounded_ring]")
 {
     bounded_ring<std::unique_ptr<int>> ring(1);
     std::thread waker([&] { ring.wake(); });
--- a/tests/error_kind_test.cpp
+++ b/tests/error_kind_test.cpp
@@ -21,8 +21,9 @@
     CHECK(index == static_cast<std::size_t>(error_kind::internal) + 1);
 }
 
-TEST_CASE("a kind that says the request did not run is never a time-out",
-          "[error_kind]")
+TEST_CASE(
+    "kinds with an unknown outcome do not report that the request did not run",
+    "[error_kind]")
 {
     CHECK(answer_of(error_kind::deadline_passed).usual_ran == ran::unknown);
     CHECK(answer_of(error_kind::answer_cut).usual_ran == ran::unknown);
--- a/tests/json_rpc_test.cpp
+++ b/tests/json_rpc_test.cpp
@@ -28,7 +28,7 @@
                         }}});
 }
 
-/// The server behind a listener that wants the key "right".
+/// Serves `server` to callers with the key "right"; aborts answers to /lost.
 http_handler handler_of(rpc_server& server)
 {
     return [&server](http_request const& request,
@@ -85,7 +85,8 @@
 
 } // namespace
 
-TEST_CASE("a method's result comes back to each of many callers", "[json_rpc]")
+TEST_CASE("each of many concurrent callers receives its own result",
+          "[json_rpc]")
 {
     listener listener;
     rpc_client caller = listener.caller("right");
@@ -110,7 +111,7 @@
     CHECK(right == 160);
 }
 
-TEST_CASE("the code and text of a method's failure travel to the caller",
+TEST_CASE("the caller receives the code and text of a method's failure",
           "[json_rpc]")
 {
     listener listener;
@@ -122,7 +123,7 @@
                       "not the owner");
 }
 
-TEST_CASE("a call that failed on the way says whether it may have run",
+TEST_CASE("a call that fails in transport reports whether it may have run",
           "[json_rpc]")
 {
     listener listener;
@@ -134,7 +135,7 @@
     CHECK(failure_code(unreachable, "add") == rpc_not_sent);
 }
 
-TEST_CASE("a body that is no request is answered with an error", "[json_rpc]")
+TEST_CASE("an invalid request body is answered with an error", "[json_rpc]")
 {
     auto server = make_server();
     CHECK(server.handle("{").find("-32700") != std::string::npos);
--- a/tests/latency_meter_test.cpp
+++ b/tests/latency_meter_test.cpp
@@ -5,7 +5,7 @@
 using namespace mulberry;
 using namespace std::chrono_literals;
 
-TEST_CASE("a meter without samples shows nothing", "[latency_meter]")
+TEST_CASE("a meter without samples has an empty summary", "[latency_meter]")
 {
     CHECK(latency_meter().summary() == latency_summary{});
 }
@@ -25,7 +25,7 @@
     CHECK(shown.p99 == Approx(0.99).margin(0.02));
 }
 
-TEST_CASE("no quantile lies beyond the largest sample", "[latency_meter]")
+TEST_CASE("no quantile exceeds the largest sample", "[latency_meter]")
 {
     latency_meter meter;
     meter.add(2ms);
--- a/tests/raw_socket.hpp
+++ b/tests/raw_socket.hpp
@@ -1,4 +1,4 @@
-/// Plain TCP for tests that need a peer which breaks the rules of HTTP.
+/// Plain TCP sockets for tests whose peer violates HTTP.
 #ifndef MULBERRY_RAW_SOCKET_HPP
 #define MULBERRY_RAW_SOCKET_HPP
 
@@ -17,15 +17,15 @@
 namespace mulberry
 {
 
-/// One connected or listening socket on the loopback address. Reads give up
-/// after a generous bound, so that a test fails in place of hanging.
+/// One connected or listening socket on the loopback address. Reads time
+/// out after 20 seconds, so that a test fails instead of hanging.
 class raw_socket
 {
 public:
     explicit raw_socket(int descriptor) : descriptor_(descriptor)
     {
         if (descriptor_ < 0)
-            throw std::runtime_error("no socket");
+            throw std::runtime_error("cannot create or accept a socket");
         limit_reads(20000);
     }
     raw_socket(raw_socket&& other) noexcept
@@ -55,7 +55,7 @@
     {
         sockaddr_in const address = loopback(port);
         if (::connect(descriptor_, as_sockaddr(address), sizeof address) != 0)
-            throw std::runtime_error("not connected");
+            throw std::runtime_error("cannot connect");
     }
 
     static raw_socket listening()
@@ -65,7 +65,7 @@
         if (::bind(result.descriptor_, as_sockaddr(address), sizeof address) !=
                 0 ||
             ::listen(result.descriptor_, 16) != 0)
-            throw std::runtime_error("not listening");
+            throw std::runtime_error("cannot listen");
         return result;
     }
 
@@ -103,14 +103,18 @@
         }
     }
 
-    /// Whether there is something to read or to accept by then.
+    /// Whether the socket becomes readable, or has a connection to accept,
+    /// within
+    /// this time.
     bool ready(int milliseconds) const
     {
         pollfd entry{descriptor_, POLLIN, 0};
         return ::poll(&entry, 1, milliseconds) > 0;
     }
 
-    /// Waits for either; whether it is the first.
+    /// Waits up to 20 seconds until either socket is readable. Returns whether
+    /// `a`
+    /// is readable.
     static bool first_ready(raw_socket const& a, raw_socket const& b)
     {
         pollfd entries[] = {{a.descriptor_, POLLIN, 0},
@@ -119,7 +123,9 @@
         return entries[0].revents != 0;
     }
 
-    /// Some bytes; empty at the end, after a reset and at the time limit.
+    /// Reads some bytes; empty at the end of the stream, after a reset and at
+    /// the
+    /// timeout.
     std::string read_some() const
     {
         std::string buffer(65536, '\0');
@@ -129,7 +135,7 @@
         return buffer;
     }
 
-    /// Everything up to and including `end`, or up to the end of the stream.
+    /// Reads up to and including `end`, or up to the end of the stream.
     std::string read_until(std::string const& end) const
     {
         std::string text;
@@ -145,7 +151,7 @@
         return text;
     }
 
-    /// Everything up to the end of the stream.
+    /// Reads up to the end of the stream.
     std::string read_all() const { return read_until(std::string(1, '\1')); }
 
     void shutdown_send() const { ::shutdown(descriptor_, SHUT_WR); }
--- a/tests/sse_parser_test.cpp
+++ b/tests/sse_parser_test.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("events come out with their names and joined data", "[sse_parser]")
+TEST_CASE("events are parsed with their names and joined data", "[sse_parser]")
 {
     std::string const text = ": comment\n"
                              "data: one\n\n"
@@ -61,7 +61,7 @@
         }));
 }
 
-TEST_CASE("an event over the bound ends the stream, one of its size does not",
+TEST_CASE("an event over the size limit overflows, one at the limit does not",
           "[sse_parser]")
 {
     sse_parser parser(10);
