--- a/src/latency_meter.cpp
+++ b/src/latency_meter.cpp
@@ -53,10 +53,10 @@
     if (result.count == 0)
         return result;
     result.sum = ba::sum(samples);
-    result.most = ba::max(samples);
+    result.max = ba::max(samples);
     // With few samples the estimate may exceed the largest sample.
     auto const quantile = [&](std::ptrdiff_t index)
-    { return std::min(ba::extended_p_square(samples)[index], result.most); };
+    { return std::min(ba::extended_p_square(samples)[index], result.max); };
     result.median = quantile(0);
     result.p95 = quantile(1);
     result.p99 = quantile(2);
--- a/src/latency_meter.hpp
+++ b/src/latency_meter.hpp
@@ -18,7 +18,7 @@
     double median = 0;
     double p95 = 0;
     double p99 = 0;
-    double most = 0;
+    double max = 0;
     friend bool operator==(latency_summary const&,
                            latency_summary const&) = default;
 };
