--- a/src/bounded_ring.hpp
+++ b/src/bounded_ring.hpp
@@ -26,8 +26,7 @@
     bounded_ring& operator=(bounded_ring const&) = delete;
 
     /// Adds a value without waiting for the consumer. Returns false and drops
-    /// the
-    /// value if the ring is full or closed.
+    /// the value if the ring is full or closed.
     bool try_push(T value)
     {
         {
@@ -42,9 +41,8 @@
     }
 
     /// Adds a value, waiting while the ring is full. Returns false and drops
-    /// the
-    /// value if the ring is closed. Precondition: not called by the consumer,
-    /// which would deadlock on a full ring.
+    /// the value if the ring is closed. Precondition: not called by the
+    /// consumer, which would deadlock on a full ring.
     bool push(T value)
     {
         {
@@ -81,8 +79,7 @@
     }
 
     /// Ends the wait of the current call of pop(), or of the next call if none
-    /// is
-    /// waiting.
+    /// is waiting.
     void wake()
     {
         {
--- a/src/http_caller_socket.hpp
+++ b/src/http_caller_socket.hpp
@@ -30,12 +30,10 @@
     /// Bytes of answers not yet written to the socket. Any thread.
     std::atomic<std::size_t> unsent_bytes{0};
     /// Returns the response for a caller whose request did not arrive within
-    /// the
-    /// read timeout.
+    /// the read timeout.
     std::function<std::string()> timeout_response;
     /// Called when the caller has closed its sending half while it waits for
-    /// its
-    /// only answer. Returns the response to send; empty if that answer has
+    /// its only answer. Returns the response to send; empty if that answer has
     /// begun.
     std::function<std::string()> half_close_response;
 };
@@ -113,8 +111,7 @@
         if (!failure)
             state_->receiving = true;
         // With more than one request pending, or an answer sent in part, the
-        // caller
-        // would take this response for the answer to another request.
+        // caller would take this response for the answer to another request.
         else if (failure == restinio::asio_ns::error::eof &&
                  state_->unanswered_requests == 1 && !writing_)
             write_before_close(state_->half_close_response());
--- a/src/http_client.hpp
+++ b/src/http_client.hpp
@@ -34,16 +34,14 @@
     http_headers headers;
     std::string body;
     /// The call may run more than once. Only such calls use kept connections,
-    /// and
-    /// libcurl retries them when a kept connection turns out to be dead. Every
-    /// other call has a connection of its own.
+    /// and libcurl retries them when a kept connection turns out to be dead.
+    /// Every other call has a connection of its own.
     bool repeatable = false;
     /// The call fails if it has not ended by this time.
     std::chrono::steady_clock::time_point deadline;
     std::chrono::milliseconds connect_timeout{1000};
     /// The call fails when, after the request has begun, no byte is received
-    /// and
-    /// none of the body can be sent for this long; 0 for no limit.
+    /// and none of the body can be sent for this long; 0 for no limit.
     std::chrono::milliseconds silence_timeout{0};
 };
 
@@ -87,8 +85,7 @@
     void cancel(call_handle handle);
 
     /// Result of call_and_wait(). If the call failed, `status` is 0, `body`
-    /// holds
-    /// the reason and `stage` how far the call had progressed.
+    /// holds the reason and `stage` how far the call had progressed.
     struct result
     {
         int status = 0;
--- a/src/http_request_limits.cpp
+++ b/src/http_request_limits.cpp
@@ -108,8 +108,7 @@
     constexpr int body_follows = 0;
     constexpr int skip_body = 1;
     // A request to upgrade is answered in HTTP/1.1, as the standard allows.
-    // With
-    // an upgrade RESTinio would stop reading and not notice a disconnect.
+    // With an upgrade RESTinio would stop reading and not notice a disconnect.
     parser->upgrade = 0;
     http_parser_ctx_t& context = context_of(parser);
     context.m_header.http_minor(parser->http_minor);
--- a/src/http_server.hpp
+++ b/src/http_server.hpp
@@ -37,12 +37,10 @@
     /// Sends the last chunk, which ends a chunked response.
     virtual void finish() = 0;
     /// Closes the connection after the bytes already written were sent. The
-    /// last
-    /// chunk is not sent, so the reader sees a truncated response.
+    /// last chunk is not sent, so the reader sees a truncated response.
     virtual void abort() = 0;
     /// Sets a callback that runs once if the connection closes before the
-    /// answer
-    /// is complete. A caller that closes only its sending half counts as
+    /// answer is complete. A caller that closes only its sending half counts as
     /// disconnected. The callback runs on a thread of the server, within this
     /// call if the connection is closed already, or on the thread that destroys
     /// the server if the server is destroyed first.
@@ -89,7 +87,8 @@
 class http_server
 {
 public:
-    /// Starts listening. Throws std::runtime_error if the address is taken.
+    /// Starts listening. Throws std::runtime_error if the server cannot listen
+    /// on the address.
     http_server(http_server_options options, http_handler handler);
     /// Waits up to one second for complete answers to be sent (not with
     /// shared_io), closes every connection and joins the threads. Precondition:
@@ -101,8 +100,7 @@
     /// The bound port.
     std::uint16_t port() const;
     /// From now on every answer closes its connection. New connections are
-    /// still
-    /// accepted.
+    /// still accepted.
     void close_after_answers();
     /// Closes the connections on which no request is being answered.
     void close_idle();
--- a/src/http_server_answer.cpp
+++ b/src/http_server_answer.cpp
@@ -36,8 +36,7 @@
     for (auto const& [name, value] : headers.fields())
     {
         // A line break in a header of a back end would allow header injection
-        // and
-        // response splitting.
+        // and response splitting.
         if (is_connection_header(name) || !is_safe_header(name, value))
             continue;
         text += fmt::format("{}: {}\r\n", name, value);
@@ -323,8 +322,7 @@
         if (!format_.chunks)
         {
             // HTTP/1.0 ends a stream by closing the connection, so the reader
-            // could
-            // not tell a truncated stream from a complete one.
+            // could not tell a truncated stream from a complete one.
             closed = std::exchange(on_closed_, nullptr);
             respond_locked(http_response{version_not_supported, {}, {}});
         }
--- a/src/http_transfer.cpp
+++ b/src/http_transfer.cpp
@@ -133,12 +133,11 @@
                      static_cast<long>(std::max<std::int64_t>(
                          call_.connect_timeout.count(), 1)));
     // When a kept connection closes before the first byte of the answer,
-    // libcurl
-    // sends the request again on a new connection. If the back end ran the
-    // request and crashed before it answered, a slip is billed twice while the
-    // caller sees one answer. libcurl retries on kept connections only, so a
-    // call that must run at most once gets a connection of its own. Such a call
-    // also never uses a kept connection that is dead without a sign.
+    // libcurl sends the request again on a new connection. If the back end ran
+    // the request and crashed before it answered, a slip is billed twice while
+    // the caller sees one answer. libcurl retries on kept connections only, so
+    // a call that must run at most once gets a connection of its own. Such a
+    // call also never uses a kept connection that died undetected.
     long const own_connection = call_.repeatable ? 0L : 1L;
     curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, own_connection);
     curl_easy_setopt(handle, CURLOPT_FORBID_REUSE, own_connection);
@@ -296,8 +295,7 @@
     if (response_begun_)
         return call_stage::answering;
     // After "not sent" the caller retries elsewhere, so a wrong "not sent" runs
-    // the
-    // request twice. libcurl writes the first byte only after it has called
+    // the request twice. libcurl writes the first byte only after it has called
     // before_request(): without that call no byte was written; after it a byte
     // may have been written, which counts as sent.
     return request_begun_ ? call_stage::sent : call_stage::not_sent;
--- a/src/http_transfer.hpp
+++ b/src/http_transfer.hpp
@@ -41,12 +41,10 @@
     /// The reason why the call has timed out, if it has.
     std::optional<std::string> timeout_reason(clock::time_point now);
     /// Reports the end or the failure of the call to the observer, after
-    /// libcurl
-    /// has finished the transfer with `code`.
+    /// libcurl has finished the transfer with `code`.
     void done(CURLcode code);
     /// Reports a failure to the observer. No member may be called after fail()
-    /// or
-    /// done().
+    /// or done().
     void fail(std::string const& text);
 
 private:
--- a/src/json_rpc.hpp
+++ b/src/json_rpc.hpp
@@ -56,8 +56,8 @@
     explicit rpc_server(std::map<std::string, rpc_method> const& methods);
     ~rpc_server();
     /// Returns the JSON-RPC response to a request body; empty if the body asks
-    /// for
-    /// no response. An invalid body is answered with an error, never thrown.
+    /// for no response. An invalid body is answered with an error, never
+    /// thrown.
     std::string handle(std::string const& body);
 
 private:
@@ -73,9 +73,9 @@
     /// token.
     rpc_client(http_client& client, std::string url, std::string key);
     ~rpc_client();
-    /// Waits for the result. Throws rpc_failure, also if the call has not ended
-    /// by the deadline. Precondition: not called on the thread of the HTTP
-    /// client.
+    /// Waits for the result until the deadline. Throws rpc_failure if the call
+    /// fails or does not end in time. Precondition: not called on the thread of
+    /// the HTTP client.
     Json::Value call(std::string const& method, Json::Value const& parameters,
                      std::chrono::steady_clock::time_point deadline);
 
--- a/tests/http_client_test.cpp
+++ b/tests/http_client_test.cpp
@@ -170,8 +170,7 @@
           "[http_client]")
 {
     // The back end reads the request and sends nothing, or stops in the middle
-    // of
-    // its answer. Its connection stays open and acknowledges everything, so
+    // of its answer. Its connection stays open and acknowledges everything, so
     // only the silence timeout can detect this.
     bool const begins = GENERATE(false, true);
     std::promise<void> given_up;
@@ -197,9 +196,8 @@
 TEST_CASE("a late answer never reaches another call", "[http_client]")
 {
     // The first call fails at its deadline. Its answer arrives later on the
-    // same
-    // connection, and the next call is made. The next call must get its own
-    // answer: the late one is another caller's summary.
+    // same connection, and the next call is made. The next call must get its
+    // own answer: the late one is another caller's summary.
     std::promise<void> given_up;
     scripted_back_end back_end(
         [&](raw_socket const& listener)
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -195,9 +195,8 @@
 TEST_CASE("a request that arrives too slowly is answered 408", "[http_server]")
 {
     // The caller stops in the middle of its first or second request. At the
-    // read
-    // timeout the server answers 408 and closes the connection; a connection
-    // that is idle between requests is closed without a response.
+    // read timeout the server answers 408 and closes the connection; a
+    // connection that is idle between requests is closed without a response.
     auto options = with_error_page();
     options.read_timeout = 100ms;
     http_server server(options, echo());
--- a/tests/raw_socket.hpp
+++ b/tests/raw_socket.hpp
@@ -17,8 +17,8 @@
 namespace mulberry
 {
 
-/// One connected or listening socket on the loopback address. Reads time
-/// out after 20 seconds, so that a test fails instead of hanging.
+/// One connected or listening socket on the loopback address. Reads time out
+/// after 20 seconds, so that a test fails instead of hanging.
 class raw_socket
 {
 public:
@@ -104,8 +104,7 @@
     }
 
     /// Whether the socket becomes readable, or has a connection to accept,
-    /// within
-    /// this time.
+    /// within this time.
     bool ready(int milliseconds) const
     {
         pollfd entry{descriptor_, POLLIN, 0};
@@ -113,8 +112,7 @@
     }
 
     /// Waits up to 20 seconds until either socket is readable. Returns whether
-    /// `a`
-    /// is readable.
+    /// `a` is readable.
     static bool first_ready(raw_socket const& a, raw_socket const& b)
     {
         pollfd entries[] = {{a.descriptor_, POLLIN, 0},
@@ -124,8 +122,7 @@
     }
 
     /// Reads some bytes; empty at the end of the stream, after a reset and at
-    /// the
-    /// timeout.
+    /// the timeout.
     std::string read_some() const
     {
         std::string buffer(65536, '\0');
