--- a/src/http_message.cpp
+++ b/src/http_message.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-bool same_letter(char a, char b)
+bool equal_ignoring_case(char a, char b)
 {
     return std::tolower(static_cast<unsigned char>(a)) ==
            std::tolower(static_cast<unsigned char>(b));
@@ -35,7 +35,8 @@
 
 bool same_header_name(std::string_view a, std::string_view b)
 {
-    return std::equal(a.begin(), a.end(), b.begin(), b.end(), same_letter);
+    return std::equal(a.begin(), a.end(), b.begin(), b.end(),
+                      equal_ignoring_case);
 }
 
 bool is_connection_header(std::string_view name)
@@ -60,11 +61,11 @@
 
 bool is_safe_header(std::string_view name, std::string_view value)
 {
-    constexpr std::string_view line_breaks("\r\n\0", 3);
+    constexpr std::string_view forbidden_bytes("\r\n\0", 3);
     return !name.empty() &&
-           name.find_first_of(line_breaks) == std::string_view::npos &&
+           name.find_first_of(forbidden_bytes) == std::string_view::npos &&
            name.find(':') == std::string_view::npos &&
-           value.find_first_of(line_breaks) == std::string_view::npos;
+           value.find_first_of(forbidden_bytes) == std::string_view::npos;
 }
 
 void http_headers::add(std::string name, std::string value)
