--- a/src/ctl_check.cpp
+++ b/src/ctl_check.cpp
@@ -22,7 +22,7 @@
     std::vector<text_fault> faults;
 };
 
-bool holds_settings(std::string_view text, std::string const& file)
+bool is_settings(std::string_view text, std::string const& file)
 {
     json_document const document(text, file);
     return document.root().isObject() && (document.root().isMember("vm") ||
@@ -40,13 +40,13 @@
             {}};
 }
 
-std::vector<text_fault> fit_faults(declaration const& value,
-                                   std::string const& file)
+std::vector<text_fault> capacity_faults(declaration const& value,
+                                        std::string const& file)
 {
-    plan const made =
+    plan const result_plan =
         make_plan({}, config_version(), value, {}, duration::zero());
     std::vector<text_fault> faults;
-    for (std::string const& obstacle : made.obstacles)
+    for (std::string const& obstacle : result_plan.obstacles)
         faults.push_back({file, 1, "ready", obstacle});
     return faults;
 }
@@ -62,7 +62,7 @@
                         value.deployment, value.workers.size(),
                         value.adapters.size(), value.ready.size(),
                         value.services.size(), value.targets.size()),
-            fit_faults(value, file)};
+            capacity_faults(value, file)};
 }
 
 Json::Value fault_json(text_fault const& fault)
@@ -80,16 +80,16 @@
 ctl_exit run_check(ctl_options const& options, std::ostream& out,
                    std::ostream& err)
 {
-    Json::Value all(Json::arrayValue);
+    Json::Value all_faults(Json::arrayValue);
     for (std::string const& file : options.arguments)
     {
         std::string const text = read_file(file);
-        checked_file const checked = holds_settings(text, file)
+        checked_file const checked = is_settings(text, file)
                                          ? check_settings(text, file)
                                          : check_declaration(text, file);
         for (text_fault const& fault : checked.faults)
         {
-            all.append(fault_json(fault));
+            all_faults.append(fault_json(fault));
             if (!options.json)
                 err << fault.str() << "\n";
         }
@@ -99,10 +99,10 @@
     if (options.json)
     {
         Json::Value result(Json::objectValue);
-        result["faults"] = all;
+        result["faults"] = all_faults;
         out << pretty_json(result);
     }
-    return all.empty() ? ctl_exit::ok : ctl_exit::faults;
+    return all_faults.empty() ? ctl_exit::ok : ctl_exit::faults;
 }
 
 } // namespace mulberry
--- a/src/ctl_commands.cpp
+++ b/src/ctl_commands.cpp
@@ -22,7 +22,7 @@
 using namespace std::chrono_literals;
 
 constexpr auto poll_interval = 1s;
-constexpr Json::UInt64 events_a_call = 1000;
+constexpr Json::UInt64 events_per_call = 1000;
 
 Json::Value no_parameters()
 {
@@ -37,14 +37,14 @@
         throw file_failure(path + ": cannot be written");
 }
 
-ctl_exit show_faults(std::vector<text_fault> const& faults, std::ostream& err)
+ctl_exit print_faults(std::vector<text_fault> const& faults, std::ostream& err)
 {
     for (text_fault const& fault : faults)
         err << fault.str() << "\n";
     return ctl_exit::faults;
 }
 
-void keep_plan(ctl_options const& options, Json::Value const& answer,
+void save_plan(ctl_options const& options, Json::Value const& answer,
                std::ostream& err)
 {
     Json::Value const& plan = answer["plan"];
@@ -63,7 +63,7 @@
     std::string const text = read_file(file);
     auto const parsed = parse_declaration(text, file);
     if (auto const* faults = std::get_if<std::vector<text_fault>>(&parsed))
-        return show_faults(*faults, context.err);
+        return print_faults(*faults, context.err);
     Json::Value parameters(Json::objectValue);
     parameters["declaration"] = text;
     Json::Value const answer =
@@ -77,7 +77,7 @@
         return ctl_exit::refused;
     }
     if (!options.output.empty())
-        keep_plan(options, answer, context.err);
+        save_plan(options, answer, context.err);
     else
         context.err << "Nothing is changed. Keep the plan with --output FILE "
                        "to confirm it.\n";
@@ -128,7 +128,7 @@
 }
 
 /// The state of a VM in an answer to `status`; empty when it is gone.
-std::string state_of(Json::Value const& status, std::string const& vm)
+std::string vm_state(Json::Value const& status, std::string const& vm)
 {
     for (Json::Value const& each : status["vms"])
         if (each["vm"] == vm)
@@ -153,7 +153,7 @@
         std::string state = "unknown";
         try
         {
-            state = state_of(read_status(context, true), vm);
+            state = vm_state(read_status(context, true), vm);
         }
         catch (operator_call_failure const& failure)
         {
@@ -202,7 +202,7 @@
     {
         Json::Value parameters(Json::objectValue);
         parameters["after"] = cursor_;
-        parameters["limit"] = events_a_call;
+        parameters["limit"] = events_per_call;
         Json::Value answer =
             client_.call("timeline", parameters, resend::allowed);
         cursor_ = answer["cursor"].asString();
@@ -210,19 +210,19 @@
     }
 
     /// Reads to the end and returns the newest `most` events.
-    Json::Value newest(std::size_t most)
+    Json::Value newest(std::size_t max_events)
     {
-        std::deque<Json::Value> kept;
+        std::deque<Json::Value> recent;
         Json::Value events = next();
         for (; !events.empty(); events = next())
             for (Json::Value const& event : events)
             {
-                kept.push_back(event);
-                if (kept.size() > most)
-                    kept.pop_front();
+                recent.push_back(event);
+                if (recent.size() > max_events)
+                    recent.pop_front();
             }
         Json::Value result(Json::arrayValue);
-        for (Json::Value& event : kept)
+        for (Json::Value& event : recent)
             result.append(std::move(event));
         return result;
     }
@@ -232,7 +232,7 @@
     std::string cursor_;
 };
 
-void show_events(Json::Value const& events, bool json, std::ostream& out)
+void print_events(Json::Value const& events, bool json, std::ostream& out)
 {
     if (!json)
         out << events_text(events);
@@ -244,13 +244,13 @@
 ctl_exit run_timeline(ctl_options const& options, ctl_context const& context)
 {
     timeline_reader reader(context.client);
-    show_events(reader.newest(options.limit), options.json, context.out);
+    print_events(reader.newest(options.limit), options.json, context.out);
     while (options.follow && context.out)
     {
         context.clock.sleep_until(context.clock.now() + poll_interval);
         try
         {
-            show_events(reader.next(), options.json, context.out);
+            print_events(reader.next(), options.json, context.out);
         }
         catch (operator_call_failure const& failure)
         {
@@ -274,20 +274,20 @@
     return table;
 }
 
-bool changes_something(std::string const& command)
+bool changes_deployment(std::string const& command)
 {
     return command == "confirm" || command == "drain";
 }
 
-ctl_exit exit_of(operator_call_failure const& failure,
-                 std::string const& command)
+ctl_exit exit_code_for(operator_call_failure const& failure,
+                       std::string const& command)
 {
     switch (failure.reason())
     {
     case operator_call_failure::kind::refused:
         return ctl_exit::refused;
     case operator_call_failure::kind::outcome_unknown:
-        if (changes_something(command))
+        if (changes_deployment(command))
             return ctl_exit::outcome_unknown;
         [[fallthrough]];
     default:
@@ -295,7 +295,7 @@
     }
 }
 
-std::string_view meaning_of(operator_call_failure const& failure)
+std::string_view describe(operator_call_failure const& failure)
 {
     switch (failure.reason())
     {
@@ -310,7 +310,7 @@
 
 void report(operator_call_failure const& failure, std::ostream& err)
 {
-    err << meaning_of(failure) << ": " << failure.what() << "\n";
+    err << describe(failure) << ": " << failure.what() << "\n";
     Json::Value const& data = failure.data();
     if (!data.isObject())
         return;
@@ -348,7 +348,7 @@
             failure.reason() == operator_call_failure::kind::refused)
             context.out << pretty_json(
                 refusal_json(failure.what(), failure.data()));
-        return exit_of(failure, options.command);
+        return exit_code_for(failure, options.command);
     }
     catch (file_failure const& failure)
     {
@@ -359,8 +359,8 @@
     {
         context.err << "the answer cannot be understood: " << failure.what()
                     << "\n";
-        return changes_something(options.command) ? ctl_exit::outcome_unknown
-                                                  : ctl_exit::unreachable;
+        return changes_deployment(options.command) ? ctl_exit::outcome_unknown
+                                                   : ctl_exit::unreachable;
     }
 }
 
--- a/src/ctl_confirm.cpp
+++ b/src/ctl_confirm.cpp
@@ -19,7 +19,7 @@
 constexpr char const* outdated_plan = "plan_outdated";
 
 /// What is in force, as one VM tells it.
-struct confirmed
+struct confirmed_configuration
 {
     std::uint64_t version = 0;
     std::string digest;
@@ -62,7 +62,7 @@
         {
             Json::Value const result = context_.client.call(
                 "confirm", confirm_parameters(plan_), resend::never);
-            return in_force(result["version"].asUInt64(), "");
+            return report_in_force(result["version"].asUInt64(), "");
         }
         catch (operator_call_failure const& failure)
         {
@@ -84,26 +84,27 @@
         {
             auto const found = read_configuration();
             if (found && found->digest == plan_.digest)
-                return in_force(found->version, " (read back)");
+                return report_in_force(found->version, " (read back)");
             if (found && found->version > plan_.base.value())
-                return replaced(found->version);
+                return report_other_version(found->version);
             if (context_.clock.now() >= deadline)
-                return unknown();
+                return report_unknown();
             context_.err << "not yet in force; asking again\n";
             context_.clock.sleep_until(context_.clock.now() +
                                        read_back_interval);
         }
     }
 
-    std::optional<confirmed> read_configuration()
+    std::optional<confirmed_configuration> read_configuration()
     {
         try
         {
             Json::Value const result = context_.client.call(
                 "configuration", Json::Value(Json::objectValue),
                 resend::allowed);
-            return confirmed{result["version"].asUInt64(),
-                             digest_of(result["declaration"].asString())};
+            return confirmed_configuration{
+                result["version"].asUInt64(),
+                digest_of(result["declaration"].asString())};
         }
         catch (operator_call_failure const& failure)
         {
@@ -112,7 +113,7 @@
         }
     }
 
-    ctl_exit in_force(std::uint64_t version, std::string_view how)
+    ctl_exit report_in_force(std::uint64_t version, std::string_view suffix)
     {
         if (options_.json)
         {
@@ -122,22 +123,22 @@
         }
         else
             context_.out << fmt::format("version {} is in force{}\n", version,
-                                        how);
+                                        suffix);
         return ctl_exit::ok;
     }
 
     // The plan's confirm takes effect only on its base, so the next version
     // being another's means that it never will. Later ones tell nothing: the
     // plan may have been in force in between.
-    ctl_exit replaced(std::uint64_t version)
+    ctl_exit report_other_version(std::uint64_t version)
     {
         if (version == plan_.base.value() + 1)
-            return failed(
+            return report_failure(
                 fmt::format("refused: another operator's version {} came "
                             "first; plan again",
                             version),
                 outdated_plan, "no", ctl_exit::refused);
-        return failed(
+        return report_failure(
             fmt::format("version {} is in force, which is not this plan; "
                         "whether the plan was in force before cannot be told. "
                         "Plan again.",
@@ -145,9 +146,9 @@
             unknown_outcome, "unknown", ctl_exit::outcome_unknown);
     }
 
-    ctl_exit unknown()
+    ctl_exit report_unknown()
     {
-        return failed(
+        return report_failure(
             fmt::format("outcome unknown: version {} is still in force as far "
                         "as can be seen, but the change may yet take effect. "
                         "Look with `mulberryctl configuration` before you plan "
@@ -157,8 +158,8 @@
     }
 
     /// What reading back showed, in the form of an error of the system.
-    ctl_exit failed(std::string const& message, char const* kind,
-                    char const* ran, ctl_exit result)
+    ctl_exit report_failure(std::string const& message, char const* kind,
+                            char const* ran, ctl_exit result)
     {
         context_.err << message << "\n";
         if (options_.json)
--- a/src/ctl_explain.cpp
+++ b/src/ctl_explain.cpp
@@ -1,6 +1,6 @@
 // The command `explain`.
 #include "ctl_commands.hpp"
-#include "log_story.hpp"
+#include "request_trace.hpp"
 
 #include <iterator>
 #include <ostream>
@@ -16,14 +16,15 @@
     for (auto file = std::next(options.arguments.begin());
          file != options.arguments.end(); ++file)
     {
-        std::vector<log_line> read = read_log(read_file(*file));
+        std::vector<log_line> read = parse_log(read_file(*file));
         lines.insert(lines.end(), std::make_move_iterator(read.begin()),
                      std::make_move_iterator(read.end()));
     }
-    std::vector<log_line> const story = story_of(request, std::move(lines));
-    for (log_line const& line : story)
+    std::vector<log_line> const trace =
+        trace_request(request, std::move(lines));
+    for (log_line const& line : trace)
         out << to_text(line) << "\n";
-    if (!story.empty())
+    if (!trace.empty())
         return ctl_exit::ok;
     err << "no line names request " << request
         << ": it was served without event, went to another VM, or its lines "
--- a/src/ctl_options.cpp
+++ b/src/ctl_options.cpp
@@ -18,33 +18,33 @@
 
 namespace po = boost::program_options;
 
-constexpr std::size_t any_number = SIZE_MAX;
+constexpr std::size_t unlimited = SIZE_MAX;
 /// A whole SHA-256.
-constexpr std::size_t longest_fingerprint = 64;
+constexpr std::size_t max_fingerprint_digits = 64;
 constexpr std::string_view hexadecimal_digits = "0123456789abcdef";
 
 /// One command as the help and the checks see it.
-struct command_form
+struct command_spec
 {
     std::string_view name;
     std::string_view arguments;
-    std::size_t least;
-    std::size_t most;
+    std::size_t min_arguments;
+    std::size_t max_arguments;
     bool offline;
     std::string_view summary;
     std::string_view text;
 };
 
 constexpr std::array commands{
-    command_form{
-        "check", "FILE...", 1, any_number, true,
+    command_spec{
+        "check", "FILE...", 1, unlimited, true,
         "look for faults in declarations and settings, offline",
         "Reads each FILE, a declaration or a VM's settings, and lists every "
         "fault\nwith its line. Needs no VM and changes nothing.\n\n"
         "Example:\n"
         "  mulberryctl check declaration.jsonc vm.jsonc\n"},
-    command_form{
-        "explain", "REQUEST FILE...", 2, any_number, true,
+    command_spec{
+        "explain", "REQUEST FILE...", 2, unlimited, true,
         "tell from logs why a request ended as it did",
         "Reads the structured logs of one or more VMs and prints the lines "
         "that name the\nrequest, in order, each with what its VM then believed "
@@ -52,8 +52,8 @@
         "status 1 when no line names it.\n\n"
         "Example:\n"
         "  mulberryctl explain 9c41d07be2a35f68 vm-1.log vm-2.log\n"},
-    command_form{
-        "team", "FILE...", 1, any_number, true,
+    command_spec{
+        "team", "FILE...", 1, unlimited, true,
         "tell which team holds a key, and since when",
         "Reads a key from standard input, and one or more versions of the "
         "platform's\nconfiguration, each FILE the text of its row in the "
@@ -65,7 +65,7 @@
         "Example:\n"
         "  mulberryctl team config-8.json config-9.json < customer.key\n"
         "  mulberryctl team config-9.json --fingerprint 5f70bf18\n"},
-    command_form{
+    command_spec{
         "plan", "FILE", 1, 1, false,
         "show what confirming a declaration would change",
         "Sends the declaration to the system, which answers what would change, "
@@ -75,7 +75,7 @@
         "Example:\n"
         "  mulberryctl plan declaration.jsonc --output plan.json \\\n"
         "      --operators 10.0.0.11:9200 --key-file operators.key\n"},
-    command_form{
+    command_spec{
         "confirm", "PLANFILE", 1, 1, false, "put a plan in force",
         "Confirms a plan that `plan --output` has kept. It is refused when "
         "the\nconfiguration was changed since the plan was made; then plan "
@@ -84,33 +84,33 @@
         "Example:\n"
         "  mulberryctl confirm plan.json --operators 10.0.0.11:9200 \\\n"
         "      --key-file operators.key\n"},
-    command_form{"status", "", 0, 0, false,
+    command_spec{"status", "", 0, 0, false,
                  "show VMs, workers and resident adapters",
                  "Shows what one VM knows of itself; with --all, every VM.\n\n"
                  "Example:\n"
                  "  mulberryctl status --all --operators 10.0.0.11:9200 \\\n"
                  "      --key-file operators.key\n"},
-    command_form{
+    command_spec{
         "configuration", "", 0, 0, false, "print the confirmed declaration",
         "Prints the confirmed declaration as a file that `plan` takes.\n\n"
         "Example:\n"
         "  mulberryctl configuration --operators 10.0.0.11:9200 \\\n"
         "      --key-file operators.key > declaration.jsonc\n"},
-    command_form{
+    command_spec{
         "targets", "", 0, 0, false, "show how this quarter's targets stand",
         "For each target: what was counted, what met it, what is left and the "
         "forecast\nfor the end of the quarter.\n\n"
         "Example:\n"
         "  mulberryctl targets --operators 10.0.0.11:9200 \\\n"
         "      --key-file operators.key\n"},
-    command_form{
+    command_spec{
         "drain", "VM", 1, 1, false, "let a VM finish its work and leave",
         "The VM takes no new work and finishes what it has. With --wait the "
         "tool comes\nback when it has left.\n\n"
         "Example:\n"
         "  mulberryctl drain vm-3 --wait --operators 10.0.0.11:9200 \\\n"
         "      --key-file operators.key\n"},
-    command_form{
+    command_spec{
         "timeline", "", 0, 0, false, "show the events of all VMs in order",
         "Prints the newest events of all VMs in causal order; with --follow "
         "it goes on\nuntil you stop it with Ctrl-C.\n\n"
@@ -140,11 +140,11 @@
     "  mulberryctl confirm plan.json --operators 10.0.0.11:9200 \\\n"
     "      --key-file operators.key\n\n";
 
-command_form const* form_of(std::string const& command)
+command_spec const* find_command(std::string const& command)
 {
     auto const found = std::find_if(commands.begin(), commands.end(),
-                                    [&](command_form const& form)
-                                    { return form.name == command; });
+                                    [&](command_spec const& spec)
+                                    { return spec.name == command; });
     return found == commands.end() ? nullptr : &*found;
 }
 
@@ -190,20 +190,21 @@
 }
 
 po::variables_map parse(std::vector<std::string> const& arguments,
-                        po::options_description const& options, bool all_known)
+                        po::options_description const& options,
+                        bool reject_unknown)
 {
     po::options_description hidden;
     hidden.add_options()("command", po::value<std::string>())(
         "arguments", po::value<std::vector<std::string>>());
     hidden.add(options);
-    po::positional_options_description places;
-    places.add("command", 1).add("arguments", -1);
+    po::positional_options_description positional_arguments;
+    positional_arguments.add("command", 1).add("arguments", -1);
     po::command_line_parser parser(arguments);
-    parser.options(hidden).positional(places);
+    parser.options(hidden).positional(positional_arguments);
     // Abbreviations would change their meaning with each new option.
     parser.style(po::command_line_style::unix_style &
                  ~po::command_line_style::allow_guessing);
-    if (!all_known)
+    if (!reject_unknown)
         parser.allow_unregistered();
     po::variables_map found;
     po::store(parser.run(), found);
@@ -218,19 +219,20 @@
     return found["command"].as<std::string>();
 }
 
-std::int64_t positive(po::variables_map const& found, char const* name,
-                      std::int64_t usual, std::int64_t most)
+std::int64_t positive_option(po::variables_map const& found, char const* name,
+                             std::int64_t default_value,
+                             std::int64_t max_arguments)
 {
     if (found.count(name) == 0)
-        return usual;
+        return default_value;
     auto const value = found[name].as<std::int64_t>();
-    if (value < 1 || value > most)
+    if (value < 1 || value > max_arguments)
         throw usage_failure(
-            fmt::format("--{} must be from 1 to {}", name, most));
+            fmt::format("--{} must be from 1 to {}", name, max_arguments));
     return value;
 }
 
-std::string text_of(po::variables_map const& found, char const* name)
+std::string string_option(po::variables_map const& found, char const* name)
 {
     return found.count(name) == 0 ? "" : found[name].as<std::string>();
 }
@@ -248,33 +250,33 @@
     constexpr std::int64_t day_ms = 86'400'000;
     constexpr std::int64_t max_events = 10'000;
     ctl_options options;
-    options.command = text_of(found, "command");
+    options.command = string_option(found, "command");
     if (found.count("arguments") != 0)
         options.arguments = found["arguments"].as<std::vector<std::string>>();
     options.help = found.count("help") != 0;
     if (found.count("operators") != 0)
         options.operators = found["operators"].as<std::vector<std::string>>();
-    options.key_file = text_of(found, "key-file");
+    options.key_file = string_option(found, "key-file");
     options.json = found.count("json") != 0;
     options.timeout = std::chrono::milliseconds(
-        positive(found, "timeout-ms", options.timeout.count(), day_ms));
-    options.output = text_of(found, "output");
+        positive_option(found, "timeout-ms", options.timeout.count(), day_ms));
+    options.output = string_option(found, "output");
     options.all = found.count("all") != 0;
     options.wait = found.count("wait") != 0;
     options.wait_limit = std::chrono::milliseconds(
-        positive(found, "wait-ms", options.wait_limit.count(), day_ms));
+        positive_option(found, "wait-ms", options.wait_limit.count(), day_ms));
     options.follow = found.count("follow") != 0;
-    options.limit = static_cast<std::size_t>(positive(
+    options.limit = static_cast<std::size_t>(positive_option(
         found, "limit", static_cast<std::int64_t>(options.limit), max_events));
     if (found.count("fingerprint") != 0)
-        options.fingerprint = lower_case(text_of(found, "fingerprint"));
-    options.team_key_file = text_of(found, "team-key-file");
+        options.fingerprint = lower_case(string_option(found, "fingerprint"));
+    options.team_key_file = string_option(found, "team-key-file");
     return options;
 }
 
 // A key given in the wrong place is not quoted: terminals and their logs are
 // read by others.
-void check_team(ctl_options const& options)
+void validate_team(ctl_options const& options)
 {
     if (!options.key_file.empty())
         throw usage_failure("team reads a team's key with --team-key-file; "
@@ -285,48 +287,48 @@
         throw usage_failure("team takes --fingerprint or --team-key-file, not "
                             "both");
     if (options.fingerprint->empty() ||
-        options.fingerprint->size() > longest_fingerprint ||
+        options.fingerprint->size() > max_fingerprint_digits ||
         options.fingerprint->find_first_not_of(hexadecimal_digits) !=
             std::string::npos)
         throw usage_failure(fmt::format("--fingerprint must be 1 to {} "
                                         "hexadecimal digits",
-                                        longest_fingerprint));
+                                        max_fingerprint_digits));
 }
 
-void check(ctl_options const& options, command_form const& form)
+void validate(ctl_options const& options, command_spec const& spec)
 {
-    if (options.arguments.size() < form.least)
+    if (options.arguments.size() < spec.min_arguments)
         throw usage_failure(
-            fmt::format("{} needs {}", form.name, form.arguments));
-    if (options.arguments.size() > form.most)
+            fmt::format("{} needs {}", spec.name, spec.arguments));
+    if (options.arguments.size() > spec.max_arguments)
         throw usage_failure(fmt::format("\"{}\" is too much for {}",
-                                        options.arguments[form.most],
-                                        form.name));
+                                        options.arguments[spec.max_arguments],
+                                        spec.name));
     for (std::string const& address : options.operators)
         if (!valid_url("http://" + address) ||
             address.find('/') != std::string::npos)
             throw usage_failure(fmt::format(
                 "--operators \"{}\" is not IP:PORT with a numeric IP",
                 address));
-    if (form.name == "team")
-        check_team(options);
-    if (form.offline)
+    if (spec.name == "team")
+        validate_team(options);
+    if (spec.offline)
         return;
     if (options.operators.empty())
         throw usage_failure(
-            fmt::format("{} needs --operators IP:PORT of a VM", form.name));
+            fmt::format("{} needs --operators IP:PORT of a VM", spec.name));
     if (options.key_file.empty())
         throw usage_failure(fmt::format("{} needs --key-file FILE with the key "
                                         "of the operators' listener",
-                                        form.name));
+                                        spec.name));
 }
 
 std::string overall_help()
 {
     std::ostringstream text;
     text << overview << "Commands:\n";
-    for (command_form const& form : commands)
-        text << fmt::format("  {:<14}{}\n", form.name, form.summary);
+    for (command_spec const& spec : commands)
+        text << fmt::format("  {:<14}{}\n", spec.name, spec.summary);
     text << "\n" << global_options() << "\n" << first_steps << exit_codes;
     return text.str();
 }
@@ -338,8 +340,8 @@
     try
     {
         std::string const command = command_in(arguments);
-        command_form const* form = form_of(command);
-        if (!command.empty() && form == nullptr)
+        command_spec const* spec = find_command(command);
+        if (!command.empty() && spec == nullptr)
             throw usage_failure(
                 fmt::format("there is no command \"{}\"", command));
         po::options_description known = global_options();
@@ -347,9 +349,9 @@
         ctl_options options = options_from(parse(arguments, known, true));
         if (options.help)
             return options;
-        if (form == nullptr)
+        if (spec == nullptr)
             throw usage_failure("a command is missing");
-        check(options, *form);
+        validate(options, *spec);
         return options;
     }
     catch (po::error const& error)
@@ -360,13 +362,13 @@
 
 std::string ctl_help(std::string const& command)
 {
-    command_form const* form = form_of(command);
-    if (form == nullptr)
+    command_spec const* spec = find_command(command);
+    if (spec == nullptr)
         return overall_help();
     std::ostringstream text;
     text << fmt::format("Usage: mulberryctl {}{}{} [OPTIONS]\n\n{}\n",
-                        form->name, form->arguments.empty() ? "" : " ",
-                        form->arguments, form->text);
+                        spec->name, spec->arguments.empty() ? "" : " ",
+                        spec->arguments, spec->text);
     po::options_description const own = command_options(command);
     if (!own.options().empty())
         text << own << "\n";
@@ -376,8 +378,8 @@
 
 bool works_offline(std::string const& command)
 {
-    command_form const* form = form_of(command);
-    return form != nullptr && form->offline;
+    command_spec const* spec = find_command(command);
+    return spec != nullptr && spec->offline;
 }
 
 } // namespace mulberry
--- a/src/ctl_team.cpp
+++ b/src/ctl_team.cpp
@@ -18,10 +18,10 @@
 {
 
 /// No team has the key, or it cannot be told which one has.
-class unknown_holder : public std::runtime_error
+class key_lookup_failure : public std::runtime_error
 {
 public:
-    unknown_holder(char const* kind, std::string const& text)
+    key_lookup_failure(char const* kind, std::string const& text)
         : runtime_error(text), kind_(kind)
     {
     }
@@ -36,29 +36,30 @@
                                   configuration_decoder const& decode)
 {
     std::string fault;
-    auto made = decode(read_file(file), fault);
-    if (made && made->version.none())
+    auto result = decode(read_file(file), fault);
+    if (result && result->version.none())
         fault = "has no version";
-    if (!fault.empty() || !made)
+    if (!fault.empty() || !result)
         throw file_failure(file + ": is no configuration: " + fault);
-    return std::move(*made);
+    return std::move(*result);
 }
 
-known_configurations read_configurations(std::vector<std::string> const& files,
-                                         configuration_decoder const& decode)
+configuration_versions
+read_configurations(std::vector<std::string> const& files,
+                    configuration_decoder const& decode)
 {
     std::vector<routing_config> versions;
     for (std::string const& file : files)
     {
-        routing_config made = read_configuration(file, decode);
+        routing_config result = read_configuration(file, decode);
         for (routing_config const& other : versions)
-            if (other.version == made.version)
+            if (other.version == result.version)
                 throw file_failure(
                     fmt::format("{}: is version {}, as is another file", file,
-                                made.version.value()));
-        versions.push_back(std::move(made));
+                                result.version.value()));
+        versions.push_back(std::move(result));
     }
-    return known_configurations(std::move(versions));
+    return configuration_versions(std::move(versions));
 }
 
 std::string read_all(std::istream& in)
@@ -80,35 +81,36 @@
                        "callers show one; leave out the scheme before it");
 }
 
-std::string describe(key_history const& known)
+std::string describe(key_history const& history)
 {
-    return fmt::format("{} of {}", fingerprint(known.key),
-                       known.holder->name.str());
+    return fmt::format("{} of {}", fingerprint(history.key),
+                       history.holder->name.str());
 }
 
-key_digest find_key(known_configurations const& versions,
+key_digest find_key(configuration_versions const& versions,
                     std::string const& digits)
 {
-    auto const found = versions.keys_beginning_with(digits);
+    auto const found = versions.keys_with_prefix(digits);
     if (found.size() == 1)
         return *found.begin();
     if (found.empty())
-        throw unknown_holder(
+        throw key_lookup_failure(
             "key_unknown",
             fmt::format("no team has a key whose fingerprint begins with {}",
                         digits));
     std::string all;
     for (key_digest const& key : found)
         all += (all.empty() ? "" : ", ") + describe(versions.history_of(key));
-    throw unknown_holder(
+    throw key_lookup_failure(
         "key_ambiguous",
         fmt::format("several keys have fingerprints that begin with {}: {}; "
                     "give more digits, or the key",
                     digits, all));
 }
 
-key_digest wanted_key(ctl_options const& options,
-                      known_configurations const& versions, std::istream& in)
+key_digest requested_key(ctl_options const& options,
+                         configuration_versions const& versions,
+                         std::istream& in)
 {
     if (options.fingerprint)
         return find_key(versions, *options.fingerprint);
@@ -117,16 +119,18 @@
                              : read_file(options.team_key_file));
 }
 
-std::string why_unknown(key_history const& known, routing_config const& newest)
+std::string unknown_key_text(key_history const& history,
+                             routing_config const& newest)
 {
     std::string text =
         fmt::format("no team has the key {} in version {}",
-                    fingerprint(known.key), newest.version.value());
-    if (known.holder)
+                    fingerprint(history.key), newest.version.value());
+    if (history.holder)
         return text + fmt::format(": {} had it in version {}, it is gone in "
                                   "version {}",
-                                  known.holder->name.str(), known.until.value(),
-                                  known.gone_by.value());
+                                  history.holder->name.str(),
+                                  history.until.value(),
+                                  history.removed_in.value());
     if (newest.teams.empty())
         return text + ", which has no teams: callers need no key";
     return text;
@@ -150,16 +154,16 @@
     return text;
 }
 
-std::string since_text(key_history const& known)
+std::string since_text(key_history const& history)
 {
-    if (known.not_yet.none())
+    if (history.absent_in.none())
         return fmt::format("version {} or before; an older version tells more",
-                           known.since.value());
-    return fmt::format("version {}; not yet in version {}", known.since.value(),
-                       known.not_yet.value());
+                           history.since.value());
+    return fmt::format("version {}; not yet in version {}",
+                       history.since.value(), history.absent_in.value());
 }
 
-std::string holding_text(key_history const& known)
+std::string holder_text(key_history const& history)
 {
     return fmt::format("team      {}\n"
                        "key       {}\n"
@@ -167,9 +171,10 @@
                        "since     {}\n"
                        "priority  {}\n"
                        "limit     {}\n",
-                       known.holder->name.str(), fingerprint(known.key),
-                       known.until.value(), since_text(known),
-                       known.holder->priority, limit_text(known.holder->limit));
+                       history.holder->name.str(), fingerprint(history.key),
+                       history.until.value(), since_text(history),
+                       history.holder->priority,
+                       limit_text(history.holder->limit));
 }
 
 Json::Value limit_json(std::optional<allotment> const& limit)
@@ -185,32 +190,33 @@
     return json;
 }
 
-Json::Value holding_json(key_history const& known)
+Json::Value holder_json(key_history const& history)
 {
     Json::Value json(Json::objectValue);
-    json["team"] = known.holder->name.str();
-    json["key"] = fingerprint(known.key);
-    json["version"] = static_cast<Json::UInt64>(known.until.value());
-    json["since"] = static_cast<Json::UInt64>(known.since.value());
+    json["team"] = history.holder->name.str();
+    json["key"] = fingerprint(history.key);
+    json["version"] = static_cast<Json::UInt64>(history.until.value());
+    json["since"] = static_cast<Json::UInt64>(history.since.value());
     json["not_yet"] =
-        known.not_yet.none()
+        history.absent_in.none()
             ? Json::Value()
-            : Json::Value(static_cast<Json::UInt64>(known.not_yet.value()));
-    json["priority"] = known.holder->priority;
-    json["limit"] = limit_json(known.holder->limit);
+            : Json::Value(static_cast<Json::UInt64>(history.absent_in.value()));
+    json["priority"] = history.holder->priority;
+    json["limit"] = limit_json(history.holder->limit);
     return json;
 }
 
 key_history find_holder(ctl_options const& options,
                         configuration_decoder const& decode, std::istream& in)
 {
-    known_configurations const versions =
+    configuration_versions const versions =
         read_configurations(options.arguments, decode);
-    key_history made = versions.history_of(wanted_key(options, versions, in));
-    if (!made.in_force())
-        throw unknown_holder("key_unknown",
-                             why_unknown(made, versions.newest()));
-    return made;
+    key_history result =
+        versions.history_of(requested_key(options, versions, in));
+    if (!result.in_force())
+        throw key_lookup_failure("key_unknown",
+                                 unknown_key_text(result, versions.newest()));
+    return result;
 }
 
 } // namespace
@@ -221,12 +227,12 @@
 {
     try
     {
-        key_history const known = find_holder(options, decode, in);
-        out << (options.json ? pretty_json(holding_json(known))
-                             : holding_text(known));
+        key_history const history = find_holder(options, decode, in);
+        out << (options.json ? pretty_json(holder_json(history))
+                             : holder_text(history));
         return ctl_exit::ok;
     }
-    catch (unknown_holder const& failure)
+    catch (key_lookup_failure const& failure)
     {
         err << failure.what() << "\n";
         Json::Value data(Json::objectValue);
--- a/src/ctl_text.cpp
+++ b/src/ctl_text.cpp
@@ -18,7 +18,7 @@
 constexpr int short_precision = 15;
 constexpr int exact_precision = 17;
 
-bool reads_back(std::string const& text, Json::Value const& value)
+bool round_trips(std::string const& text, Json::Value const& value)
 {
     Json::Value back;
     std::istringstream input(text);
@@ -124,14 +124,14 @@
 }
 
 /// Requests or, of batch_efficiency, seconds of batch slots.
-std::string amount(Json::Value const& target, char const* name)
+std::string count_text(Json::Value const& target, char const* name)
 {
     bool const is_time = field(target, "measure") == "batch_efficiency";
     return field(target, name) + (is_time ? " s" : "");
 }
 
 /// "answered_within 20000 ms, at least 95.00%".
-std::string aim_text(Json::Value const& target)
+std::string objective_text(Json::Value const& target)
 {
     std::string const measure = field(target, "measure");
     std::string text = measure;
@@ -158,11 +158,11 @@
     std::vector<row> rows{{"application", "target", "counted", "reached",
                            "left", "forecast", "at risk"}};
     for (Json::Value const& target : member(targets, "targets"))
-        rows.push_back({field(target, "application"), aim_text(target),
-                        amount(target, "counted"),
-                        percentage(target, "reached"), amount(target, "left"),
-                        percentage(target, "forecast"),
-                        field(target, "at_risk") == "true" ? "AT RISK" : "no"});
+        rows.push_back(
+            {field(target, "application"), objective_text(target),
+             count_text(target, "counted"), percentage(target, "reached"),
+             count_text(target, "left"), percentage(target, "forecast"),
+             field(target, "at_risk") == "true" ? "AT RISK" : "no"});
     if (rows.size() == 1)
         return fmt::format("Quarter {}: no targets are declared\n",
                            field(targets, "quarter"));
@@ -183,10 +183,10 @@
 Json::Value refusal_json(std::string const& message, Json::Value const& data)
 {
     Json::Value json(Json::objectValue);
-    Json::Value& why = json["error"];
-    why["message"] = message;
+    Json::Value& error = json["error"];
+    error["message"] = message;
     for (char const* name : {"kind", "ran", "retry_after_ms", "changes"})
-        why[name] = member(data, name);
+        error[name] = member(data, name);
     return json;
 }
 
@@ -197,7 +197,7 @@
     builder["emitUTF8"] = true;
     builder["precision"] = short_precision;
     std::string const text = Json::writeString(builder, value);
-    if (reads_back(text, value))
+    if (round_trips(text, value))
         return text + "\n";
     builder["precision"] = exact_precision;
     return Json::writeString(builder, value) + "\n";
--- a/src/key_history.cpp
+++ b/src/key_history.cpp
@@ -7,7 +7,8 @@
 namespace mulberry
 {
 
-known_configurations::known_configurations(std::vector<routing_config> versions)
+configuration_versions::configuration_versions(
+    std::vector<routing_config> versions)
 {
     std::sort(versions.begin(), versions.end(),
               [](routing_config const& a, routing_config const& b)
@@ -20,7 +21,7 @@
 }
 
 std::set<key_digest>
-known_configurations::keys_beginning_with(std::string_view digits) const
+configuration_versions::keys_with_prefix(std::string_view digits) const
 {
     std::set<key_digest> found;
     for (known_version const& version : versions_)
@@ -32,34 +33,34 @@
     return found;
 }
 
-key_history known_configurations::history_of(key_digest const& key) const
+key_history configuration_versions::history_of(key_digest const& key) const
 {
-    key_history made;
-    made.key = key;
+    key_history result;
+    result.key = key;
     for (auto each = versions_.rbegin(); each != versions_.rend(); ++each)
     {
         config_version const version = each->config->version;
         team const* const found = each->teams.holder(key);
-        if (!made.holder && found == nullptr)
+        if (!result.holder && found == nullptr)
         {
-            made.gone_by = version;
+            result.removed_in = version;
             continue;
         }
-        if (!made.holder)
+        if (!result.holder)
         {
-            made.holder = *found;
-            made.until = version;
+            result.holder = *found;
+            result.until = version;
         }
-        if (found == nullptr || found->name != made.holder->name)
+        if (found == nullptr || found->name != result.holder->name)
         {
-            made.not_yet = version;
+            result.absent_in = version;
             break;
         }
-        made.since = version;
+        result.since = version;
     }
-    if (!made.holder)
-        made.gone_by = config_version();
-    return made;
+    if (!result.holder)
+        result.removed_in = config_version();
+    return result;
 }
 
 } // namespace mulberry
--- a/src/key_history.hpp
+++ b/src/key_history.hpp
@@ -25,25 +25,25 @@
     config_version since;
     config_version until;
     /// The next older one, in which it is not; 0 where none is known.
-    config_version not_yet;
+    config_version absent_in;
     /// The next newer one, in which it is no team's; 0 where none is known.
-    config_version gone_by;
+    config_version removed_in;
 
     /// Whether the newest version has the key.
-    bool in_force() const { return holder && gone_by.none(); }
+    bool in_force() const { return holder && removed_in.none(); }
     friend bool operator==(key_history const&, key_history const&) = default;
 };
 
 /// Immutable. Thread safety: const calls from any thread.
-class known_configurations
+class configuration_versions
 {
 public:
     /// In any order. Precondition: at least one, and no two of one version.
-    explicit known_configurations(std::vector<routing_config> versions);
+    explicit configuration_versions(std::vector<routing_config> versions);
 
     routing_config const& newest() const { return *versions_.back().config; }
     /// Of all versions. `digits`: hexadecimal, in lower case.
-    std::set<key_digest> keys_beginning_with(std::string_view digits) const;
+    std::set<key_digest> keys_with_prefix(std::string_view digits) const;
     key_history history_of(key_digest const& key) const;
 
 private:
--- a/src/operator_client.cpp
+++ b/src/operator_client.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-operator_call_failure::kind reason_of(rpc_failure const& failure)
+operator_call_failure::kind kind_of(rpc_failure const& failure)
 {
     switch (failure.code())
     {
@@ -23,13 +23,13 @@
 }
 
 /// A failed call as the commands see it.
-operator_call_failure converted(rpc_failure const& failure,
-                                std::string const& address)
+operator_call_failure to_call_failure(rpc_failure const& failure,
+                                      std::string const& address)
 {
     std::string text = fmt::format("{}: {}", address, failure.what());
     if (failure.code() == rpc_refused)
         text += "; is the key right?";
-    return {reason_of(failure), text, failure.data()};
+    return {kind_of(failure), text, failure.data()};
 }
 
 } // namespace
@@ -60,7 +60,7 @@
 // allow it are.
 Json::Value rpc_operator_client::call(std::string const& method,
                                       Json::Value const& parameters,
-                                      resend lost)
+                                      resend on_lost_answer)
 {
     std::string failures;
     bool may_have_run = false;
@@ -73,17 +73,17 @@
         }
         catch (rpc_failure const& failure)
         {
-            operator_call_failure const seen =
-                converted(failure, client.address);
-            if (seen.reason() == operator_call_failure::kind::refused)
-                throw seen;
-            bool const unseen =
-                seen.reason() == operator_call_failure::kind::unreachable;
-            if (!unseen && lost == resend::never)
-                throw seen;
-            may_have_run = may_have_run || !unseen;
-            failures +=
-                (failures.empty() ? "" : "; ") + std::string(seen.what());
+            operator_call_failure const call_failure =
+                to_call_failure(failure, client.address);
+            if (call_failure.reason() == operator_call_failure::kind::refused)
+                throw call_failure;
+            bool const not_sent = call_failure.reason() ==
+                                  operator_call_failure::kind::unreachable;
+            if (!not_sent && on_lost_answer == resend::never)
+                throw call_failure;
+            may_have_run = may_have_run || !not_sent;
+            failures += (failures.empty() ? "" : "; ") +
+                        std::string(call_failure.what());
         }
     }
     throw operator_call_failure(
--- a/src/operator_client.hpp
+++ b/src/operator_client.hpp
@@ -31,16 +31,16 @@
 
     operator_call_failure(kind what, std::string const& text,
                           Json::Value data = {})
-        : std::runtime_error(text), what_(what), data_(std::move(data))
+        : std::runtime_error(text), kind_(what), data_(std::move(data))
     {
     }
 
-    kind reason() const { return what_; }
+    kind reason() const { return kind_; }
     /// The error's `data` member, null when there was none; see PROTOCOLS.md.
     Json::Value const& data() const { return data_; }
 
 private:
-    kind what_;
+    kind kind_;
     Json::Value data_;
 };
 
@@ -58,7 +58,8 @@
     virtual ~operator_client() = default;
     /// Calls a method. Throws operator_call_failure.
     virtual Json::Value call(std::string const& method,
-                             Json::Value const& parameters, resend lost) = 0;
+                             Json::Value const& parameters,
+                             resend on_lost_answer) = 0;
 };
 
 /// Time, as the commands that wait see it.
@@ -89,7 +90,7 @@
                         std::chrono::milliseconds timeout);
 
     Json::Value call(std::string const& method, Json::Value const& parameters,
-                     resend lost) override;
+                     resend on_lost_answer) override;
 
 private:
     struct vm_client
--- a/src/log_story.cpp
+++ b/src/request_trace.cpp
@@ -1,4 +1,4 @@
-#include "log_story.hpp"
+#include "request_trace.hpp"
 
 #include "json_text.hpp"
 
@@ -18,7 +18,7 @@
 
 /// Events that change what a VM believes; those of one group replace each
 /// other.
-std::string belief_group(log_line const& line)
+std::string state_group(log_line const& line)
 {
     static std::map<std::string, std::string, std::less<>> const groups{
         {"configuration taken", "configuration"},
@@ -73,14 +73,15 @@
 }
 
 /// A line on another try of the same request.
-bool tells_of_crash(log_line const& line, std::set<std::string> const& contents)
+bool is_related_crash(log_line const& line,
+                      std::set<std::string> const& contents)
 {
     return contents.count(line.content) > 0 &&
            (line.event == "worker crashed under request" ||
             line.event == "request quarantined");
 }
 
-log_line naming_request(log_line line)
+log_line with_request_id(log_line line)
 {
     if (!line.request.empty())
         line.details.insert(line.details.begin(), "request=" + line.request);
@@ -89,61 +90,61 @@
 
 } // namespace
 
-std::vector<log_line> read_log(std::string_view text)
+std::vector<log_line> parse_log(std::string_view text)
 {
     std::vector<log_line> lines;
     while (!text.empty())
     {
         std::size_t const end = std::min(text.find('\n'), text.size());
-        std::string_view const one = text.substr(0, end);
+        std::string_view const line_text = text.substr(0, end);
         text.remove_prefix(std::min(end + 1, text.size()));
-        if (!one.starts_with('{'))
+        if (!line_text.starts_with('{'))
             continue;
-        auto const json = from_text(one);
+        auto const json = from_text(line_text);
         if (json && json->isObject() && json->isMember("text"))
             lines.push_back(parse_line(*json));
     }
     return lines;
 }
 
-std::vector<log_line> story_of(std::string const& request,
-                               std::vector<log_line> lines)
+std::vector<log_line> trace_request(std::string const& request,
+                                    std::vector<log_line> lines)
 {
     std::stable_sort(lines.begin(), lines.end(),
                      [](log_line const& a, log_line const& b)
                      { return a.time < b.time; });
     std::set<std::string> const contents = quarantined_contents(request, lines);
-    std::map<std::string, std::map<std::string, log_line>> beliefs;
-    std::set<std::pair<std::string, std::string>> told;
-    std::vector<log_line> story;
+    std::map<std::string, std::map<std::string, log_line>> latest_states;
+    std::set<std::pair<std::string, std::string>> shown;
+    std::vector<log_line> trace;
     for (log_line const& line : lines)
     {
-        if (std::string const group = belief_group(line); !group.empty())
+        if (std::string const group = state_group(line); !group.empty())
         {
-            beliefs[line.vm][group] = line;
-            told.erase({line.vm, group});
+            latest_states[line.vm][group] = line;
+            shown.erase({line.vm, group});
         }
         if (line.request != request)
         {
-            if (tells_of_crash(line, contents))
-                story.push_back(naming_request(line));
+            if (is_related_crash(line, contents))
+                trace.push_back(with_request_id(line));
             continue;
         }
         std::vector<log_line> before;
-        for (auto const& [group, belief] : beliefs[line.vm])
+        for (auto const& [group, state] : latest_states[line.vm])
         {
             bool const concerns =
-                belief.worker.empty() || belief.worker == line.worker;
-            if (concerns && told.insert({line.vm, group}).second)
-                before.push_back(belief);
+                state.worker.empty() || state.worker == line.worker;
+            if (concerns && shown.insert({line.vm, group}).second)
+                before.push_back(state);
         }
         std::stable_sort(before.begin(), before.end(),
                          [](log_line const& a, log_line const& b)
                          { return a.time < b.time; });
-        story.insert(story.end(), before.begin(), before.end());
-        story.push_back(line);
+        trace.insert(trace.end(), before.begin(), before.end());
+        trace.push_back(line);
     }
-    return story;
+    return trace;
 }
 
 std::string to_text(log_line const& line)
--- a/src/log_story.hpp
+++ b/src/request_trace.hpp
@@ -1,6 +1,6 @@
 /// The story of one request out of the logs of several processes.
-#ifndef MULBERRY_LOG_STORY_HPP
-#define MULBERRY_LOG_STORY_HPP
+#ifndef MULBERRY_REQUEST_TRACE_HPP
+#define MULBERRY_REQUEST_TRACE_HPP
 
 #include <string>
 #include <string_view>
@@ -26,15 +26,15 @@
 };
 
 /// The lines that are structured, in the order of the text; others are skipped.
-std::vector<log_line> read_log(std::string_view text);
+std::vector<log_line> parse_log(std::string_view text);
 
 /// What decided about one request: its own lines in order, and before each the
 /// newest line of the same VM that says what it then believed of the worker,
 /// its configuration, its lease and its store. For a request that is in
 /// quarantine also the crashes under other tries of it, at any VM. Empty when
 /// no line names it.
-std::vector<log_line> story_of(std::string const& request,
-                               std::vector<log_line> lines);
+std::vector<log_line> trace_request(std::string const& request,
+                                    std::vector<log_line> lines);
 
 std::string to_text(log_line const& line);
 
--- a/tests/ctl_team_test.cpp
+++ b/tests/ctl_team_test.cpp
@@ -20,7 +20,7 @@
 
 using words = std::vector<std::string>;
 
-std::string print_of(std::string const& key)
+std::string fingerprint_of(std::string const& key)
 {
     return fingerprint(digest_of_key(key));
 }
@@ -43,9 +43,9 @@
 }
 
 /// Files whose text names what they hold.
-struct team_world
+struct team_fixture
 {
-    team_world()
+    team_fixture()
         : folder(std::filesystem::temp_directory_path() /
                  ("ctl_team_test_" + std::to_string(getpid())))
     {
@@ -61,9 +61,9 @@
         add("open", open);
         write("broken", "broken");
     }
-    team_world(team_world const&) = delete;
-    team_world& operator=(team_world const&) = delete;
-    ~team_world() { std::filesystem::remove_all(folder); }
+    team_fixture(team_fixture const&) = delete;
+    team_fixture& operator=(team_fixture const&) = delete;
+    ~team_fixture() { std::filesystem::remove_all(folder); }
 
     void add(std::string const& name, routing_config config)
     {
@@ -114,12 +114,12 @@
         }
     }
 
-    bool told(std::string const& text) const
+    bool printed(std::string const& text) const
     {
         return (out.str() + err.str()).find(text) != std::string::npos;
     }
 
-    Json::Value told_json() const
+    Json::Value printed_json() const
     {
         Json::Value value;
         std::istringstream(out.str()) >> value;
@@ -149,89 +149,92 @@
 
 TEST_CASE("the team of a key on standard input is told", "[ctl][team]")
 {
-    team_world world;
-    CHECK(world.run({"nine", "seven", "eight"}, "k-one\n") == ctl_exit::ok);
-    CHECK(world.out.str() ==
+    team_fixture fixture;
+    CHECK(fixture.run({"nine", "seven", "eight"}, "k-one\n") == ctl_exit::ok);
+    CHECK(fixture.out.str() ==
           "team      pits\n"
           "key       " +
-              print_of("k-one") +
+              fingerprint_of("k-one") +
               "\n"
               "version   9\n"
               "since     version 8; not yet in version 7\n"
               "priority  1\n"
               "limit     305115 tokens a second, 1000 more at once; 200 for a "
               "request that tells no number\n");
-    CHECK(world.run({"nine"}, "k-mill\r\n") == ctl_exit::ok);
-    CHECK(world.told("team      mills\n"));
-    CHECK(world.told("since     version 9 or before; an older version tells "
-                     "more\n"));
-    CHECK(world.told("limit     none\n"));
+    CHECK(fixture.run({"nine"}, "k-mill\r\n") == ctl_exit::ok);
+    CHECK(fixture.printed("team      mills\n"));
+    CHECK(
+        fixture.printed("since     version 9 or before; an older version tells "
+                        "more\n"));
+    CHECK(fixture.printed("limit     none\n"));
 }
 
 TEST_CASE("a key's team is told by a file and by a fingerprint too",
           "[ctl][team]")
 {
-    team_world world;
-    std::string const file = world.write("key", "k-one\n");
-    CHECK(world.run({"nine"}, "k-mill", {"--team-key-file", file}) ==
+    team_fixture fixture;
+    std::string const file = fixture.write("key", "k-one\n");
+    CHECK(fixture.run({"nine"}, "k-mill", {"--team-key-file", file}) ==
           ctl_exit::ok);
-    CHECK(world.told("team      pits\n"));
-    std::string digits = print_of("k-mill");
+    CHECK(fixture.printed("team      pits\n"));
+    std::string digits = fingerprint_of("k-mill");
     std::transform(digits.begin(), digits.end(), digits.begin(),
                    [](unsigned char each) { return std::toupper(each); });
-    CHECK(world.run({"nine"}, "", {"--fingerprint", digits}) == ctl_exit::ok);
-    CHECK(world.told("team      mills\n"));
-    CHECK(world.run({"nine"}, "",
-                    {"--fingerprint", digest_of_key("k-mill").str()}) ==
+    CHECK(fixture.run({"nine"}, "", {"--fingerprint", digits}) == ctl_exit::ok);
+    CHECK(fixture.printed("team      mills\n"));
+    CHECK(fixture.run({"nine"}, "",
+                      {"--fingerprint", digest_of_key("k-mill").str()}) ==
           ctl_exit::ok);
 }
 
 TEST_CASE("a key's team is told in JSON to programs", "[ctl][team]")
 {
-    team_world world;
-    CHECK(world.run({"seven", "eight"}, "k-one", {"--json"}) == ctl_exit::ok);
-    Json::Value const told = world.told_json();
-    CHECK(told["team"].asString() == "pits");
-    CHECK(told["key"].asString() == print_of("k-one"));
-    CHECK(told["version"].asInt() == 8);
-    CHECK(told["since"].asInt() == 8);
-    CHECK(told["not_yet"].asInt() == 7);
-    CHECK(told["limit"]["unit"].asString() == "tokens");
-    CHECK(told["limit"]["per_second"].asDouble() == 305115);
-    CHECK(world.run({"nine"}, "k-none", {"--json"}) == ctl_exit::refused);
-    CHECK(world.told_json()["error"]["kind"].asString() == "key_unknown");
+    team_fixture fixture;
+    CHECK(fixture.run({"seven", "eight"}, "k-one", {"--json"}) == ctl_exit::ok);
+    Json::Value const printed = fixture.printed_json();
+    CHECK(printed["team"].asString() == "pits");
+    CHECK(printed["key"].asString() == fingerprint_of("k-one"));
+    CHECK(printed["version"].asInt() == 8);
+    CHECK(printed["since"].asInt() == 8);
+    CHECK(printed["not_yet"].asInt() == 7);
+    CHECK(printed["limit"]["unit"].asString() == "tokens");
+    CHECK(printed["limit"]["per_second"].asDouble() == 305115);
+    CHECK(fixture.run({"nine"}, "k-none", {"--json"}) == ctl_exit::refused);
+    CHECK(fixture.printed_json()["error"]["kind"].asString() == "key_unknown");
 }
 
 // Guards against a customer who is told that a key works which was taken away.
 TEST_CASE("a key without a team is told with what became of it", "[ctl][team]")
 {
-    team_world world;
-    CHECK(world.run({"nine"}, "k-none") == ctl_exit::refused);
-    CHECK(world.err.str() ==
-          "no team has the key " + print_of("k-none") + " in version 9\n");
+    team_fixture fixture;
+    CHECK(fixture.run({"nine"}, "k-none") == ctl_exit::refused);
+    CHECK(fixture.err.str() == "no team has the key " +
+                                   fingerprint_of("k-none") +
+                                   " in version 9\n");
     for (words const& more :
-         {words{}, words{"--fingerprint", print_of("k-old")}})
+         {words{}, words{"--fingerprint", fingerprint_of("k-old")}})
     {
-        CHECK(world.run({"eight", "nine", "ten"}, "k-old", more) ==
+        CHECK(fixture.run({"eight", "nine", "ten"}, "k-old", more) ==
               ctl_exit::refused);
-        CHECK(world.err.str() == "no team has the key " + print_of("k-old") +
-                                     " in version 10: pits had it in version "
-                                     "8, it is gone in version 9\n");
-        CHECK(world.out.str().empty());
+        CHECK(fixture.err.str() == "no team has the key " +
+                                       fingerprint_of("k-old") +
+                                       " in version 10: pits had it in version "
+                                       "8, it is gone in version 9\n");
+        CHECK(fixture.out.str().empty());
     }
-    CHECK(world.run({"open"}, "k-one") == ctl_exit::refused);
-    CHECK(world.told("has no teams: callers need no key"));
-    CHECK(world.run({"nine"}, "", {"--fingerprint", "00000000"}) ==
+    CHECK(fixture.run({"open"}, "k-one") == ctl_exit::refused);
+    CHECK(fixture.printed("has no teams: callers need no key"));
+    CHECK(fixture.run({"nine"}, "", {"--fingerprint", "00000000"}) ==
           ctl_exit::refused);
-    CHECK(world.told("no team has a key whose fingerprint begins with "
-                     "00000000"));
+    CHECK(fixture.printed("no team has a key whose fingerprint begins with "
+                          "00000000"));
 }
 
 // Guards against a team that is told for another one's key.
 TEST_CASE("a fingerprint of several keys tells all of their teams",
           "[ctl][team]")
 {
-    team_world world;
+    team_fixture fixture;
     routing_config many = version(11, {});
     for (int at = 0; at < 40; ++at)
         many.teams[static_cast<std::size_t>(at % 2)].keys.insert(
@@ -244,44 +247,45 @@
         std::find_if(holders.begin(), holders.end(),
                      [](auto const& each) { return each.second.size() == 2; });
     REQUIRE(shared != holders.end());
-    world.add("many", many);
+    fixture.add("many", many);
     std::string const digit(1, shared->first);
-    CHECK(world.run({"many"}, "", {"--fingerprint", digit, "--json"}) ==
+    CHECK(fixture.run({"many"}, "", {"--fingerprint", digit, "--json"}) ==
           ctl_exit::refused);
-    CHECK(world.told("several keys have fingerprints that begin with " + digit +
-                     ": " + digit));
-    CHECK(world.told(" of pits"));
-    CHECK(world.told(" of mills"));
-    CHECK(world.told_json()["error"]["kind"].asString() == "key_ambiguous");
+    CHECK(fixture.printed("several keys have fingerprints that begin with " +
+                          digit + ": " + digit));
+    CHECK(fixture.printed(" of pits"));
+    CHECK(fixture.printed(" of mills"));
+    CHECK(fixture.printed_json()["error"]["kind"].asString() ==
+          "key_ambiguous");
 }
 
 TEST_CASE("unreadable input is told and named", "[ctl][team]")
 {
-    team_world world;
-    CHECK(world.failure({"broken"}, "k") ==
-          (world.folder / "broken").string() +
+    team_fixture fixture;
+    CHECK(fixture.failure({"broken"}, "k") ==
+          (fixture.folder / "broken").string() +
               ": is no configuration: not understood");
-    CHECK(world.failure({"no-version"}, "k") ==
-          (world.folder / "no-version").string() +
+    CHECK(fixture.failure({"no-version"}, "k") ==
+          (fixture.folder / "no-version").string() +
               ": is no configuration: has no version");
-    CHECK(world.failure({"nine", "twin"}, "k") ==
-          (world.folder / "twin").string() +
+    CHECK(fixture.failure({"nine", "twin"}, "k") ==
+          (fixture.folder / "twin").string() +
               ": is version 9, as is another file");
-    CHECK(world.failure({"none"}, "k") ==
-          (world.folder / "none").string() + ": cannot be read");
+    CHECK(fixture.failure({"none"}, "k") ==
+          (fixture.folder / "none").string() + ": cannot be read");
 }
 
 // Guards against a key that is looked up in another form than callers show it,
 // and against one that gets into a terminal's record.
 TEST_CASE("a text that is no key is refused and not quoted", "[ctl][team]")
 {
-    team_world world;
+    team_fixture fixture;
     for (std::string const& text :
          {std::string(), std::string("\n"), std::string("Bearer k-one"),
           std::string("k-one\nk-mill\n"), std::string("k-one,k-mill"),
           std::string("k-\xc3\xa9"), std::string(5000, 'k')})
     {
-        std::string const failure = world.failure({"nine"}, text);
+        std::string const failure = fixture.failure({"nine"}, text);
         CHECK(failure.starts_with("the key: is no single word"));
         CHECK(failure.find("k-") == std::string::npos);
     }
@@ -289,14 +293,14 @@
 
 TEST_CASE("the key itself is never written", "[ctl][team]")
 {
-    team_world world;
+    team_fixture fixture;
     for (char const* key : {"k-one", "k-old", "k-none"})
         for (words const& more : {words{}, words{"--json"}})
         {
-            world.run({"eight", "nine"}, key, more);
-            CHECK(world.told(print_of(key)));
-            CHECK_FALSE(world.told(key));
-            CHECK_FALSE(world.told(digest_of_key(key).str()));
+            fixture.run({"eight", "nine"}, key, more);
+            CHECK(fixture.printed(fingerprint_of(key)));
+            CHECK_FALSE(fixture.printed(key));
+            CHECK_FALSE(fixture.printed(digest_of_key(key).str()));
         }
 }
 
--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -21,7 +21,7 @@
 {
 
 using words = std::vector<std::string>;
-using step = std::function<Json::Value(std::string const&)>;
+using scripted_answer = std::function<Json::Value(std::string const&)>;
 
 /// Answers calls from a script, in order.
 class scripted_client : public operator_client
@@ -34,18 +34,18 @@
         if (lost == resend::never)
             sent_once.push_back(method);
         REQUIRE_FALSE(script.empty());
-        step const next = script.front();
+        scripted_answer const next = script.front();
         if (script.size() > 1) // the last step goes on
             script.pop_front();
         return next(method);
     }
 
-    std::deque<step> script;
+    std::deque<scripted_answer> script;
     words calls;
     words sent_once;
 };
 
-class jumping_clock : public ctl_clock
+class manual_clock : public ctl_clock
 {
 public:
     time_point now() const override { return now_; }
@@ -56,17 +56,17 @@
 };
 
 /// A command's world: a client, a clock, a folder and what was printed.
-struct ctl_world
+struct ctl_fixture
 {
-    ctl_world()
+    ctl_fixture()
         : folder(std::filesystem::temp_directory_path() /
                  ("ctl_test_" + std::to_string(getpid())))
     {
         std::filesystem::create_directories(folder);
     }
-    ctl_world(ctl_world const&) = delete;
-    ctl_world& operator=(ctl_world const&) = delete;
-    ~ctl_world() { std::filesystem::remove_all(folder); }
+    ctl_fixture(ctl_fixture const&) = delete;
+    ctl_fixture& operator=(ctl_fixture const&) = delete;
+    ~ctl_fixture() { std::filesystem::remove_all(folder); }
 
     std::string write(std::string const& name, std::string const& text) const
     {
@@ -86,7 +86,7 @@
 
     std::filesystem::path folder;
     scripted_client client;
-    jumping_clock clock;
+    manual_clock clock;
     std::ostringstream out;
     std::ostringstream err;
 };
@@ -110,7 +110,7 @@
                             Json::Value(Json::objectValue)});
 }
 
-step configuration(std::uint64_t version, std::string const& text)
+scripted_answer configuration(std::uint64_t version, std::string const& text)
 {
     return [=](std::string const&)
     {
@@ -121,7 +121,8 @@
     };
 }
 
-step failure(operator_call_failure::kind kind, char const* ran = nullptr)
+scripted_answer failure(operator_call_failure::kind kind,
+                        char const* ran = nullptr)
 {
     return [=](std::string const&) -> Json::Value
     {
@@ -139,7 +140,7 @@
     return value;
 }
 
-step answer(std::string const& text)
+scripted_answer answer(std::string const& text)
 {
     return [text](std::string const&) { return json(text); };
 }
@@ -196,54 +197,54 @@
 
 TEST_CASE("check tells declarations from settings and lists faults", "[ctl]")
 {
-    ctl_world world;
+    ctl_fixture fixture;
     ctl_options options;
-    options.arguments = {world.write("d.jsonc", declaration_text)};
-    CHECK(run_check(options, world.out, world.err) == ctl_exit::ok);
-    options.arguments = {world.write("vm.jsonc", R"({"vm": "vm-1"})")};
-    CHECK(run_check(options, world.out, world.err) == ctl_exit::faults);
-    CHECK(world.err.str().find("peers_key: is missing") != std::string::npos);
+    options.arguments = {fixture.write("d.jsonc", declaration_text)};
+    CHECK(run_check(options, fixture.out, fixture.err) == ctl_exit::ok);
+    options.arguments = {fixture.write("vm.jsonc", R"({"vm": "vm-1"})")};
+    CHECK(run_check(options, fixture.out, fixture.err) == ctl_exit::faults);
+    CHECK(fixture.err.str().find("peers_key: is missing") != std::string::npos);
     options.arguments = {"/no/such/file"};
-    CHECK_THROWS_AS(run_check(options, world.out, world.err), file_failure);
+    CHECK_THROWS_AS(run_check(options, fixture.out, fixture.err), file_failure);
 }
 
 TEST_CASE("a plan is kept in a file that confirm takes", "[ctl]")
 {
-    ctl_world world;
+    ctl_fixture fixture;
     Json::Value planned;
     planned["declaration"] = "wanted";
     planned["plan"]["base"] = 4;
     planned["plan"]["digest"] = digest_of("wanted");
     planned["plan"]["feasible"] = true;
     planned["plan"]["summary"] = "Plan ...\n";
-    world.client.script = {[=](std::string const&) { return planned; },
-                           answer(R"({"version": 5})")};
-    std::string const file = world.folder / "plan.json";
-    CHECK(world.run({"plan", world.write("d.jsonc", declaration_text),
-                     "--output", file}) == ctl_exit::ok);
-    CHECK(world.out.str() == "Plan ...\n");
-    CHECK(world.run({"confirm", file}) == ctl_exit::ok);
-    CHECK(world.out.str().find("version 5 is in force") != std::string::npos);
+    fixture.client.script = {[=](std::string const&) { return planned; },
+                             answer(R"({"version": 5})")};
+    std::string const file = fixture.folder / "plan.json";
+    CHECK(fixture.run({"plan", fixture.write("d.jsonc", declaration_text),
+                       "--output", file}) == ctl_exit::ok);
+    CHECK(fixture.out.str() == "Plan ...\n");
+    CHECK(fixture.run({"confirm", file}) == ctl_exit::ok);
+    CHECK(fixture.out.str().find("version 5 is in force") != std::string::npos);
 }
 
 TEST_CASE("a plan that does not fit is not kept", "[ctl]")
 {
-    ctl_world world;
-    world.client.script = {answer(R"({"plan": {"feasible": false}})")};
-    std::string const file = world.folder / "plan.json";
-    CHECK(world.run({"plan", world.write("d.jsonc", declaration_text),
-                     "--output", file}) == ctl_exit::refused);
+    ctl_fixture fixture;
+    fixture.client.script = {answer(R"({"plan": {"feasible": false}})")};
+    std::string const file = fixture.folder / "plan.json";
+    CHECK(fixture.run({"plan", fixture.write("d.jsonc", declaration_text),
+                       "--output", file}) == ctl_exit::refused);
     CHECK_FALSE(std::filesystem::exists(file));
 }
 
 TEST_CASE("a changed plan file is refused before anything is sent", "[ctl]")
 {
-    ctl_world world;
+    ctl_fixture fixture;
     std::string text = plan_text(4);
     text.replace(text.find("wanted"), 6, "wanter");
-    CHECK(world.run({"confirm", world.write("p.json", text)}) ==
+    CHECK(fixture.run({"confirm", fixture.write("p.json", text)}) ==
           ctl_exit::faults);
-    CHECK(world.client.calls.empty());
+    CHECK(fixture.client.calls.empty());
 }
 
 // An operator confirms, the table's answer or the VM's is lost after the
@@ -253,52 +254,53 @@
 TEST_CASE("a confirm with a lost answer is read back, never sent again",
           "[ctl]")
 {
-    ctl_world world;
-    std::string const file = world.write("p.json", plan_text(4));
+    ctl_fixture fixture;
+    std::string const file = fixture.write("p.json", plan_text(4));
     SECTION("it is in force, though the first reading was old")
     {
-        world.client.script = {
+        fixture.client.script = {
             failure(lost), configuration(4, "old"),
             failure(operator_call_failure::kind::unreachable),
             configuration(5, "wanted")};
-        CHECK(world.run({"confirm", file}) == ctl_exit::ok);
+        CHECK(fixture.run({"confirm", file}) == ctl_exit::ok);
     }
     SECTION("the VM itself does not know")
     {
-        world.client.script = {
+        fixture.client.script = {
             failure(operator_call_failure::kind::refused, "unknown"),
             configuration(5, "wanted")};
-        CHECK(world.run({"confirm", file}) == ctl_exit::ok);
+        CHECK(fixture.run({"confirm", file}) == ctl_exit::ok);
     }
     SECTION("another operator came first")
     {
-        world.client.script = {failure(lost), configuration(5, "other")};
-        CHECK(world.run({"confirm", file}) == ctl_exit::refused);
+        fixture.client.script = {failure(lost), configuration(5, "other")};
+        CHECK(fixture.run({"confirm", file}) == ctl_exit::refused);
     }
     SECTION("it may have been in force in between")
     {
-        world.client.script = {failure(lost), configuration(6, "other")};
-        CHECK(world.run({"confirm", file}) == ctl_exit::outcome_unknown);
+        fixture.client.script = {failure(lost), configuration(6, "other")};
+        CHECK(fixture.run({"confirm", file}) == ctl_exit::outcome_unknown);
     }
     SECTION("it is not in force yet")
     {
-        world.client.script = {failure(lost), configuration(4, "old")};
-        CHECK(world.run({"confirm", file}) == ctl_exit::outcome_unknown);
+        fixture.client.script = {failure(lost), configuration(4, "old")};
+        CHECK(fixture.run({"confirm", file}) == ctl_exit::outcome_unknown);
     }
-    CHECK(world.client.sent_once == words{"confirm"});
-    CHECK(std::count(world.client.calls.begin(), world.client.calls.end(),
+    CHECK(fixture.client.sent_once == words{"confirm"});
+    CHECK(std::count(fixture.client.calls.begin(), fixture.client.calls.end(),
                      "confirm") == 1);
 }
 
 TEST_CASE("a confirm that was not run is not read back", "[ctl]")
 {
-    ctl_world world;
-    std::string const file = world.write("p.json", plan_text(4));
-    world.client.script = {failure(operator_call_failure::kind::refused, "no")};
-    CHECK(world.run({"confirm", file}) == ctl_exit::refused);
-    world.client.script = {failure(operator_call_failure::kind::unreachable)};
-    CHECK(world.run({"confirm", file}) == ctl_exit::unreachable);
-    CHECK(world.client.calls == words{"confirm", "confirm"});
+    ctl_fixture fixture;
+    std::string const file = fixture.write("p.json", plan_text(4));
+    fixture.client.script = {
+        failure(operator_call_failure::kind::refused, "no")};
+    CHECK(fixture.run({"confirm", file}) == ctl_exit::refused);
+    fixture.client.script = {failure(operator_call_failure::kind::unreachable)};
+    CHECK(fixture.run({"confirm", file}) == ctl_exit::unreachable);
+    CHECK(fixture.client.calls == words{"confirm", "confirm"});
 }
 
 TEST_CASE("a refusal is told in JSON to programs", "[ctl]")
@@ -306,9 +308,9 @@
     // A script confirms an outdated plan with --json. It reads from standard
     // output why, whether anything ran, and what changed; the exit status and
     // the text for people on standard error are as without --json.
-    ctl_world world;
-    std::string const file = world.write("p.json", plan_text(4));
-    world.client.script = {
+    ctl_fixture fixture;
+    std::string const file = fixture.write("p.json", plan_text(4));
+    fixture.client.script = {
         [](std::string const&) -> Json::Value
         {
             throw operator_call_failure(
@@ -316,90 +318,90 @@
                 json(R"({"kind": "plan_outdated", "ran": "no",
 "retry_after_ms": 300, "changes": [{"key": "adapter a@1"}]})"));
         }};
-    CHECK(world.run({"confirm", file}) == ctl_exit::refused);
-    CHECK(world.out.str().empty());
-    std::string const text = world.err.str();
-    CHECK(world.run({"confirm", file, "--json"}) == ctl_exit::refused);
-    CHECK(world.err.str() == text + text);
-    CHECK(json(world.out.str()) == json(R"({"error": {"kind": "plan_outdated",
+    CHECK(fixture.run({"confirm", file}) == ctl_exit::refused);
+    CHECK(fixture.out.str().empty());
+    std::string const text = fixture.err.str();
+    CHECK(fixture.run({"confirm", file, "--json"}) == ctl_exit::refused);
+    CHECK(fixture.err.str() == text + text);
+    CHECK(json(fixture.out.str()) == json(R"({"error": {"kind": "plan_outdated",
 "message": "changed", "ran": "no", "retry_after_ms": 300,
 "changes": [{"key": "adapter a@1"}]}})"));
 }
 
 TEST_CASE("what reading a confirm back showed is told in JSON too", "[ctl]")
 {
-    ctl_world world;
-    std::string const file = world.write("p.json", plan_text(4));
+    ctl_fixture fixture;
+    std::string const file = fixture.write("p.json", plan_text(4));
     std::string kind;
     std::string ran;
     ctl_exit expected = ctl_exit::refused;
     SECTION("another operator came first")
     {
-        world.client.script = {failure(lost), configuration(5, "other")};
+        fixture.client.script = {failure(lost), configuration(5, "other")};
         kind = "plan_outdated";
         ran = "no";
     }
     SECTION("it is not in force yet")
     {
-        world.client.script = {failure(lost), configuration(4, "old")};
+        fixture.client.script = {failure(lost), configuration(4, "old")};
         expected = ctl_exit::outcome_unknown;
         kind = "outcome_unknown";
         ran = "unknown";
     }
-    CHECK(world.run({"confirm", file, "--json"}) == expected);
-    Json::Value const told = json(world.out.str())["error"];
-    CHECK(told["kind"].asString() == kind);
-    CHECK(told["ran"].asString() == ran);
-    CHECK(told["retry_after_ms"].isNull());
+    CHECK(fixture.run({"confirm", file, "--json"}) == expected);
+    Json::Value const error = json(fixture.out.str())["error"];
+    CHECK(error["kind"].asString() == kind);
+    CHECK(error["ran"].asString() == ran);
+    CHECK(error["retry_after_ms"].isNull());
 }
 
 TEST_CASE("an unanswered read changed nothing", "[ctl]")
 {
-    ctl_world world;
-    world.client.script = {failure(lost)};
-    CHECK(world.run({"targets"}) == ctl_exit::unreachable);
+    ctl_fixture fixture;
+    fixture.client.script = {failure(lost)};
+    CHECK(fixture.run({"targets"}) == ctl_exit::unreachable);
 }
 
 TEST_CASE("drain --wait comes back when the VM has left", "[ctl]")
 {
-    ctl_world world;
-    world.client.script = {
+    ctl_fixture fixture;
+    fixture.client.script = {
         answer(R"({"vm": "vm-3", "state": "leaving"})"),
         answer(R"({"vms": [{"vm": "vm-3", "state": "leaving"}]})"),
         failure(lost), answer(R"({"vms": [], "unreachable": ["vm-3"]})"),
         answer(R"({"vms": [{"vm": "vm-1", "state": "live"}]})")};
-    CHECK(world.run({"drain", "vm-3", "--wait"}) == ctl_exit::ok);
-    CHECK(world.client.calls.size() == 5);
-    CHECK(world.out.str() == "vm-3 has left\n");
-    world.client.script = {answer(R"({"state": "leaving"})"),
-                           answer(R"({"vms": [], "unreachable": ["vm-3"]})")};
-    CHECK(world.run({"drain", "vm-3", "--wait", "--wait-ms", "3000"}) ==
+    CHECK(fixture.run({"drain", "vm-3", "--wait"}) == ctl_exit::ok);
+    CHECK(fixture.client.calls.size() == 5);
+    CHECK(fixture.out.str() == "vm-3 has left\n");
+    fixture.client.script = {answer(R"({"state": "leaving"})"),
+                             answer(R"({"vms": [], "unreachable": ["vm-3"]})")};
+    CHECK(fixture.run({"drain", "vm-3", "--wait", "--wait-ms", "3000"}) ==
           ctl_exit::outcome_unknown);
 }
 
 TEST_CASE("the time line shows the newest events", "[ctl]")
 {
-    ctl_world world;
-    world.client.script = {
+    ctl_fixture fixture;
+    fixture.client.script = {
         answer(R"({"cursor": "a", "events": [{"text": "one"},
                                              {"text": "two"}]})"),
         answer(R"({"cursor": "b", "events": [{"vm": "vm-1", "number": 3,
             "stamp": "12.0", "part": "loader", "kind": "loaded",
             "text": "three"}]})"),
         answer(R"({"cursor": "b", "events": []})")};
-    CHECK(world.run({"timeline", "--limit", "1"}) == ctl_exit::ok);
-    CHECK(world.out.str() == "12.0 vm-1 loader loaded: three\n");
+    CHECK(fixture.run({"timeline", "--limit", "1"}) == ctl_exit::ok);
+    CHECK(fixture.out.str() == "12.0 vm-1 loader loaded: three\n");
 }
 
 TEST_CASE("the confirmed configuration is printed as a file", "[ctl]")
 {
-    ctl_world world;
+    ctl_fixture fixture;
     auto const parsed = parse_declaration(declaration_text, "d.jsonc");
     std::string const text = write_declaration(std::get<declaration>(parsed));
-    world.client.script = {configuration(7, text)};
-    CHECK(world.run({"configuration"}) == ctl_exit::ok);
-    CHECK(world.out.str().find("// version 7\n") == 0);
-    CHECK(parse_declaration(world.out.str(), "x") == parsed);
+    fixture.client.script = {configuration(7, text)};
+    CHECK(fixture.run({"configuration"}) == ctl_exit::ok);
+    CHECK(fixture.out.str().find("// version 7\n") == 0);
+    CHECK(parse_declaration(fixture.out.str(), "x") == parsed);
 }
 
 TEST_CASE("a status is shown a VM at a time", "[ctl]")
--- a/tests/key_history_test.cpp
+++ b/tests/key_history_test.cpp
@@ -8,33 +8,34 @@
 {
 
 key_digest const key("ab12");
-key_digest const like_it("ab34");
+key_digest const similar_key("ab34");
 
-team made_team(std::string name, std::set<key_digest> keys)
+team make_team(std::string name, std::set<key_digest> keys)
 {
-    team made;
-    made.name = team_id(std::move(name));
-    made.keys = std::move(keys);
-    return made;
+    team result;
+    result.name = team_id(std::move(name));
+    result.keys = std::move(keys);
+    return result;
 }
 
 routing_config version(std::uint64_t number, std::vector<team> teams)
 {
-    routing_config made;
-    made.version = config_version(number);
-    made.teams = std::move(teams);
-    return made;
+    routing_config result;
+    result.version = config_version(number);
+    result.teams = std::move(teams);
+    return result;
 }
 
-routing_config const before = version(3, {made_team("pits", {like_it})});
-routing_config const first = version(5, {made_team("pits", {key, like_it})});
-routing_config const second = version(6, {made_team("pits", {key})});
-routing_config const without = version(9, {made_team("pits", {})});
-routing_config const moved = version(8, {made_team("mills", {key})});
+routing_config const before = version(3, {make_team("pits", {similar_key})});
+routing_config const first =
+    version(5, {make_team("pits", {key, similar_key})});
+routing_config const second = version(6, {make_team("pits", {key})});
+routing_config const without = version(9, {make_team("pits", {})});
+routing_config const moved = version(8, {make_team("mills", {key})});
 
-key_history told_by(std::vector<routing_config> versions)
+key_history history_in(std::vector<routing_config> versions)
 {
-    return known_configurations(std::move(versions)).history_of(key);
+    return configuration_versions(std::move(versions)).history_of(key);
 }
 
 } // namespace
@@ -42,12 +43,12 @@
 TEST_CASE("a key is a team's since the oldest version in a row that says so",
           "[key_history]")
 {
-    key_history const told = told_by({second, before, first});
-    REQUIRE(told.in_force());
-    CHECK(told.holder->name == team_id("pits"));
-    CHECK(told.since == config_version(5));
-    CHECK(told.not_yet == config_version(3));
-    CHECK(told.until == config_version(6));
+    key_history const history = history_in({second, before, first});
+    REQUIRE(history.in_force());
+    CHECK(history.holder->name == team_id("pits"));
+    CHECK(history.since == config_version(5));
+    CHECK(history.absent_in == config_version(3));
+    CHECK(history.until == config_version(6));
 }
 
 // Guards against a first version that is told as the key's beginning although
@@ -55,10 +56,10 @@
 TEST_CASE("without an older version it is not told that a key is new",
           "[key_history]")
 {
-    CHECK(told_by({second}).since == config_version(6));
-    CHECK(told_by({second}).not_yet.none());
-    CHECK(told_by({first, second}).since == config_version(5));
-    CHECK(told_by({first, second}).not_yet.none());
+    CHECK(history_in({second}).since == config_version(6));
+    CHECK(history_in({second}).absent_in.none());
+    CHECK(history_in({first, second}).since == config_version(5));
+    CHECK(history_in({first, second}).absent_in.none());
 }
 
 // Guards against a key that was taken away and given again being told as held
@@ -66,30 +67,30 @@
 TEST_CASE("a gap and another team begin a key's time anew", "[key_history]")
 {
     key_history const again =
-        told_by({first, without, version(10, {made_team("pits", {key})})});
+        history_in({first, without, version(10, {make_team("pits", {key})})});
     CHECK(again.since == config_version(10));
-    CHECK(again.not_yet == config_version(9));
-    key_history const other = told_by({first, second, moved});
+    CHECK(again.absent_in == config_version(9));
+    key_history const other = history_in({first, second, moved});
     CHECK(other.holder->name == team_id("mills"));
     CHECK(other.since == config_version(8));
-    CHECK(other.not_yet == config_version(6));
+    CHECK(other.absent_in == config_version(6));
 }
 
 // Guards against an operator who is told that a key which was taken away still
 // works.
 TEST_CASE("a key that was taken away is not in force", "[key_history]")
 {
-    key_history const gone =
-        told_by({first, second, without, version(12, {made_team("pits", {})})});
+    key_history const gone = history_in(
+        {first, second, without, version(12, {make_team("pits", {})})});
     CHECK_FALSE(gone.in_force());
     CHECK(gone.holder->name == team_id("pits"));
     CHECK(gone.until == config_version(6));
-    CHECK(gone.gone_by == config_version(9));
+    CHECK(gone.removed_in == config_version(9));
 }
 
 TEST_CASE("a key that no version has is no team's", "[key_history]")
 {
-    key_history const unknown = told_by({before, without});
+    key_history const unknown = history_in({before, without});
     CHECK_FALSE(unknown.in_force());
     CHECK_FALSE(unknown.holder);
 }
@@ -98,17 +99,17 @@
 TEST_CASE("a key of two teams is the one's whom requests run for",
           "[key_history]")
 {
-    key_history const told = told_by(
-        {version(7, {made_team("pits", {key}), made_team("mills", {key})})});
-    CHECK(told.holder->name == team_id("pits"));
+    key_history const history = history_in(
+        {version(7, {make_team("pits", {key}), make_team("mills", {key})})});
+    CHECK(history.holder->name == team_id("pits"));
 }
 
 TEST_CASE("keys are found by their first digits in every version",
           "[key_history]")
 {
-    known_configurations const all({second, before, without});
-    CHECK(all.keys_beginning_with("ab") == std::set<key_digest>{key, like_it});
-    CHECK(all.keys_beginning_with("ab12") == std::set<key_digest>{key});
-    CHECK(all.keys_beginning_with("ab12f").empty());
+    configuration_versions const all({second, before, without});
+    CHECK(all.keys_with_prefix("ab") == std::set<key_digest>{key, similar_key});
+    CHECK(all.keys_with_prefix("ab12") == std::set<key_digest>{key});
+    CHECK(all.keys_with_prefix("ab12f").empty());
     CHECK(all.newest() == without);
 }
--- a/tests/log_story_test.cpp
+++ b/tests/request_trace_test.cpp
@@ -1,4 +1,4 @@
-#include "log_story.hpp"
+#include "request_trace.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -22,16 +22,16 @@
 
 std::vector<log_line> all_lines()
 {
-    std::vector<log_line> lines = read_log(first_vm);
-    for (log_line& line : read_log(second_vm))
+    std::vector<log_line> lines = parse_log(first_vm);
+    for (log_line& line : parse_log(second_vm))
         lines.push_back(std::move(line));
     return lines;
 }
 
-std::vector<std::string> events(std::vector<log_line> const& story)
+std::vector<std::string> events(std::vector<log_line> const& trace)
 {
     std::vector<std::string> names;
-    for (log_line const& line : story)
+    for (log_line const& line : trace)
         names.push_back(line.event);
     return names;
 }
@@ -41,29 +41,29 @@
 TEST_CASE("a story holds the request's lines and what was believed then",
           "[log_story]")
 {
-    auto const story = story_of("r1", all_lines());
-    CHECK(events(story) == std::vector<std::string>{"configuration taken",
+    auto const trace = trace_request("r1", all_lines());
+    CHECK(events(trace) == std::vector<std::string>{"configuration taken",
                                                     "worker listed",
                                                     "tries again", "failed"});
     // The other worker does not concern it.
-    CHECK(story[1].worker == "w1");
+    CHECK(trace[1].worker == "w1");
 }
 
 TEST_CASE("another VM's beliefs are not this one's", "[log_story]")
 {
-    CHECK(events(story_of("r2", all_lines())) ==
+    CHECK(events(trace_request("r2", all_lines())) ==
           std::vector<std::string>{"store lost", "rejected"});
 }
 
 TEST_CASE("a request that no line names has no story", "[log_story]")
 {
-    CHECK(story_of("r3", all_lines()).empty());
+    CHECK(trace_request("r3", all_lines()).empty());
 }
 
 TEST_CASE("lines are told with their details", "[log_story]")
 {
-    auto const story = story_of("r2", all_lines());
-    CHECK(to_text(story.back()) ==
+    auto const trace = trace_request("r2", all_lines());
+    CHECK(to_text(trace.back()) ==
           "2026-01-01T00:00:04 vm-2 rejected reason=no worker");
 }
 
@@ -79,13 +79,13 @@
 {"text":"request refused","time":"2026-01-01T00:00:04","vm":"vm-2","request":"r3","content":"c1"}
 {"text":"request refused","time":"2026-01-01T00:00:05","vm":"vm-2","request":"r4","content":"c1"}
 )";
-    auto const story = story_of("r3", read_log(text));
-    CHECK(events(story) ==
+    auto const trace = trace_request("r3", parse_log(text));
+    CHECK(events(trace) ==
           std::vector<std::string>{"worker crashed under request",
                                    "request quarantined", "request refused"});
-    CHECK(to_text(story.front()) ==
+    CHECK(to_text(trace.front()) ==
           "2026-01-01T00:00:01 vm-1 worker crashed under request worker=w1 "
           "request=r1 content=c1");
     // A request that was not refused is not told of others.
-    CHECK(events(story_of("r1", read_log(text))).size() == 1);
+    CHECK(events(trace_request("r1", parse_log(text))).size() == 1);
 }
