--- a/src/ctl_commands.cpp
+++ b/src/ctl_commands.cpp
@@ -52,11 +52,12 @@
                write_plan_file({config_version(plan["base"].asUInt64()),
                                 plan["digest"].asString(),
                                 answer["declaration"].asString(), plan}));
-    err << "Nothing is changed yet. To put this plan in force:\n"
+    err << "Nothing has changed yet. To put this plan in force:\n"
         << "  mulberryctl confirm " << options.output << "\n";
 }
 
-// Faults are found here with their lines; the system sees only whole files.
+// The declaration is parsed here first, so that faults are reported with their
+// line numbers and only files without faults are sent to a VM.
 ctl_exit run_plan(ctl_options const& options, ctl_context const& context)
 {
     std::string const& file = options.arguments.front();
@@ -79,7 +80,7 @@
     if (!options.output.empty())
         save_plan(options, answer, context.err);
     else
-        context.err << "Nothing is changed. Keep the plan with --output FILE "
+        context.err << "Nothing has changed. Save the plan with --output FILE "
                        "to confirm it.\n";
     return ctl_exit::ok;
 }
@@ -108,7 +109,7 @@
     if (options.json)
         context.out << pretty_json(answer);
     else if (version == 0)
-        context.err << "no configuration was confirmed yet\n";
+        context.err << "no configuration has been confirmed yet\n";
     else
     {
         json_document const document(text, "configuration");
@@ -127,7 +128,7 @@
     return ctl_exit::ok;
 }
 
-/// The state of a VM in an answer to `status`; empty when it is gone.
+/// The state of a VM in an answer to `status`; empty when the VM is not listed.
 std::string vm_state(Json::Value const& status, std::string const& vm)
 {
     for (Json::Value const& each : status["vms"])
@@ -170,11 +171,11 @@
                                    state, left.count());
         context.clock.sleep_until(context.clock.now() + poll_interval);
     }
-    context.err << vm << " has not left in time; it goes on leaving\n";
+    context.err << vm << " has not left in time; it is still leaving\n";
     return ctl_exit::outcome_unknown;
 }
 
-// Draining twice is the same as once, so it may be sent again.
+// Draining is idempotent, so the call may be sent again.
 ctl_exit run_drain(ctl_options const& options, ctl_context const& context)
 {
     Json::Value parameters(Json::objectValue);
@@ -191,13 +192,13 @@
     return ctl_exit::ok;
 }
 
-/// Reads the time line on from where it was last.
+/// Reads the timeline page by page; each read continues after the last one.
 class timeline_reader
 {
 public:
     explicit timeline_reader(operator_client& client) : client_(client) {}
 
-    /// The next events, none at the end.
+    /// The next events; empty when there are no newer ones.
     Json::Value next()
     {
         Json::Value parameters(Json::objectValue);
@@ -209,7 +210,7 @@
         return answer["events"];
     }
 
-    /// Reads to the end and returns the newest `most` events.
+    /// Reads to the end and returns the newest events, at most `max_events`.
     Json::Value newest(std::size_t max_events)
     {
         std::deque<Json::Value> recent;
@@ -302,7 +303,7 @@
     case operator_call_failure::kind::unreachable:
         return "no VM can be reached";
     case operator_call_failure::kind::outcome_unknown:
-        return "no whole answer came";
+        return "no complete answer was received";
     default:
         return "refused";
     }
@@ -357,8 +358,7 @@
     }
     catch (Json::Exception const& failure)
     {
-        context.err << "the answer cannot be understood: " << failure.what()
-                    << "\n";
+        context.err << "the answer is malformed: " << failure.what() << "\n";
         return changes_deployment(options.command) ? ctl_exit::outcome_unknown
                                                    : ctl_exit::unreachable;
     }
--- a/src/ctl_confirm.cpp
+++ b/src/ctl_confirm.cpp
@@ -18,7 +18,7 @@
 constexpr char const* unknown_outcome = "outcome_unknown";
 constexpr char const* outdated_plan = "plan_outdated";
 
-/// What is in force, as one VM tells it.
+/// The configuration in force according to one VM.
 struct confirmed_configuration
 {
     std::uint64_t version = 0;
@@ -34,8 +34,9 @@
     return parameters;
 }
 
-// The VM that was asked may itself have lost the table's answer: its error
-// then says that the write may have taken effect.
+// True if the answer of the VM was lost, and also if the VM itself lost the
+// answer of the table: its error then says that the write may have taken
+// effect.
 bool may_have_run(operator_call_failure const& failure)
 {
     if (failure.reason() == operator_call_failure::kind::outcome_unknown)
@@ -75,8 +76,9 @@
     }
 
 private:
-    // A VM may answer from before the change, so "still the old version" is
-    // no proof and is asked again; a newer version is proof.
+    // A VM may answer with a stale configuration, so the base version does not
+    // prove that the plan failed and is polled again until the deadline. A
+    // newer version is proof.
     ctl_exit read_back()
     {
         auto const deadline = context_.clock.now() + options_.timeout;
@@ -127,9 +129,9 @@
         return ctl_exit::ok;
     }
 
-    // The plan's confirm takes effect only on its base, so the next version
-    // being another's means that it never will. Later ones tell nothing: the
-    // plan may have been in force in between.
+    // A confirm takes effect only on the plan's base version, so if the next
+    // version is another operator's, this plan never takes effect. A later
+    // version proves nothing: the plan may have been in force before it.
     ctl_exit report_other_version(std::uint64_t version)
     {
         if (version == plan_.base.value() + 1)
@@ -140,7 +142,7 @@
                 outdated_plan, "no", ctl_exit::refused);
         return report_failure(
             fmt::format("version {} is in force, which is not this plan; "
-                        "whether the plan was in force before cannot be told. "
+                        "whether the plan was in force before is not known. "
                         "Plan again.",
                         version),
             unknown_outcome, "unknown", ctl_exit::outcome_unknown);
@@ -149,15 +151,15 @@
     ctl_exit report_unknown()
     {
         return report_failure(
-            fmt::format("outcome unknown: version {} is still in force as far "
-                        "as can be seen, but the change may yet take effect. "
-                        "Look with `mulberryctl configuration` before you plan "
+            fmt::format("outcome unknown: version {} was still in force when "
+                        "last read, but the change may yet take effect. Check "
+                        "with `mulberryctl configuration` before you plan "
                         "again.",
                         plan_.base.value()),
             unknown_outcome, "unknown", ctl_exit::outcome_unknown);
     }
 
-    /// What reading back showed, in the form of an error of the system.
+    /// Reports the result of reading back in the form of a VM's error.
     ctl_exit report_failure(std::string const& message, char const* kind,
                             char const* ran, ctl_exit result)
     {
--- a/src/ctl_explain.cpp
+++ b/src/ctl_explain.cpp
@@ -27,8 +27,9 @@
     if (!trace.empty())
         return ctl_exit::ok;
     err << "no line names request " << request
-        << ": it was served without event, went to another VM, or its lines "
-           "were left out (lines_left_out)\n";
+        << ": it was served without a logged event, went to another VM, or "
+           "its lines were left out by the log's rate limit "
+           "(lines_left_out)\n";
     return ctl_exit::refused;
 }
 
--- a/src/request_trace.cpp
+++ b/src/request_trace.cpp
@@ -12,12 +12,13 @@
 namespace
 {
 
-/// Members that every line has, or that the story shows by themselves.
+/// Members that are left out of log_line::details: they are stored in fields of
+/// their own or are not shown.
 constexpr std::array<std::string_view, 8> common_members{
     "time", "level", "vm", "part", "text", "request", "worker", "service"};
 
-/// Events that change what a VM believes; those of one group replace each
-/// other.
+/// The group of an event that changes the VM's view of the deployment; a newer
+/// event of a group replaces the older one. Empty for other events.
 std::string state_group(log_line const& line)
 {
     static std::map<std::string, std::string, std::less<>> const groups{
@@ -61,7 +62,7 @@
     return line;
 }
 
-/// The contents for which the request was refused.
+/// The contents named by the lines that say that the request was refused.
 std::set<std::string> quarantined_contents(std::string const& request,
                                            std::vector<log_line> const& lines)
 {
@@ -72,7 +73,7 @@
     return contents;
 }
 
-/// A line on another try of the same request.
+/// Whether the line reports a crash or the quarantine of one of the contents.
 bool is_related_crash(log_line const& line,
                       std::set<std::string> const& contents)
 {
--- a/src/request_trace.hpp
+++ b/src/request_trace.hpp
@@ -1,4 +1,5 @@
-/// The story of one request out of the logs of several processes.
+/// Selects from the logs of several processes the lines that explain what
+/// happened to one request.
 #ifndef MULBERRY_REQUEST_TRACE_HPP
 #define MULBERRY_REQUEST_TRACE_HPP
 
@@ -9,33 +10,39 @@
 namespace mulberry
 {
 
-/// One structured line of a log. Value.
+/// One structured line of a log.
 struct log_line
 {
-    /// ISO 8601, so that texts compare as times do.
+    /// ISO 8601; lines are sorted by comparing this text.
     std::string time;
     std::string vm;
     std::string event;
     std::string request;
     std::string worker;
-    /// What is the same in all tries of a request, where the line says it.
+    /// Identifies the request's content, the same in all attempts with that
+    /// content; empty where the line does not name it.
     std::string content;
-    /// The members that only this event has, as NAME=VALUE.
+    /// The members that have no field of their own here, as NAME=VALUE.
     std::vector<std::string> details;
     friend bool operator==(log_line const&, log_line const&) = default;
 };
 
-/// The lines that are structured, in the order of the text; others are skipped.
+/// Parses the lines that are JSON objects with an event (member `text`), in
+/// their order in the text. Other lines are skipped.
 std::vector<log_line> parse_log(std::string_view text);
 
-/// What decided about one request: its own lines in order, and before each the
-/// newest line of the same VM that says what it then believed of the worker,
-/// its configuration, its lease and its store. For a request that is in
-/// quarantine also the crashes under other tries of it, at any VM. Empty when
-/// no line names it.
+/// Returns the lines that name the request, ordered by time. Each is preceded
+/// by the newest earlier lines of the same VM that describe the VM's view of
+/// the worker, its configuration, its lease and its store, unless they were
+/// already listed. For a request that was refused because its content is
+/// quarantined, the result also has the crashes under other attempts with that
+/// content at any VM. Empty when no line names the request. `lines` may be in
+/// any order.
 std::vector<log_line> trace_request(std::string const& request,
                                     std::vector<log_line> lines);
 
+/// The line as text: time, VM, event, worker and details. Neither the request
+/// nor a line end is included.
 std::string to_text(log_line const& line);
 
 } // namespace mulberry
--- a/tests/request_trace_test.cpp
+++ b/tests/request_trace_test.cpp
@@ -38,39 +38,40 @@
 
 } // namespace
 
-TEST_CASE("a story holds the request's lines and what was believed then",
+TEST_CASE("a trace holds the request's lines and the VM's state at that time",
           "[log_story]")
 {
     auto const trace = trace_request("r1", all_lines());
     CHECK(events(trace) == std::vector<std::string>{"configuration taken",
                                                     "worker listed",
                                                     "tries again", "failed"});
-    // The other worker does not concern it.
+    // Lines on the other worker are left out.
     CHECK(trace[1].worker == "w1");
 }
 
-TEST_CASE("another VM's beliefs are not this one's", "[log_story]")
+TEST_CASE("a trace leaves out the state of other VMs", "[log_story]")
 {
     CHECK(events(trace_request("r2", all_lines())) ==
           std::vector<std::string>{"store lost", "rejected"});
 }
 
-TEST_CASE("a request that no line names has no story", "[log_story]")
+TEST_CASE("a request that no line names has an empty trace", "[log_story]")
 {
     CHECK(trace_request("r3", all_lines()).empty());
 }
 
-TEST_CASE("lines are told with their details", "[log_story]")
+TEST_CASE("the text of a line includes its details", "[log_story]")
 {
     auto const trace = trace_request("r2", all_lines());
     CHECK(to_text(trace.back()) ==
           "2026-01-01T00:00:04 vm-2 rejected reason=no worker");
 }
 
-// Guards against a refusal that nobody can explain: the crashes that led to it
-// were under other tries, at other VMs.
-TEST_CASE("a refused request's story tells of the crashes under other tries",
-          "[log_story]")
+// Guards against a refusal that the trace does not explain: the crashes that
+// led to it happened under other attempts, at other VMs.
+TEST_CASE(
+    "the trace of a refused request lists the crashes under other attempts",
+    "[log_story]")
 {
     char const* const text =
         R"({"text":"worker crashed under request","time":"2026-01-01T00:00:01","vm":"vm-1","request":"r1","content":"c1","worker":"w1"}
@@ -86,6 +87,6 @@
     CHECK(to_text(trace.front()) ==
           "2026-01-01T00:00:01 vm-1 worker crashed under request worker=w1 "
           "request=r1 content=c1");
-    // A request that was not refused is not told of others.
+    // The trace of a request that was not refused leaves out other requests.
     CHECK(events(trace_request("r1", parse_log(text))).size() == 1);
 }
