--- a/src/ctl_team.cpp
+++ b/src/ctl_team.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// No team has the key, or it cannot be told which one has.
+/// No team holds the key, or the fingerprint fits several keys.
 class key_lookup_failure : public std::runtime_error
 {
 public:
@@ -68,8 +68,8 @@
             std::istreambuf_iterator<char>()};
 }
 
-/// As the daemon reads it from a request. Throws file_failure, which does not
-/// quote the key.
+/// Reads the key as the daemon reads it from a request. Throws file_failure,
+/// whose text does not quote the key.
 key_digest read_team_key(std::string text)
 {
     text.erase(text.find_last_not_of("\r\n") + 1);
@@ -78,7 +78,7 @@
     if (auto const key = caller_key(headers))
         return *key;
     throw file_failure("the key: is no single word of visible ASCII, as "
-                       "callers show one; leave out the scheme before it");
+                       "callers send it; leave out the scheme before it");
 }
 
 std::string describe(key_history const& history)
--- a/src/key_history.hpp
+++ b/src/key_history.hpp
@@ -1,4 +1,5 @@
-/// Whose a key is and was, as far as several versions of a configuration tell.
+/// Which team holds a key, and since which version, according to several
+/// versions of the configuration.
 #ifndef MULBERRY_KEY_HISTORY_HPP
 #define MULBERRY_KEY_HISTORY_HPP
 
@@ -14,35 +15,41 @@
 namespace mulberry
 {
 
-/// What the known versions say of one key. Value.
+/// The history of one key in the known versions.
 struct key_history
 {
     key_digest key;
-    /// The team that has it, or the last one that had it.
+    /// The team that holds the key, or the last team that held it; empty if no
+    /// known version has the key.
     std::optional<team> holder;
-    /// The oldest and the newest of the versions, one after the other, in which
-    /// it is that team's.
+    /// The oldest and the newest version of the last unbroken run of known
+    /// versions in which the key is that team's.
     config_version since;
     config_version until;
-    /// The next older one, in which it is not; 0 where none is known.
+    /// The next older known version, in which the key is not that team's; 0 if
+    /// none is known.
     config_version absent_in;
-    /// The next newer one, in which it is no team's; 0 where none is known.
+    /// The next newer known version, in which no team holds the key; 0 if none
+    /// is known.
     config_version removed_in;
 
-    /// Whether the newest version has the key.
+    /// Whether a team holds the key in the newest version.
     bool in_force() const { return holder && removed_in.none(); }
     friend bool operator==(key_history const&, key_history const&) = default;
 };
 
-/// Immutable. Thread safety: const calls from any thread.
+/// Versions of the configuration that are searched for keys. Immutable.
+/// Thread safety: const calls from any thread.
 class configuration_versions
 {
 public:
-    /// In any order. Precondition: at least one, and no two of one version.
+    /// `versions` may be in any order. Precondition: at least one, and no two
+    /// with the same version.
     explicit configuration_versions(std::vector<routing_config> versions);
 
     routing_config const& newest() const { return *versions_.back().config; }
-    /// Of all versions. `digits`: hexadecimal, in lower case.
+    /// The keys of all versions whose digest begins with `digits` (hexadecimal,
+    /// lower case).
     std::set<key_digest> keys_with_prefix(std::string_view digits) const;
     key_history history_of(key_digest const& key) const;
 
@@ -53,7 +60,7 @@
         team_directory teams;
     };
 
-    /// The newest last.
+    /// Ordered by version, the newest last.
     std::vector<known_version> versions_;
 };
 
--- a/src/operator_client.cpp
+++ b/src/operator_client.cpp
@@ -22,7 +22,7 @@
     }
 }
 
-/// A failed call as the commands see it.
+/// Adds the VM's address to the message and converts the error code.
 operator_call_failure to_call_failure(rpc_failure const& failure,
                                       std::string const& address)
 {
@@ -55,9 +55,9 @@
                           client, "http://" + address + "/rpc", key)});
 }
 
-// A call that no VM saw may always go to the next one. One whose answer was
-// lost may have run: sending it again could do it twice, so only calls that
-// allow it are.
+// A call that was not received can always be sent to the next VM. A call whose
+// answer was lost may have run, and sending it again could run it twice, so it
+// is sent again only if the caller allows that.
 Json::Value rpc_operator_client::call(std::string const& method,
                                       Json::Value const& parameters,
                                       resend on_lost_answer)
--- a/src/operator_client.hpp
+++ b/src/operator_client.hpp
@@ -1,4 +1,4 @@
-/// The way from mulberryctl to the VMs' operators' listeners.
+/// Calls from mulberryctl to the operators' listeners of VMs.
 #ifndef MULBERRY_OPERATOR_CLIENT_HPP
 #define MULBERRY_OPERATOR_CLIENT_HPP
 
@@ -15,17 +15,17 @@
 namespace mulberry
 {
 
-/// A call that brought no result.
+/// A call failed or its outcome is unknown.
 class operator_call_failure : public std::runtime_error
 {
 public:
     enum class kind
     {
-        /// The system answered with an error.
+        /// A VM answered with an error.
         refused,
-        /// No VM saw the call.
+        /// No VM received the call.
         unreachable,
-        /// A VM may have run the call; its answer was lost.
+        /// A VM may have run the call, but its answer was lost.
         outcome_unknown
     };
 
@@ -36,7 +36,8 @@
     }
 
     kind reason() const { return kind_; }
-    /// The error's `data` member, null when there was none; see PROTOCOLS.md.
+    /// The `data` member of the VM's error; null if there was none. See
+    /// PROTOCOLS.md.
     Json::Value const& data() const { return data_; }
 
 private:
@@ -51,18 +52,20 @@
     allowed
 };
 
-/// The deployment as mulberryctl sees it.
+/// Sends JSON-RPC calls to the deployment; replaced in tests.
 class operator_client
 {
 public:
     virtual ~operator_client() = default;
-    /// Calls a method. Throws operator_call_failure.
+    /// Calls a method and returns its result. `on_lost_answer` says whether the
+    /// call may be sent to another VM after its answer was lost. Throws
+    /// operator_call_failure.
     virtual Json::Value call(std::string const& method,
                              Json::Value const& parameters,
                              resend on_lost_answer) = 0;
 };
 
-/// Time, as the commands that wait see it.
+/// The clock of commands that wait; replaced in tests.
 class ctl_clock
 {
 public:
@@ -79,11 +82,14 @@
     void sleep_until(time_point when) override;
 };
 
-/// Calls VMs one after the other until one answers. Not thread safe.
+/// Calls VMs one after the other until one answers, each with the full timeout.
+/// Thread safety: none.
 class rpc_operator_client : public operator_client
 {
 public:
-    /// `addresses` are IP:PORT, not empty; `client` outlives this object.
+    /// Precondition: `addresses` is not empty; each is IP:PORT. `client`
+    /// outlives this object. `key` is the key of the operators' listeners;
+    /// `timeout` applies to each VM.
     rpc_operator_client(http_client& client,
                         std::vector<std::string> const& addresses,
                         std::string const& key,
--- a/tests/ctl_team_test.cpp
+++ b/tests/ctl_team_test.cpp
@@ -42,7 +42,7 @@
     return made;
 }
 
-/// Files whose text names what they hold.
+/// Runs `team` on files; a file's text is the name of its configuration.
 struct team_fixture
 {
     team_fixture()
@@ -147,7 +147,7 @@
 
 } // namespace
 
-TEST_CASE("the team of a key on standard input is told", "[ctl][team]")
+TEST_CASE("the team of a key on standard input is printed", "[ctl][team]")
 {
     team_fixture fixture;
     CHECK(fixture.run({"nine", "seven", "eight"}, "k-one\n") == ctl_exit::ok);
@@ -169,8 +169,7 @@
     CHECK(fixture.printed("limit     none\n"));
 }
 
-TEST_CASE("a key's team is told by a file and by a fingerprint too",
-          "[ctl][team]")
+TEST_CASE("a key can be given as a file or by its fingerprint", "[ctl][team]")
 {
     team_fixture fixture;
     std::string const file = fixture.write("key", "k-one\n");
@@ -187,7 +186,7 @@
           ctl_exit::ok);
 }
 
-TEST_CASE("a key's team is told in JSON to programs", "[ctl][team]")
+TEST_CASE("a key's team is printed as JSON with --json", "[ctl][team]")
 {
     team_fixture fixture;
     CHECK(fixture.run({"seven", "eight"}, "k-one", {"--json"}) == ctl_exit::ok);
@@ -203,8 +202,8 @@
     CHECK(fixture.printed_json()["error"]["kind"].asString() == "key_unknown");
 }
 
-// Guards against a customer who is told that a key works which was taken away.
-TEST_CASE("a key without a team is told with what became of it", "[ctl][team]")
+// Guards against telling a customer that a removed key still works.
+TEST_CASE("for a key without a team the last holder is printed", "[ctl][team]")
 {
     team_fixture fixture;
     CHECK(fixture.run({"nine"}, "k-none") == ctl_exit::refused);
@@ -230,8 +229,8 @@
                           "00000000"));
 }
 
-// Guards against a team that is told for another one's key.
-TEST_CASE("a fingerprint of several keys tells all of their teams",
+// Guards against printing the team of another key with the same first digits.
+TEST_CASE("a fingerprint of several keys lists all of their teams",
           "[ctl][team]")
 {
     team_fixture fixture;
@@ -259,7 +258,7 @@
           "key_ambiguous");
 }
 
-TEST_CASE("unreadable input is told and named", "[ctl][team]")
+TEST_CASE("an unreadable file is named in the error", "[ctl][team]")
 {
     team_fixture fixture;
     CHECK(fixture.failure({"broken"}, "k") ==
@@ -275,9 +274,9 @@
           (fixture.folder / "none").string() + ": cannot be read");
 }
 
-// Guards against a key that is looked up in another form than callers show it,
-// and against one that gets into a terminal's record.
-TEST_CASE("a text that is no key is refused and not quoted", "[ctl][team]")
+// Guards against looking up a key in another form than callers send it, and
+// against a key that is printed to the terminal's log.
+TEST_CASE("a text that is not a key is refused and not quoted", "[ctl][team]")
 {
     team_fixture fixture;
     for (std::string const& text :
@@ -291,7 +290,7 @@
     }
 }
 
-TEST_CASE("the key itself is never written", "[ctl][team]")
+TEST_CASE("the key itself is never printed", "[ctl][team]")
 {
     team_fixture fixture;
     for (char const* key : {"k-one", "k-old", "k-none"})
@@ -305,8 +304,8 @@
 }
 
 // Guards against a key on the command line, which other users of the machine
-// see, and against a wrong option that leaves the tool waiting for input.
-TEST_CASE("a wrong way to name a key is refused and not quoted", "[ctl][team]")
+// can see, and against a wrong option that leaves the tool waiting for input.
+TEST_CASE("a key in the wrong option is refused and not quoted", "[ctl][team]")
 {
     CHECK(usage_fault({"team"}) == "team needs FILE...");
     std::string const digits = "--fingerprint must be 1 to 64 hexadecimal "
--- a/tests/key_history_test.cpp
+++ b/tests/key_history_test.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("a key is a team's since the oldest version in a row that says so",
+TEST_CASE("a key is held since the oldest version of an unbroken run",
           "[key_history]")
 {
     key_history const history = history_in({second, before, first});
@@ -51,9 +51,9 @@
     CHECK(history.until == config_version(6));
 }
 
-// Guards against a first version that is told as the key's beginning although
-// nothing shows that the key was not older.
-TEST_CASE("without an older version it is not told that a key is new",
+// Guards against reporting the oldest known version as the one in which the key
+// was added, although no older version shows that the key was absent.
+TEST_CASE("without an older version a key is not reported as new",
           "[key_history]")
 {
     CHECK(history_in({second}).since == config_version(6));
@@ -62,9 +62,10 @@
     CHECK(history_in({first, second}).absent_in.none());
 }
 
-// Guards against a key that was taken away and given again being told as held
-// all the time.
-TEST_CASE("a gap and another team begin a key's time anew", "[key_history]")
+// Guards against reporting a key that was removed and added again as held
+// without a gap.
+TEST_CASE("a gap or another team restarts the time a key is held",
+          "[key_history]")
 {
     key_history const again =
         history_in({first, without, version(10, {make_team("pits", {key})})});
@@ -76,9 +77,8 @@
     CHECK(other.absent_in == config_version(6));
 }
 
-// Guards against an operator who is told that a key which was taken away still
-// works.
-TEST_CASE("a key that was taken away is not in force", "[key_history]")
+// Guards against telling an operator that a removed key still works.
+TEST_CASE("a removed key is not in force", "[key_history]")
 {
     key_history const gone = history_in(
         {first, second, without, version(12, {make_team("pits", {})})});
@@ -88,23 +88,23 @@
     CHECK(gone.removed_in == config_version(9));
 }
 
-TEST_CASE("a key that no version has is no team's", "[key_history]")
+TEST_CASE("a key that no version has is held by no team", "[key_history]")
 {
     key_history const unknown = history_in({before, without});
     CHECK_FALSE(unknown.in_force());
     CHECK_FALSE(unknown.holder);
 }
 
-// Guards against another answer than the VMs', which take the first team.
-TEST_CASE("a key of two teams is the one's whom requests run for",
-          "[key_history]")
+// Guards against an answer that differs from that of the VMs, which use the
+// first team with the key.
+TEST_CASE("a key of two teams is held by the first of them", "[key_history]")
 {
     key_history const history = history_in(
         {version(7, {make_team("pits", {key}), make_team("mills", {key})})});
     CHECK(history.holder->name == team_id("pits"));
 }
 
-TEST_CASE("keys are found by their first digits in every version",
+TEST_CASE("keys are found by their first digits in all versions",
           "[key_history]")
 {
     configuration_versions const all({second, before, without});
--- a/tests/operator_client_test.cpp
+++ b/tests/operator_client_test.cpp
@@ -14,7 +14,8 @@
 
 constexpr auto unknown = operator_call_failure::kind::outcome_unknown;
 
-/// A VM's operators' listener: counts calls, and may run one without an answer.
+/// A VM's operators' listener that counts the calls it runs and can refuse them
+/// or drop their answers.
 class vm
 {
 public:
@@ -83,7 +84,7 @@
     }
 };
 
-/// A port that nothing listens on: it was bound a moment ago.
+/// A port on which nothing listens: its listener was just closed.
 std::string closed_address()
 {
     return vm().address();
@@ -103,9 +104,9 @@
               .reason() == operator_call_failure::kind::unreachable);
 }
 
-// An operator's confirm runs at a VM, which dies before it answers. Sent to
-// the next VM as well, it would run twice.
-TEST_CASE("a call whose answer is lost goes to no other VM unless it may",
+// Guards against running a confirm twice: a VM runs the confirm and stops
+// before it answers, and the client sends the confirm to the next VM as well.
+TEST_CASE("a call whose answer is lost is sent again only if that is allowed",
           "[operator_client]")
 {
     two_vms vms;
