--- a/src/ctl_check.cpp
+++ b/src/ctl_check.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// What was found out about one file.
+/// The result of checking one file; `summary` is empty if the file has faults.
 struct checked_file
 {
     std::string summary;
--- a/src/ctl_exit.hpp
+++ b/src/ctl_exit.hpp
@@ -1,11 +1,11 @@
-/// How mulberryctl ends.
+/// The exit status of mulberryctl.
 #ifndef MULBERRY_CTL_EXIT_HPP
 #define MULBERRY_CTL_EXIT_HPP
 
 namespace mulberry
 {
 
-/// Exit codes; part of the tool's interface, see `mulberryctl --help`.
+/// Exit status; scripts rely on the values, which `mulberryctl --help` lists.
 enum class ctl_exit : int
 {
     ok = 0,
--- a/src/ctl_options.cpp
+++ b/src/ctl_options.cpp
@@ -19,11 +19,11 @@
 namespace po = boost::program_options;
 
 constexpr std::size_t unlimited = SIZE_MAX;
-/// A whole SHA-256.
+/// The length of a complete SHA-256 in hexadecimal.
 constexpr std::size_t max_fingerprint_digits = 64;
 constexpr std::string_view hexadecimal_digits = "0123456789abcdef";
 
-/// One command as the help and the checks see it.
+/// Describes a command for its help and for validation.
 struct command_spec
 {
     std::string_view name;
@@ -38,7 +38,7 @@
 constexpr std::array commands{
     command_spec{
         "check", "FILE...", 1, unlimited, true,
-        "look for faults in declarations and settings, offline",
+        "check declarations and settings for faults, offline",
         "Reads each FILE, a declaration or a VM's settings, and lists every "
         "fault\nwith its line. Needs no VM and changes nothing.\n\n"
         "Example:\n"
@@ -201,7 +201,8 @@
     positional_arguments.add("command", 1).add("arguments", -1);
     po::command_line_parser parser(arguments);
     parser.options(hidden).positional(positional_arguments);
-    // Abbreviations would change their meaning with each new option.
+    // An abbreviation could become ambiguous with each new option, so
+    // abbreviations are not accepted.
     parser.style(po::command_line_style::unix_style &
                  ~po::command_line_style::allow_guessing);
     if (!reject_unknown)
@@ -274,8 +275,8 @@
     return options;
 }
 
-// A key given in the wrong place is not quoted: terminals and their logs are
-// read by others.
+// Error messages do not quote the value of a wrong option, which may be a key:
+// other people may read terminals and their logs.
 void validate_team(ctl_options const& options)
 {
     if (!options.key_file.empty())
--- a/src/ctl_text.cpp
+++ b/src/ctl_text.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-// 0.8 has 15 digits at most but 17 when written exactly; few numbers that
-// people write need those.
+// Numbers that people write, such as 0.8, usually read back exactly from 15
+// digits; with 17 digits, 0.8 is written as 0.80000000000000004.
 constexpr int short_precision = 15;
 constexpr int exact_precision = 17;
 
@@ -49,7 +49,8 @@
 
 using row = std::vector<std::string>;
 
-/// Rows with their columns lined up; the first row is the heading.
+/// Formats rows with aligned columns. The first row is the heading and sets the
+/// number of columns.
 std::string table_text(std::vector<row> const& rows, std::string const& indent)
 {
     std::vector<std::size_t> widths(rows.front().size());
@@ -123,14 +124,14 @@
                              : "-";
 }
 
-/// Requests or, of batch_efficiency, seconds of batch slots.
+/// A number of requests or, for batch_efficiency, seconds of batch slots.
 std::string count_text(Json::Value const& target, char const* name)
 {
     bool const is_time = field(target, "measure") == "batch_efficiency";
     return field(target, name) + (is_time ? " s" : "");
 }
 
-/// "answered_within 20000 ms, at least 95.00%".
+/// For example "answered_within 20000 ms, at least 95.00%".
 std::string objective_text(Json::Value const& target)
 {
     std::string const measure = field(target, "measure");
--- a/src/mulberryctl.cpp
+++ b/src/mulberryctl.cpp
@@ -1,4 +1,4 @@
-// mulberryctl, the operators' tool.
+// mulberryctl, the command-line tool for operators.
 #include "ctl_commands.hpp"
 #include "ctl_options.hpp"
 #include "http_client.hpp"
@@ -21,7 +21,7 @@
     while (!key.empty() && (key.back() == '\n' || key.back() == '\r'))
         key.pop_back();
     if (key.empty())
-        throw file_failure(path + ": holds no key");
+        throw file_failure(path + ": contains no key");
     return key;
 }
 
--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -23,7 +23,7 @@
 using words = std::vector<std::string>;
 using scripted_answer = std::function<Json::Value(std::string const&)>;
 
-/// Answers calls from a script, in order.
+/// Answers calls in order from a script; the last answer is repeated.
 class scripted_client : public operator_client
 {
 public:
@@ -35,7 +35,7 @@
             sent_once.push_back(method);
         REQUIRE_FALSE(script.empty());
         scripted_answer const next = script.front();
-        if (script.size() > 1) // the last step goes on
+        if (script.size() > 1) // the last answer is repeated
             script.pop_front();
         return next(method);
     }
@@ -55,7 +55,7 @@
     time_point now_;
 };
 
-/// A command's world: a client, a clock, a folder and what was printed.
+/// What a command uses: a client, a clock, a folder and the printed output.
 struct ctl_fixture
 {
     ctl_fixture()
@@ -152,7 +152,7 @@
 
 } // namespace
 
-TEST_CASE("a command line is taken apart", "[ctl]")
+TEST_CASE("a command line is parsed", "[ctl]")
 {
     ctl_options const options =
         parse_ctl_options({"--operators", "10.0.0.1:9200", "drain", "vm-3",
@@ -166,7 +166,7 @@
     CHECK(options.timeout == 50ms);
 }
 
-TEST_CASE("a wrong command line is told what is wrong", "[ctl]")
+TEST_CASE("the error of a wrong command line says what is wrong", "[ctl]")
 {
     CHECK(usage_fault({}) == "a command is missing");
     CHECK(usage_fault({"paln"}) == "there is no command \"paln\"");
@@ -195,7 +195,8 @@
     }
 }
 
-TEST_CASE("check tells declarations from settings and lists faults", "[ctl]")
+TEST_CASE("check distinguishes declarations from settings and lists faults",
+          "[ctl]")
 {
     ctl_fixture fixture;
     ctl_options options;
@@ -208,7 +209,7 @@
     CHECK_THROWS_AS(run_check(options, fixture.out, fixture.err), file_failure);
 }
 
-TEST_CASE("a plan is kept in a file that confirm takes", "[ctl]")
+TEST_CASE("a plan is saved in a file that confirm accepts", "[ctl]")
 {
     ctl_fixture fixture;
     Json::Value planned;
@@ -227,7 +228,7 @@
     CHECK(fixture.out.str().find("version 5 is in force") != std::string::npos);
 }
 
-TEST_CASE("a plan that does not fit is not kept", "[ctl]")
+TEST_CASE("a plan that does not fit is not saved", "[ctl]")
 {
     ctl_fixture fixture;
     fixture.client.script = {answer(R"({"plan": {"feasible": false}})")};
@@ -247,16 +248,15 @@
     CHECK(fixture.client.calls.empty());
 }
 
-// An operator confirms, the table's answer or the VM's is lost after the
-// change took effect. Sending the confirm again could put an old declaration
-// in force over another operator's newer one; so it is sent once and the
-// configuration is read back.
+// Guards against a confirm that is sent again after the answer of the table or
+// of the VM was lost: the second confirm could replace another operator's newer
+// declaration by an old one. The configuration is read back instead.
 TEST_CASE("a confirm with a lost answer is read back, never sent again",
           "[ctl]")
 {
     ctl_fixture fixture;
     std::string const file = fixture.write("p.json", plan_text(4));
-    SECTION("it is in force, though the first reading was old")
+    SECTION("it is in force, although the first read was stale")
     {
         fixture.client.script = {
             failure(lost), configuration(4, "old"),
@@ -291,7 +291,7 @@
                      "confirm") == 1);
 }
 
-TEST_CASE("a confirm that was not run is not read back", "[ctl]")
+TEST_CASE("after a confirm that did not run nothing is read back", "[ctl]")
 {
     ctl_fixture fixture;
     std::string const file = fixture.write("p.json", plan_text(4));
@@ -303,11 +303,11 @@
     CHECK(fixture.client.calls == words{"confirm", "confirm"});
 }
 
-TEST_CASE("a refusal is told in JSON to programs", "[ctl]")
+TEST_CASE("a refusal is printed as JSON with --json", "[ctl]")
 {
-    // A script confirms an outdated plan with --json. It reads from standard
-    // output why, whether anything ran, and what changed; the exit status and
-    // the text for people on standard error are as without --json.
+    // A script that confirms an outdated plan with --json reads from standard
+    // output why it was refused, whether anything ran, and what changed. The
+    // exit status and standard error are the same as without --json.
     ctl_fixture fixture;
     std::string const file = fixture.write("p.json", plan_text(4));
     fixture.client.script = {
@@ -328,7 +328,7 @@
 "changes": [{"key": "adapter a@1"}]}})"));
 }
 
-TEST_CASE("what reading a confirm back showed is told in JSON too", "[ctl]")
+TEST_CASE("the result of reading a confirm back is printed as JSON", "[ctl]")
 {
     ctl_fixture fixture;
     std::string const file = fixture.write("p.json", plan_text(4));
@@ -355,14 +355,14 @@
     CHECK(error["retry_after_ms"].isNull());
 }
 
-TEST_CASE("an unanswered read changed nothing", "[ctl]")
+TEST_CASE("a read without an answer counts as unreachable", "[ctl]")
 {
     ctl_fixture fixture;
     fixture.client.script = {failure(lost)};
     CHECK(fixture.run({"targets"}) == ctl_exit::unreachable);
 }
 
-TEST_CASE("drain --wait comes back when the VM has left", "[ctl]")
+TEST_CASE("drain --wait returns when the VM has left", "[ctl]")
 {
     ctl_fixture fixture;
     fixture.client.script = {
@@ -379,7 +379,7 @@
           ctl_exit::outcome_unknown);
 }
 
-TEST_CASE("the time line shows the newest events", "[ctl]")
+TEST_CASE("the timeline shows the newest events", "[ctl]")
 {
     ctl_fixture fixture;
     fixture.client.script = {
@@ -404,7 +404,7 @@
     CHECK(parse_declaration(fixture.out.str(), "x") == parsed);
 }
 
-TEST_CASE("a status is shown a VM at a time", "[ctl]")
+TEST_CASE("a status is shown per VM", "[ctl]")
 {
     CHECK(status_text(json(R"({"vms": [{"vm": "vm-1", "incarnation": 3,
 "state": "live", "configuration": {"version": 7, "fresh": false},
