--- a/src/ctl_check.cpp
+++ b/src/ctl_check.cpp
@@ -43,10 +43,10 @@
 std::vector<text_fault> capacity_faults(declaration const& value,
                                         std::string const& file)
 {
-    plan const result_plan =
+    plan const evaluated_plan =
         make_plan({}, config_version(), value, {}, duration::zero());
     std::vector<text_fault> faults;
-    for (std::string const& obstacle : result_plan.obstacles)
+    for (std::string const& obstacle : evaluated_plan.obstacles)
         faults.push_back({file, 1, "ready", obstacle});
     return faults;
 }
--- a/src/ctl_commands.cpp
+++ b/src/ctl_commands.cpp
@@ -296,7 +296,7 @@
     }
 }
 
-std::string_view describe(operator_call_failure const& failure)
+std::string_view failure_text(operator_call_failure const& failure)
 {
     switch (failure.reason())
     {
@@ -311,7 +311,7 @@
 
 void report(operator_call_failure const& failure, std::ostream& err)
 {
-    err << describe(failure) << ": " << failure.what() << "\n";
+    err << failure_text(failure) << ": " << failure.what() << "\n";
     Json::Value const& data = failure.data();
     if (!data.isObject())
         return;
--- a/src/ctl_options.cpp
+++ b/src/ctl_options.cpp
@@ -45,16 +45,17 @@
         "  mulberryctl check declaration.jsonc vm.jsonc\n"},
     command_spec{
         "explain", "REQUEST FILE...", 2, unlimited, true,
-        "tell from logs why a request ended as it did",
+        "show from logs why a request ended as it did",
         "Reads the structured logs of one or more VMs and prints the lines "
-        "that name the\nrequest, in order, each with what its VM then believed "
-        "of the worker, the\nconfiguration, its lease and its store. Exit "
-        "status 1 when no line names it.\n\n"
+        "that name the\nrequest, in order, each with its VM's view of the "
+        "worker, "
+        "the configuration, its\nlease and its store at that time. Exit "
+        "status 1 when no line names the request.\n\n"
         "Example:\n"
         "  mulberryctl explain 9c41d07be2a35f68 vm-1.log vm-2.log\n"},
     command_spec{
         "team", "FILE...", 1, unlimited, true,
-        "tell which team holds a key, and since when",
+        "show which team holds a key, and since when",
         "Reads a key from standard input, and one or more versions of the "
         "platform's\nconfiguration, each FILE the text of its row in the "
         "store. Prints the team that\nholds the key in the newest of them, "
@@ -71,28 +72,29 @@
         "Sends the declaration to the system, which answers what would change, "
         "which\nadapters would be loaded and evicted, how long that takes and "
         "whether it fits.\nNothing changes until you confirm. With --output "
-        "the plan is kept in a file,\nwhich is what `confirm` takes.\n\n"
+        "the plan is saved to a file,\nwhich `confirm` needs.\n\n"
         "Example:\n"
         "  mulberryctl plan declaration.jsonc --output plan.json \\\n"
         "      --operators 10.0.0.11:9200 --key-file operators.key\n"},
     command_spec{
         "confirm", "PLANFILE", 1, 1, false, "put a plan in force",
-        "Confirms a plan that `plan --output` has kept. It is refused when "
-        "the\nconfiguration was changed since the plan was made; then plan "
-        "again. If the\nanswer is lost, the configuration is read back to find "
-        "out whether it is in\nforce; a confirm is never sent twice.\n\n"
+        "Confirms a plan that `plan --output` has saved. The plan is refused "
+        "when the\nconfiguration has changed since the plan was made; then "
+        "plan again. If the\nanswer is lost, the configuration is read back to "
+        "find out whether the plan is in\nforce; a confirm is never sent "
+        "twice.\n\n"
         "Example:\n"
         "  mulberryctl confirm plan.json --operators 10.0.0.11:9200 \\\n"
         "      --key-file operators.key\n"},
     command_spec{"status", "", 0, 0, false,
                  "show VMs, workers and resident adapters",
-                 "Shows what one VM knows of itself; with --all, every VM.\n\n"
+                 "Shows the state of one VM; with --all, of every VM.\n\n"
                  "Example:\n"
                  "  mulberryctl status --all --operators 10.0.0.11:9200 \\\n"
                  "      --key-file operators.key\n"},
     command_spec{
         "configuration", "", 0, 0, false, "print the confirmed declaration",
-        "Prints the confirmed declaration as a file that `plan` takes.\n\n"
+        "Prints the confirmed declaration as a file that `plan` accepts.\n\n"
         "Example:\n"
         "  mulberryctl configuration --operators 10.0.0.11:9200 \\\n"
         "      --key-file operators.key > declaration.jsonc\n"},
@@ -106,14 +108,14 @@
     command_spec{
         "drain", "VM", 1, 1, false, "let a VM finish its work and leave",
         "The VM takes no new work and finishes what it has. With --wait the "
-        "tool comes\nback when it has left.\n\n"
+        "tool returns\nwhen the VM has left.\n\n"
         "Example:\n"
         "  mulberryctl drain vm-3 --wait --operators 10.0.0.11:9200 \\\n"
         "      --key-file operators.key\n"},
     command_spec{
         "timeline", "", 0, 0, false, "show the events of all VMs in order",
         "Prints the newest events of all VMs in causal order; with --follow "
-        "it goes on\nuntil you stop it with Ctrl-C.\n\n"
+        "it prints\nnew events until you stop it with Ctrl-C.\n\n"
         "Example:\n"
         "  mulberryctl timeline --follow --operators 10.0.0.11:9200 \\\n"
         "      --key-file operators.key\n"},
@@ -170,15 +172,15 @@
     auto add = options.add_options();
     if (command == "plan")
         add("output", po::value<std::string>(),
-            "keep the plan in this file, for `confirm`");
+            "save the plan to this file, for `confirm`");
     if (command == "status")
         add("all", "ask every VM");
     if (command == "drain")
-        add("wait", "come back when the VM has left")(
+        add("wait", "return when the VM has left")(
             "wait-ms", po::value<std::int64_t>(),
             "with --wait: give up after this long (default 900000)");
     if (command == "timeline")
-        add("follow", "go on with new events until stopped")(
+        add("follow", "keep printing new events until stopped")(
             "limit", po::value<std::int64_t>(),
             "show only this many of the newest events (default 200)");
     if (command == "team")
@@ -221,15 +223,14 @@
 }
 
 std::int64_t positive_option(po::variables_map const& found, char const* name,
-                             std::int64_t default_value,
-                             std::int64_t max_arguments)
+                             std::int64_t default_value, std::int64_t max_value)
 {
     if (found.count(name) == 0)
         return default_value;
     auto const value = found[name].as<std::int64_t>();
-    if (value < 1 || value > max_arguments)
+    if (value < 1 || value > max_value)
         throw usage_failure(
-            fmt::format("--{} must be from 1 to {}", name, max_arguments));
+            fmt::format("--{} must be from 1 to {}", name, max_value));
     return value;
 }
 
--- a/tests/operator_client_test.cpp
+++ b/tests/operator_client_test.cpp
@@ -70,11 +70,12 @@
         return {client, {first.address(), second.address()}, key, 20s};
     }
 
-    operator_call_failure failure(rpc_operator_client client, resend lost)
+    operator_call_failure failure(rpc_operator_client client,
+                                  resend on_lost_answer)
     {
         try
         {
-            client.call("confirm", Json::objectValue, lost);
+            client.call("confirm", Json::objectValue, on_lost_answer);
         }
         catch (operator_call_failure const& seen)
         {
