--- a/src/request_trace.hpp
+++ b/src/request_trace.hpp
@@ -22,7 +22,8 @@
     /// Identifies the request's content, the same in all attempts with that
     /// content; empty where the line does not name it.
     std::string content;
-    /// The members that have no field of their own here, as NAME=VALUE.
+    /// The members that are specific to the event, including `content`, as
+    /// NAME=VALUE.
     std::vector<std::string> details;
     friend bool operator==(log_line const&, log_line const&) = default;
 };
@@ -41,8 +42,8 @@
 std::vector<log_line> trace_request(std::string const& request,
                                     std::vector<log_line> lines);
 
-/// The line as text: time, VM, event, worker and details. Neither the request
-/// nor a line end is included.
+/// The line as text without a line end: time, VM, event, worker and details;
+/// `request` is not shown.
 std::string to_text(log_line const& line);
 
 } // namespace mulberry
