--- a/standins/batch_scheduler.cpp
+++ b/standins/batch_scheduler.cpp
@@ -63,7 +63,8 @@
     for (running_job& running : running_)
     {
         std::size_t const from = running.made;
-        // A late wake-up makes the tokens missed, so that the pace holds.
+        // Generates all tokens due since a late wake-up, so that the token
+        // rate is kept.
         while (running.due <= now && running.made < running.tokens)
         {
             ++running.made;
@@ -94,7 +95,7 @@
 void batch_scheduler::hold(bool held, steady_time now)
 {
     held_ = held;
-    // Tokens held back are not made up for.
+    // Tokens missed during a pause are not generated at once afterwards.
     for (running_job& running : running_)
         running.due = std::max(running.due, now);
 }
--- a/standins/batch_scheduler.hpp
+++ b/standins/batch_scheduler.hpp
@@ -1,5 +1,5 @@
-/// Continuous batching: a few jobs run at once, each making its tokens at the
-/// engine's pace; the rest wait by priority, then arrival.
+/// Continuous batching: a limited number of jobs run at once, each generating
+/// tokens at the engine's rate; the other jobs wait by priority, then arrival.
 #ifndef MULBERRY_BATCH_SCHEDULER_HPP
 #define MULBERRY_BATCH_SCHEDULER_HPP
 
@@ -17,7 +17,7 @@
 namespace mulberry::standins
 {
 
-/// Rises with arrival.
+/// Increases in the order of arrival.
 enum class job_id : std::uint64_t
 {
 };
@@ -29,7 +29,8 @@
     std::chrono::microseconds token_time{20'000};
 };
 
-/// The job's tokens [from, to) were made; from == to: it got its slot.
+/// The job generated tokens [from, to); from == to means that the job got a
+/// slot.
 struct batch_step
 {
     job_id job{};
@@ -39,29 +40,33 @@
     friend bool operator==(batch_step const&, batch_step const&) = default;
 };
 
-/// Not thread safe; the caller brings the time, which never goes back.
+/// Not thread safe; the caller passes the time, which must not decrease.
 class batch_scheduler
 {
 public:
-    /// How long the job's first token takes; asked when the job gets a slot.
+    /// Returns the time until the job's first token; called when the job gets a
+    /// slot.
     using prefill_time = std::function<std::chrono::microseconds(job_id)>;
 
     batch_scheduler(batch_settings settings, prefill_time prefill);
 
-    /// False if all slots are taken and the queue is full. A job starts at
-    /// the next advance(). Precondition: tokens is positive.
+    /// Queues a job, which starts at the next advance() if a slot is free.
+    /// Returns false if all slots are taken and the queue is full.
+    /// Precondition: tokens is positive.
     bool admit(job_id job, int priority, std::size_t tokens);
-    /// Takes out a job that waits or runs; others are ignored.
+    /// Removes a waiting or running job; ignores unknown jobs.
     void remove(job_id job);
     void clear();
-    /// What has come due since the last call, in order. A job leaves with its
-    /// last token.
+    /// Returns the steps that have come due since the last call, in order. A
+    /// job is removed after its last token.
     std::vector<batch_step> advance(steady_time now);
-    /// When advance() will next have something to say.
+    /// Returns when advance() will next return a step; nullopt while held or if
+    /// no job runs.
     std::optional<steady_time> next_due() const;
 
     void set_token_time(std::chrono::microseconds token_time);
-    /// While held, running jobs make no token.
+    /// Pauses or resumes token generation of the running jobs. Tokens missed
+    /// during a pause are not generated at once afterwards.
     void hold(bool held, steady_time now);
 
     std::size_t running() const { return running_.size(); }
@@ -82,7 +87,7 @@
     batch_settings settings_;
     prefill_time prefill_;
     bool held_ = false;
-    /// By falling priority, then arrival.
+    /// Ordered by decreasing priority, then arrival.
     std::map<std::pair<int, job_id>, std::size_t> waiting_;
     std::vector<running_job> running_;
 };
--- a/standins/completion_text.cpp
+++ b/standins/completion_text.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Tokens are made up, so any fixed ratio will do.
+/// The stand-in has no tokenizer; any fixed ratio serves for the usage counts.
 constexpr std::size_t bytes_of_prompt_token = 4;
 
 } // namespace
@@ -43,7 +43,8 @@
     fmt::format_to(std::back_inserter(out),
                    R"(data: {{{},"offset":{},"choices":[{{"index":0,)", names_,
                    offset);
-    // A token is of letters, digits, colon and space: it needs no escapes.
+    // Tokens consist of letters, digits, colon and space, which need no JSON
+    // escapes.
     out += kind_ == completion_kind::chat ? R"("delta":{"content":")"
                                           : R"("text":")";
     out += text_.token(offset);
--- a/standins/completion_text.hpp
+++ b/standins/completion_text.hpp
@@ -1,4 +1,4 @@
-/// One completion as it goes over the wire, whole or as server-sent events.
+/// A completion as sent to the client: one JSON body or server-sent events.
 #ifndef MULBERRY_COMPLETION_TEXT_HPP
 #define MULBERRY_COMPLETION_TEXT_HPP
 
@@ -17,22 +17,22 @@
     chat
 };
 
-/// Makes any range of a stream's events anew, so that resumable streams need
-/// no memory of what they sent.
+/// Generates any range of a stream's events on demand, so that resumable
+/// streams need not store the events that were sent.
 class completion_text
 {
 public:
-    /// `model` is the engine name that the answer bears. Precondition: tokens
+    /// `model` is the engine name written into the answer. Precondition: tokens
     /// is positive.
     completion_text(completion_kind kind, std::string_view id,
                     std::string_view model, std::string_view prompt,
                     std::size_t tokens);
 
     std::size_t tokens() const { return tokens_; }
-    /// The events with offsets in [from, to); ends with [DONE] if `to` is the
-    /// number of tokens.
+    /// Returns the events with offsets in [from, to), followed by [DONE] if
+    /// `to` is the number of tokens.
     std::string events(std::size_t from, std::size_t to) const;
-    /// The body of an answer that is not streamed.
+    /// Returns the body of an answer that is not streamed.
     std::string body() const;
 
 private:
@@ -43,7 +43,7 @@
     token_text text_;
     std::size_t tokens_;
     std::size_t prompt_tokens_;
-    /// The members "id" and "model".
+    /// The JSON members "id" and "model".
     std::string names_;
 };
 
--- a/standins/event_log.hpp
+++ b/standins/event_log.hpp
@@ -11,17 +11,18 @@
 namespace mulberry::standins
 {
 
-/// Not thread safe.
+/// Not thread safe. The oldest event is dropped when the log is full.
 class event_log
 {
 public:
     static constexpr std::size_t page_limit = 10'000;
 
     explicit event_log(std::size_t capacity = 1'000'000);
-    /// Takes the members of a JSON object without its braces; the oldest
-    /// event goes when the log is full. Returns the event's number, from 1.
+    /// Appends an event given as the members of a JSON object without braces.
+    /// Returns the event's number; numbers start at 1.
     std::uint64_t append(std::string_view members);
-    /// {"events": [...]}: up to page_limit events numbered above `after`.
+    /// Returns {"events": [...]}: up to page_limit events numbered above
+    /// `after`.
     std::string page(std::uint64_t after) const;
 
 private:
--- a/standins/fault_counts.hpp
+++ b/standins/fault_counts.hpp
@@ -1,4 +1,5 @@
-/// Faults ordered through the control listener for the next N occasions.
+/// Counts of faults to inject on the next N occasions, set through the control
+/// requests.
 #ifndef MULBERRY_FAULT_COUNTS_HPP
 #define MULBERRY_FAULT_COUNTS_HPP
 
@@ -17,9 +18,9 @@
 {
 public:
     explicit fault_counts(std::initializer_list<std::string_view> names);
-    /// Sets the counts that the order names; the other members are ignored.
+    /// Sets the counts of the faults named in `order`; ignores other members.
     void set(Json::Value const& order);
-    /// True if one occasion was left, which is then used up.
+    /// Returns true and decrements the fault's count if the count is above 0.
     bool take(std::string_view name);
 
 private:
--- a/standins/json_text.hpp
+++ b/standins/json_text.hpp
@@ -23,12 +23,13 @@
 /// Parses a JSON object; comments are allowed. Throws bad_request.
 Json::Value parse_object(std::string_view text);
 std::string to_text(Json::Value const& value);
-/// The text as a JSON string, quotes included.
+/// Returns the text as a JSON string literal with quotes.
 std::string quoted(std::string_view text);
 http_response reply(int status, Json::Value const& body);
-/// {"error": {"code": ...}}
+/// Returns a response with the body {"error": {"code": ...}}.
 http_response error_reply(int status, std::string_view code);
-/// A non-negative number of the query, 0 if absent. Throws bad_request.
+/// Returns a query parameter as a non-negative number, 0 if absent. Throws
+/// bad_request if the value is not a number.
 std::uint64_t number_parameter(http_request const& request,
                                std::string_view name);
 
--- a/standins/prefix_cache.hpp
+++ b/standins/prefix_cache.hpp
@@ -1,5 +1,5 @@
-/// An engine's cache of prompt prefixes and the events that tell of it, late
-/// and with gaps.
+/// An engine's cache of prompt prefixes. The cache's events become visible
+/// after a delay, and some of them are lost.
 #ifndef MULBERRY_PREFIX_CACHE_HPP
 #define MULBERRY_PREFIX_CACHE_HPP
 
@@ -19,20 +19,22 @@
 {
     std::size_t slots = 64;
     std::chrono::milliseconds event_lag{200};
-    /// Every that many-th event is lost; 0 for none.
+    /// One of every `lose_every` events is lost; 0 loses none.
     std::uint64_t lose_every = 10;
 };
 
-/// Not thread safe; the caller brings the time, which never goes back.
+/// Not thread safe; the caller passes the time, which must not decrease.
 class prefix_cache
 {
 public:
     explicit prefix_cache(prefix_settings settings);
-    /// Uses a prefix, which drops the one unused for longest if there is no
-    /// room. True if it was cached already.
+    /// Marks a prefix as used and caches the prefix, evicting the least
+    /// recently used prefix if the cache is full. Returns whether the prefix
+    /// was already cached.
     bool use(std::string const& prefix, steady_time now);
     void clear();
-    /// {"events": [...]} numbered above `after` and old enough to be seen.
+    /// Returns {"events": [...]}: the events numbered above `after` that are at
+    /// least `event_lag` old.
     std::string events(std::uint64_t after, steady_time now) const;
 
 private:
@@ -47,7 +49,7 @@
     void publish(bool stored, std::string const& prefix, steady_time now);
 
     prefix_settings settings_;
-    /// The latest used first; a few dozen, so a search is cheap.
+    /// Most recently used first; a linear search suffices for a few dozen.
     std::list<std::string> prefixes_;
     std::uint64_t last_number_ = 0;
     std::deque<event> events_;
--- a/standins/worker_names.cpp
+++ b/standins/worker_names.cpp
@@ -17,7 +17,7 @@
     char const* const end = text.data() + text.size();
     auto const [stopped, error] = std::from_chars(text.data(), end, count);
     if (error != std::errc{} || stopped != end || count == 0 || count > 999)
-        throw bad_option("not a number of workers: '" + text + "'");
+        throw bad_option("invalid number of workers: '" + text + "'");
     return count;
 }
 
@@ -31,7 +31,7 @@
         std::size_t const colon = pattern.find(':');
         std::string const name = pattern.substr(0, colon);
         if (name.empty() || name.find('/') != std::string::npos)
-            throw bad_option("not a worker's name: '" + name + "'");
+            throw bad_option("invalid worker name: '" + name + "'");
         if (colon == std::string::npos)
         {
             names.push_back(name);
--- a/standins/worker_names.hpp
+++ b/standins/worker_names.hpp
@@ -1,4 +1,4 @@
-/// Names of the workers that one stand-in process plays.
+/// Names of the workers that one stand-in process simulates.
 #ifndef MULBERRY_WORKER_NAMES_HPP
 #define MULBERRY_WORKER_NAMES_HPP
 
@@ -9,14 +9,14 @@
 namespace mulberry::standins
 {
 
-/// NAME stands for itself, NAME:COUNT for NAME-01 to NAME-COUNT. Throws
-/// bad_option.
+/// Expands NAME:COUNT to NAME-01 ... NAME-COUNT and keeps a plain NAME. Throws
+/// bad_option if a count or name is invalid.
 std::vector<std::string> worker_names(std::vector<std::string> const& patterns);
 
 struct worker_path
 {
     std::string worker;
-    /// With its leading slash.
+    /// The remaining path with its leading slash.
     std::string rest;
 };
 
