--- a/standins/engine_settings.cpp
+++ b/standins/engine_settings.cpp
@@ -23,7 +23,7 @@
     return std::chrono::milliseconds(values[name].as<unsigned>());
 }
 
-/// What the command line says of every worker.
+/// The settings from the command line that apply to every worker.
 engine_settings common_settings(po::variables_map const& values)
 {
     engine_settings settings;
@@ -44,7 +44,7 @@
     return settings;
 }
 
-/// The members that a worker's entry in the file may have.
+/// The members allowed in a worker's entry of the configuration file.
 void apply_entry(Json::Value const& entry, engine_settings& settings)
 {
     auto const size = [&entry](char const* name, std::size_t standard)
@@ -98,14 +98,15 @@
 void check(std::vector<engine_settings> const& workers)
 {
     if (workers.empty())
-        throw bad_option("needs --workers or --config");
+        throw bad_option("--workers or --config is required");
     std::set<std::string> names;
     for (engine_settings const& worker : workers)
     {
         if (worker.name.empty() || !names.insert(worker.name).second)
-            throw bad_option("needs one name a worker: '" + worker.name + "'");
+            throw bad_option("worker name is empty or not unique: '" +
+                             worker.name + "'");
         if (worker.batch.slots == 0)
-            throw bad_option("a worker needs a batch slot");
+            throw bad_option("a worker needs at least one batch slot");
     }
 }
 
@@ -114,7 +115,7 @@
 std::chrono::microseconds from_milliseconds(double milliseconds)
 {
     if (milliseconds < 0)
-        throw bad_request("a time below 0");
+        throw bad_request("a time must not be negative");
     return std::chrono::duration_cast<std::chrono::microseconds>(
         std::chrono::duration<double, std::milli>(milliseconds));
 }
--- a/standins/engine_settings.hpp
+++ b/standins/engine_settings.hpp
@@ -1,4 +1,4 @@
-/// The workers that a fake engine process plays.
+/// Settings of the workers that a fake engine process simulates.
 #ifndef MULBERRY_ENGINE_SETTINGS_HPP
 #define MULBERRY_ENGINE_SETTINGS_HPP
 
@@ -30,11 +30,12 @@
     bool checks_fence = false;
 };
 
-/// Fractions count down to the microsecond.
+/// Converts with a resolution of one microsecond.
 std::chrono::microseconds from_milliseconds(double milliseconds);
 
 void add_engine_options(boost::program_options::options_description& options);
-/// All workers of the command line and its file. Throws bad_option.
+/// Returns all workers of the command line and of its configuration file.
+/// Throws bad_option.
 std::vector<engine_settings>
 engine_workers(boost::program_options::variables_map const& values);
 
--- a/standins/engine_streams.cpp
+++ b/standins/engine_streams.cpp
@@ -10,13 +10,13 @@
 namespace
 {
 
-/// A resumable stream runs on for that long without a reader.
+/// How long a resumable stream continues without a reader.
 constexpr std::chrono::seconds reader_grace{10};
 constexpr std::chrono::seconds over_kept{30};
 constexpr std::size_t over_limit = 20'000;
-/// Faults strike after that many events.
+/// Number of events delivered before an injected fault takes effect.
 constexpr std::size_t events_before_fault = 2;
-/// A cached prefix shortens the prefill that many times.
+/// The prefill time is divided by this factor if the prefix is cached.
 constexpr int cached_prefill_gain = 4;
 
 steady_time now()
@@ -129,7 +129,7 @@
 
 void engine_streams::pump()
 {
-    // A stream that ends before its time frees a slot for the next.
+    // A step may end a stream early, which frees a slot for a waiting job.
     for (auto steps = scheduler_.advance(now()); !steps.empty();
          steps = scheduler_.advance(now()))
     {
--- a/standins/engine_streams.hpp
+++ b/standins/engine_streams.hpp
@@ -1,5 +1,5 @@
-/// The completions of one engine worker, from admission until they are
-/// forgotten.
+/// The completions of one engine worker, from admission until their records
+/// expire.
 #ifndef MULBERRY_ENGINE_STREAMS_HPP
 #define MULBERRY_ENGINE_STREAMS_HPP
 
@@ -23,13 +23,13 @@
 namespace mulberry::standins
 {
 
-/// What happens to a stream after its second event.
+/// The fault injected into a stream after its second event.
 enum class stream_fault
 {
     none,
-    /// Its reader hears nothing more; the stream itself goes on.
+    /// The reader receives nothing more; the stream itself continues.
     hang,
-    /// Its reader is cut.
+    /// The reader's connection is closed.
     drop
 };
 
@@ -37,7 +37,7 @@
 {
     engine_call call;
     completion_text text;
-    /// Of the answer.
+    /// The headers of the answer.
     http_headers headers;
     std::string prefix{};
     int priority = 5;
@@ -55,16 +55,18 @@
     engine_streams(engine_settings const& settings, engine_journal& journal,
                    standin_loop& loop);
 
-    /// False if the queue is full; nothing is answered then.
+    /// Starts a completion. Returns false without answering if the queue is
+    /// full.
     bool start(completion_order order, answer_ptr const& reader);
-    /// Takes a stream over from its earlier reader. False if it is unknown.
+    /// Continues a stream with a new reader and disconnects the earlier reader.
+    /// Returns false if the stream is unknown.
     bool resume(std::string const& request, std::size_t offset,
                 http_headers headers, answer_ptr const& reader);
-    /// False if it is over or unknown.
+    /// Returns false if the stream is complete or unknown.
     bool cancel(std::string const& request);
-    /// Ends everything in flight under that name.
+    /// Aborts every stream in flight for the engine name.
     void cut_name(std::string const& name);
-    /// Forgets everything, as a restart does.
+    /// Aborts all streams and clears the prefix cache, as a restart does.
     void cut_all();
     void control(Json::Value const& order);
 
@@ -77,13 +79,13 @@
     {
         completion_order order;
         bool over = false;
-        /// The reader has the head of its response.
+        /// The response headers were sent to the reader.
         bool begun = false;
         std::size_t made = 0;
-        /// The first offset that the reader wants.
+        /// The first offset to send to the reader.
         std::size_t from = 0;
-        /// Rises with each reader, so that late news of an earlier one is
-        /// known for what it is.
+        /// Incremented for each reader, so that late notifications about an
+        /// earlier reader are recognised.
         std::uint64_t reader_number = 0;
         answer_ptr reader{};
     };
@@ -98,7 +100,7 @@
     void apply_fault(stream_map::iterator found, std::size_t from);
     void finish(stream_map::iterator found);
     void reader_closed(job_id job, std::uint64_t reader_number);
-    /// Precondition: it has no reader.
+    /// Precondition: the stream has no reader.
     void lose_reader(stream_map::iterator found);
     void expire(job_id job, std::uint64_t reader_number);
     void end(stream_map::iterator found, std::string_view kind);
@@ -117,9 +119,10 @@
     stream_map streams_;
     /// The latest stream of each request id.
     std::map<std::string, job_id> jobs_;
-    /// Streams that are over, kept for readers that come back.
+    /// Complete streams, kept for readers that reconnect.
     std::deque<std::pair<steady_time, job_id>> over_;
-    /// Kept until their clients go, since dropping one closes its connection.
+    /// Answers of hanging streams, kept until their clients disconnect, since
+    /// destroying an answer closes its connection.
     std::map<std::pair<job_id, std::uint64_t>, answer_ptr> silent_readers_;
 };
 
--- a/standins/engine_worker.cpp
+++ b/standins/engine_worker.cpp
@@ -17,7 +17,8 @@
 constexpr std::size_t default_tokens = 16;
 constexpr std::size_t most_tokens = 100'000;
 constexpr int default_priority = 5;
-/// Streams this short would be over before a stream fault strikes.
+/// Minimum length of a stream for an injected fault; shorter streams would be
+/// complete before the fault takes effect.
 constexpr std::size_t tokens_for_fault = 3;
 constexpr std::string_view wrong_model_name = "another-adapter@1#0";
 constexpr std::chrono::minutes fetch_limit{10};
@@ -33,7 +34,7 @@
     char const* const end = text.data() + text.size();
     auto const [stopped, error] = std::from_chars(text.data(), end, fence);
     if (!text.empty() && (error != std::errc{} || stopped != end))
-        throw bad_request("X-Fencing-Number is no number");
+        throw bad_request("X-Fencing-Number is not a number");
     return fence;
 }
 
@@ -48,16 +49,16 @@
     if (kind == completion_kind::text)
     {
         if (!body["prompt"].isString())
-            throw bad_request("prompt must be a text");
+            throw bad_request("prompt must be a string");
         return body["prompt"].asString();
     }
     if (!body["messages"].isArray() || body["messages"].empty())
-        throw bad_request("messages must be a list");
+        throw bad_request("messages must be a non-empty array");
     std::string prompt;
     for (Json::Value const& message : body["messages"])
     {
         if (!message["content"].isString())
-            throw bad_request("content must be a text");
+            throw bad_request("content must be a string");
         prompt += (prompt.empty() ? "" : "\n") + message["content"].asString();
     }
     return prompt;
@@ -75,11 +76,11 @@
 std::string text_member(Json::Value const& body, char const* name)
 {
     if (!body[name].isString() || body[name].asString().empty())
-        throw bad_request(std::string("needs a text: ") + name);
+        throw bad_request(std::string("missing or not a string: ") + name);
     return body[name].asString();
 }
 
-/// Tells how a fetch from the weight store ended.
+/// Reports whether a fetch from the weight store succeeded.
 class weight_fetch : public http_call_observer
 {
 public:
--- a/standins/engine_worker.hpp
+++ b/standins/engine_worker.hpp
@@ -23,10 +23,11 @@
 namespace mulberry::standins
 {
 
-/// The faults of a worker that come in numbers.
+/// Returns the faults that can be injected into a worker a given number of
+/// times.
 fault_counts engine_faults();
 
-/// What the workers of one process have in common.
+/// State shared by the workers of one process.
 struct engine_process
 {
     standin_loop& loop;
@@ -34,7 +35,7 @@
     std::string weights_url;
     http_client client{};
     event_log history{};
-    /// Those ordered for "*": N in all, not N a worker.
+    /// Faults ordered for "*": N over all workers, not N for each worker.
     fault_counts faults = engine_faults();
 };
 
@@ -43,9 +44,10 @@
 {
 public:
     engine_worker(engine_settings const& settings, engine_process& process);
-    /// `path` is what follows the worker's name. Throws bad_request.
+    /// `path` is the part of the request's path after the worker's name. Throws
+    /// bad_request.
     void handle(standin_request const& request, std::string const& path);
-    /// Everything but the counted faults.
+    /// Applies a control request except for the counted faults.
     void control(Json::Value const& order);
     fault_counts& faults() { return faults_; }
 
@@ -54,7 +56,7 @@
     {
         std::size_t running = 0;
         std::size_t waiting = 0;
-        /// Each with the requests in flight under its name.
+        /// Engine names with their numbers of requests in flight.
         std::vector<std::pair<std::string, std::size_t>> adapters;
         steady_time at;
     };
@@ -98,7 +100,8 @@
     load_report report_;
     loop_timer report_timer_;
     std::uint64_t highest_fence_ = 0;
-    /// Loads bear it, so that one begun before a restart ends in nothing.
+    /// Incremented by each restart; the result of a load that was started
+    /// before a restart is ignored.
     std::uint64_t boot_ = 0;
     std::uint64_t unnamed_requests_ = 0;
     std::string boot_id_;
--- a/standins/fake_engine.cpp
+++ b/standins/fake_engine.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// The workers by name, behind one port.
+/// Serves all workers of the process on one port.
 class engine_service : public standin_service
 {
 public:
@@ -65,7 +65,7 @@
         {
             auto const found = workers_.find(name);
             if (found == workers_.end())
-                throw bad_request("no such worker");
+                throw bad_request("unknown worker");
             found->second.faults().set(order);
             found->second.control(order);
         }
