--- a/standins/fake_service.cpp
+++ b/standins/fake_service.cpp
@@ -16,8 +16,8 @@
 namespace
 {
 
-/// Plain workers that record each call that ran. None looks at the
-/// idempotency key, so that a doubled call shows as two events.
+/// Simulates plain workers and records each executed call. The workers ignore
+/// the idempotency key, so that a duplicate call shows as two events.
 class plain_service : public standin_service
 {
 public:
@@ -97,7 +97,8 @@
     fault_counts faults_{"hang_after_run", "hang_before_run", "drop_after_run"};
     bool hold_run_ = false;
     std::vector<standin_request> held_;
-    /// Kept, since dropping an answer would close its connection.
+    /// Answers of hanging calls, kept since destroying an answer would close
+    /// its connection.
     std::vector<std::shared_ptr<http_answer>> hung_;
 };
 
--- a/standins/platform_service.cpp
+++ b/standins/platform_service.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// The table's limits hold over any second but for this share of one.
+/// Burst of the table's rate limits, in seconds at the full rate.
 constexpr double burst_seconds = 0.25;
 
 constexpr std::string_view objects_path = "/objects/";
@@ -40,7 +40,7 @@
 std::string text_member(Json::Value const& object, char const* name)
 {
     if (!object[name].isString())
-        throw bad_request(std::string("needs a text: ") + name);
+        throw bad_request(std::string("missing or not a string: ") + name);
     return object[name].asString();
 }
 
@@ -128,7 +128,7 @@
         return part::weights;
     if (name == "list")
         return part::list;
-    throw bad_request("no such part");
+    throw bad_request("unknown part of the platform");
 }
 
 void platform_service::set_down(Json::Value const& order)
@@ -161,11 +161,11 @@
         std::string const state =
             text_member(parse_object(request.http.body), "state");
         if (state != "live" && state != "leaving")
-            throw bad_request("no such state");
+            throw bad_request("unknown VM state");
         change.value = state;
     }
     else if (request.http.method != "DELETE")
-        throw bad_request("PUT or DELETE");
+        throw bad_request("the method must be PUT or DELETE");
     vms_.transact({}, {change}, now());
     request.answer->respond(json_response(200, "{}"));
 }
@@ -238,7 +238,7 @@
 {
     std::optional<std::string> const key = request.http.parameter("key");
     if (!key)
-        throw bad_request("needs a key");
+        throw bad_request("a key is required");
     if (!admit_read())
         return answer(part::table, request.answer,
                       error_reply(429, "too_many_requests"));
--- a/standins/platform_service.hpp
+++ b/standins/platform_service.hpp
@@ -1,4 +1,5 @@
-/// The platform's parts over HTTP: table, objects, weights, list of VMs.
+/// Serves the platform's table, object store, weight store and list of VMs over
+/// HTTP.
 #ifndef MULBERRY_PLATFORM_SERVICE_HPP
 #define MULBERRY_PLATFORM_SERVICE_HPP
 
--- a/standins/table_store.hpp
+++ b/standins/table_store.hpp
@@ -1,4 +1,4 @@
-/// The table service's rows, with the past that lagging reads answer from.
+/// The table service's rows, with the history needed for stale reads.
 #ifndef MULBERRY_TABLE_STORE_HPP
 #define MULBERRY_TABLE_STORE_HPP
 
@@ -19,14 +19,14 @@
 struct row_condition
 {
     std::string key;
-    /// 0 for absent.
+    /// 0 requires that the row does not exist.
     std::uint64_t version = 0;
 };
 
 struct row_write
 {
     std::string key;
-    /// Nothing deletes the row.
+    /// nullopt deletes the row.
     std::optional<std::string> value;
 };
 
@@ -42,27 +42,29 @@
 struct transact_result
 {
     bool applied = false;
-    /// Of the writes; those of the conditions if a condition failed or
-    /// nothing was written.
+    /// The written rows; if a condition failed or there were no writes, the
+    /// current rows of the conditions.
     std::vector<table_row> rows;
 };
 
-/// Not thread safe; the caller brings the time, which never goes back.
+/// Not thread safe; the caller passes the time, which must not decrease.
 class table_store
 {
 public:
-    /// The longest lag that reads may ask for.
+    /// The maximum staleness that a read may ask for.
     static constexpr std::chrono::seconds history_kept{120};
 
-    /// All or nothing. A written row's version is higher than every earlier
-    /// one of the table; that of a deleted row is 0.
+    /// Applies all writes if every condition holds, otherwise none. A written
+    /// row's version is higher than every earlier version in the table; a
+    /// deleted row is returned with version 0.
     transact_result transact(std::vector<row_condition> const& conditions,
                              std::vector<row_write> const& writes,
                              steady_time now);
-    /// The row as it was at that moment.
+    /// Returns the row as of `moment`; nullopt if the row did not exist then.
     std::optional<table_row> read(std::string const& key,
                                   steady_time moment) const;
-    /// The rows whose keys begin so, in key order, as they were.
+    /// Returns the rows whose keys start with `prefix` as of `moment`, in key
+    /// order.
     std::vector<table_row> scan(std::string_view prefix,
                                 steady_time moment) const;
 
--- a/standins/token_bucket.hpp
+++ b/standins/token_bucket.hpp
@@ -9,14 +9,15 @@
 
 using steady_time = std::chrono::steady_clock::time_point;
 
-/// Not thread safe; the caller brings the time.
+/// Not thread safe; the caller passes the time.
 class token_bucket
 {
 public:
     /// Precondition: both are positive.
     token_bucket(double per_second, double burst);
-    /// Takes that many if any is left. One large take may leave a debt, since
-    /// it could never pass otherwise.
+    /// Takes `amount` tokens and returns true if at least min(amount, 1) tokens
+    /// are left. The balance may become negative, since an amount larger than
+    /// the burst could never be taken otherwise.
     bool take(steady_time now, double amount = 1);
 
 private:
--- a/standins/weight_gate.cpp
+++ b/standins/weight_gate.cpp
@@ -9,7 +9,7 @@
 
 using seconds = std::chrono::duration<double>;
 
-/// Rounding of times may leave a load a hair short of its end.
+/// In seconds of work; rounding may leave a load slightly short of its end.
 constexpr double tolerance = 1e-6;
 
 } // namespace
--- a/standins/weight_gate.hpp
+++ b/standins/weight_gate.hpp
@@ -1,5 +1,5 @@
-/// The weight store's limits: a rate beyond which loads are refused, a width
-/// beyond which all loads under way share its speed.
+/// The weight store's limits: a rate above which loads are refused, and a
+/// number of concurrent loads above which all loads share the bandwidth.
 #ifndef MULBERRY_WEIGHT_GATE_HPP
 #define MULBERRY_WEIGHT_GATE_HPP
 
@@ -18,7 +18,7 @@
 {
     double loads_per_second = 9;
     std::size_t loads_at_once = 4;
-    /// Of one load at full speed.
+    /// Duration of one load at full speed.
     std::chrono::microseconds load_time{400'000};
 };
 
@@ -26,18 +26,20 @@
 {
 };
 
-/// Not thread safe; the caller brings the time, which never goes back.
+/// Not thread safe; the caller passes the time, which must not decrease.
 class weight_gate
 {
 public:
     explicit weight_gate(weight_limits limits);
-    /// Nothing if the load is beyond the rate.
+    /// Starts a load. Returns nullopt if the load exceeds the rate limit.
     std::optional<load_id> start(steady_time now);
-    /// The loads that are over by now, each named once.
+    /// Returns the loads completed since the last call.
     std::vector<load_id> finished(steady_time now);
-    /// When the next load will be over if nothing changes.
+    /// Returns when the next load will complete if no load starts and the speed
+    /// stays; nullopt if there is no load.
     std::optional<steady_time> next_finish() const;
-    /// Every load takes that many times as long. Precondition: factor > 0.
+    /// Makes every load take `factor` times as long, including the remainder of
+    /// loads in progress. Precondition: factor > 0.
     void slow_down(steady_time now, double factor);
 
 private:
@@ -49,9 +51,10 @@
     double slow_factor_ = 1;
     std::uint64_t last_id_ = 0;
     steady_time advanced_at_{};
-    /// Seconds of work done on each load that was under way all the time.
+    /// Seconds of full-speed work done so far on a load in progress since the
+    /// gate was created.
     double progress_ = 0;
-    /// Loads by the progress at which they are over.
+    /// Loads in progress by the value of progress_ at which they complete.
     std::multimap<double, load_id> ends_;
 };
 
