--- a/standins/fake_link.cpp
+++ b/standins/fake_link.cpp
@@ -51,7 +51,7 @@
             auto const [link, is_new] =
                 links_.try_emplace(option.name, loop, option.target);
             if (!is_new)
-                throw bad_option("two links named '" + option.name + "'");
+                throw bad_option("duplicate link name '" + option.name + "'");
             std::cout << "link " << option.name
                       << " 127.0.0.1:" << link->second.port() << std::endl;
         }
@@ -64,7 +64,7 @@
         Json::Value const order = parse_object(request.http.body);
         auto const found = links_.find(order["link"].asString());
         if (found == links_.end())
-            throw bad_request("no such link");
+            throw bad_request("unknown link");
         found->second.control(order);
         request.answer->respond(json_response(200, "{}"));
     }
--- a/standins/link_relay.cpp
+++ b/standins/link_relay.cpp
@@ -80,8 +80,8 @@
     if (!refused)
         return listen();
     acceptor_.close();
-    // A socket bound but not listening refuses connections in the kernel and
-    // keeps the port from other programs.
+    // The kernel refuses connections to a socket that is bound but not
+    // listening, and other programs cannot take the port.
     bind();
 }
 
--- a/standins/link_relay.hpp
+++ b/standins/link_relay.hpp
@@ -15,7 +15,8 @@
 namespace mulberry::standins
 {
 
-/// Only on the loop's thread, once the loop has started.
+/// Relays TCP connections from a local port to a target and injects network
+/// faults. Only on the loop's thread, after the loop has started.
 class link_relay
 {
 public:
--- a/standins/relay_connection.cpp
+++ b/standins/relay_connection.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Bytes under way in one direction before the sender has to wait.
+/// In bytes per direction; reading from the sender stops at this limit.
 constexpr std::size_t queue_limit = 1U << 20U;
 
 } // namespace
@@ -50,7 +50,7 @@
         way->timer.cancel();
         way->chunks.clear();
         way->queued = 0;
-        // Bytes that still come are read and dropped.
+        // Further bytes are read and dropped.
         read(*way);
     }
 }
@@ -103,7 +103,7 @@
     way.ended = true;
     if (silent_)
     {
-        // Neither end may learn that the other has gone.
+        // Neither end may notice that the other end has disconnected.
         return close_if_done();
     }
     if (error != asio::error::eof)
--- a/standins/relay_connection.hpp
+++ b/standins/relay_connection.hpp
@@ -15,7 +15,7 @@
 namespace mulberry::standins
 {
 
-/// What a link does to all its connections.
+/// Network faults that apply to all connections of a link.
 struct link_state
 {
     bool blocked = false;
@@ -28,20 +28,20 @@
 public:
     relay_connection(asio::ip::tcp::socket near,
                      std::shared_ptr<link_state const> state);
-    /// Connects onwards and begins to pass bytes.
+    /// Connects to the target and starts to relay bytes.
     void start(asio::ip::tcp::endpoint const& target);
-    /// Passes nothing more, though both ends keep their connections.
+    /// Drops all further bytes while both ends stay connected.
     void silence();
     void close();
     bool is_open() const { return near_.is_open(); }
-    /// Goes on after the link's block has ended.
+    /// Resumes relaying after `link_state::blocked` was reset.
     void unblock();
 
 private:
     struct chunk
     {
         std::chrono::steady_clock::time_point due;
-        /// Empty for the end of the stream.
+        /// Empty at the end of the stream.
         std::string bytes;
     };
     struct direction
--- a/standins/standin_loop.hpp
+++ b/standins/standin_loop.hpp
@@ -1,5 +1,5 @@
-/// The one thread on which a stand-in's state lives, so that its logic needs
-/// no locks.
+/// Event loop with one thread that owns all of a stand-in's state, so that the
+/// state needs no locks.
 #ifndef MULBERRY_STANDIN_LOOP_HPP
 #define MULBERRY_STANDIN_LOOP_HPP
 
@@ -26,9 +26,10 @@
     standin_loop(standin_loop const&) = delete;
     standin_loop& operator=(standin_loop const&) = delete;
 
-    /// Tasks posted before this wait for it.
+    /// Starts the thread. Tasks posted before start() run afterwards.
     void start();
-    /// Joins the thread; nothing runs any more. Not on the loop's thread.
+    /// Stops and joins the thread; no task runs afterwards. Must not be called
+    /// on the loop's thread.
     void stop();
     /// Drops every task that has not run. Precondition: stopped, and all
     /// sockets and timers of the loop are gone.
@@ -36,9 +37,9 @@
     /// Runs the task on the loop's thread. Thread safe. After stop() the task
     /// is dropped unrun.
     void post(loop_task task);
-    /// Runs the task after that long. Only on the loop's thread.
+    /// Runs the task after `delay`. Only on the loop's thread.
     void after(std::chrono::microseconds delay, loop_task task);
-    /// For sockets and timers of one's own.
+    /// For the caller's own sockets and timers.
     asio::io_context& context() { return *context_; }
 
 private:
@@ -48,15 +49,15 @@
     std::thread thread_;
 };
 
-/// One moment at which a task runs, moved at will. Only on the loop's thread;
-/// must go before the loop is cleared.
+/// A timer that runs a task and can be rearmed. Only on the loop's thread; must
+/// be destroyed before the loop is cleared.
 class loop_timer
 {
 public:
     loop_timer(standin_loop& loop, loop_task task);
     loop_timer(loop_timer const&) = delete;
     loop_timer& operator=(loop_timer const&) = delete;
-    /// Nothing disarms the timer.
+    /// Rearms the timer; nullopt disarms the timer.
     void set(std::optional<std::chrono::steady_clock::time_point> moment);
 
 private:
--- a/standins/standin_program.cpp
+++ b/standins/standin_program.cpp
@@ -34,7 +34,8 @@
     return all;
 }
 
-/// A client's mistake is answered, never allowed to end the stand-in.
+/// Answers a malformed request with 400, so that an exception does not end the
+/// stand-in.
 void handle_guarded(standin_service& service, standin_request const& request)
 {
     try
@@ -79,7 +80,8 @@
     loop.start();
     std::cout << "listening http://127.0.0.1:" << server.port() << std::endl;
     wait_for_end_signal();
-    // Answers still held refer to the server, so they go before it does.
+    // Pending answers refer to the server, so the answers must be destroyed
+    // before the server.
     loop.stop();
     service.reset();
     loop.clear();
--- a/standins/standin_program.hpp
+++ b/standins/standin_program.hpp
@@ -1,5 +1,5 @@
-/// The frame that all stand-in programs share: options, the HTTP listener, the
-/// signals that end it.
+/// The main program shared by all stand-ins: command-line options, HTTP
+/// listener and termination signals.
 #ifndef MULBERRY_STANDIN_PROGRAM_HPP
 #define MULBERRY_STANDIN_PROGRAM_HPP
 
@@ -30,24 +30,24 @@
     }
 };
 
-/// What a stand-in does. Only called on the loop's thread.
+/// Handles a stand-in's requests. Only called on the loop's thread.
 class standin_service
 {
 public:
     virtual ~standin_service() = default;
-    /// May throw bad_request or Json::Exception, which are answered with 400;
-    /// nothing may have been answered then.
+    /// May throw bad_request or Json::Exception, which are answered with 400,
+    /// but only before answering the request.
     virtual void handle(standin_request const& request) = 0;
 };
 
-/// The command line makes no sense; the program ends with exit code 2.
+/// The command line is invalid; the program ends with exit code 2.
 class bad_option : public std::runtime_error
 {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// Makes the service before anything listens. May throw bad_option.
+/// Creates the service before the listener starts. May throw bad_option.
 using service_factory = std::function<std::unique_ptr<standin_service>(
     boost::program_options::variables_map const&, standin_loop&)>;
 
