--- a/standins/batch_scheduler.cpp
+++ b/standins/batch_scheduler.cpp
@@ -39,7 +39,7 @@
     fill_slots(now, steps);
     if (held_)
         return steps;
-    make_tokens(now, steps);
+    generate_tokens(now, steps);
     fill_slots(now, steps);
     return steps;
 }
@@ -57,24 +57,24 @@
     }
 }
 
-void batch_scheduler::make_tokens(steady_time now,
-                                  std::vector<batch_step>& steps)
+void batch_scheduler::generate_tokens(steady_time now,
+                                      std::vector<batch_step>& steps)
 {
     for (running_job& running : running_)
     {
-        std::size_t const from = running.made;
+        std::size_t const from = running.generated;
         // Generates all tokens due since a late wake-up, so that the token
         // rate is kept.
-        while (running.due <= now && running.made < running.tokens)
+        while (running.due <= now && running.generated < running.tokens)
         {
-            ++running.made;
+            ++running.generated;
             running.due += settings_.token_time;
         }
-        if (running.made > from)
-            steps.push_back({running.job, from, running.made});
+        if (running.generated > from)
+            steps.push_back({running.job, from, running.generated});
     }
     std::erase_if(running_, [](running_job const& running)
-                  { return running.made == running.tokens; });
+                  { return running.generated == running.tokens; });
 }
 
 std::optional<steady_time> batch_scheduler::next_due() const
--- a/standins/batch_scheduler.hpp
+++ b/standins/batch_scheduler.hpp
@@ -77,12 +77,12 @@
     {
         job_id job;
         std::size_t tokens;
-        std::size_t made;
+        std::size_t generated;
         steady_time due;
     };
 
     void fill_slots(steady_time now, std::vector<batch_step>& steps);
-    void make_tokens(steady_time now, std::vector<batch_step>& steps);
+    void generate_tokens(steady_time now, std::vector<batch_step>& steps);
 
     batch_settings settings_;
     prefill_time prefill_;
--- a/standins/completion_text.cpp
+++ b/standins/completion_text.cpp
@@ -13,7 +13,7 @@
 {
 
 /// The stand-in has no tokenizer; any fixed ratio serves for the usage counts.
-constexpr std::size_t bytes_of_prompt_token = 4;
+constexpr std::size_t bytes_per_prompt_token = 4;
 
 } // namespace
 
@@ -22,7 +22,7 @@
                                  std::string_view prompt, std::size_t tokens)
     : kind_(kind), text_(without_fence(model), prompt), tokens_(tokens),
       prompt_tokens_(
-          std::max<std::size_t>(1, prompt.size() / bytes_of_prompt_token)),
+          std::max<std::size_t>(1, prompt.size() / bytes_per_prompt_token)),
       names_(fmt::format(R"("id":{},"model":{})", quoted(id), quoted(model)))
 {
 }
--- a/standins/engine_streams.cpp
+++ b/standins/engine_streams.cpp
@@ -12,12 +12,12 @@
 
 /// How long a resumable stream continues without a reader.
 constexpr std::chrono::seconds reader_grace{10};
-constexpr std::chrono::seconds over_kept{30};
-constexpr std::size_t over_limit = 20'000;
+constexpr std::chrono::seconds finished_stream_retention{30};
+constexpr std::size_t max_finished_streams = 20'000;
 /// Number of events delivered before an injected fault takes effect.
 constexpr std::size_t events_before_fault = 2;
 /// The prefill time is divided by this factor if the prefix is cached.
-constexpr int cached_prefill_gain = 4;
+constexpr int cached_prefill_speedup = 4;
 
 steady_time now()
 {
@@ -53,7 +53,7 @@
                             http_headers headers, answer_ptr const& reader)
 {
     auto const found = find(request);
-    if (forgets_ || found == streams_.end())
+    if (rejects_resume_ || found == streams_.end())
         return false;
     stream& one = found->second;
     journal_.record("resumed", one.order.call);
@@ -64,9 +64,9 @@
     one.order.fault = stream_fault::none;
     one.from = offset;
     attach(found->first, reader);
-    begin(one);
-    deliver(one, 0, one.made);
-    if (one.over)
+    start_response(one);
+    deliver(one, 0, one.generated);
+    if (one.is_complete)
         std::exchange(one.reader, nullptr)->finish();
     return true;
 }
@@ -74,34 +74,34 @@
 bool engine_streams::cancel(std::string const& request)
 {
     auto const found = find(request);
-    if (found == streams_.end() || found->second.over)
+    if (found == streams_.end() || found->second.is_complete)
         return false;
     end(found, "cancelled");
     pump();
     return true;
 }
 
-void engine_streams::cut_name(std::string const& name)
+void engine_streams::abort_streams_for(std::string const& name)
 {
     for (auto next = streams_.begin(); next != streams_.end();)
     {
         auto const found = next++;
-        if (!found->second.over && found->second.order.call.name == name)
+        if (!found->second.is_complete && found->second.order.call.name == name)
             end(found, "cut");
     }
     pump();
 }
 
-void engine_streams::cut_all()
+void engine_streams::abort_all_streams()
 {
     while (!streams_.empty())
     {
-        if (streams_.begin()->second.over)
+        if (streams_.begin()->second.is_complete)
             erase(streams_.begin());
         else
             end(streams_.begin(), "cut");
     }
-    over_.clear();
+    complete_streams_.clear();
     for (auto const& [id, reader] : std::exchange(silent_readers_, {}))
         reader->abort();
     prefixes_.clear();
@@ -114,7 +114,7 @@
         scheduler_.set_token_time(
             from_milliseconds(order["token_ms"].asDouble()));
     if (order.isMember("forget_streams"))
-        forgets_ = order["forget_streams"].asBool();
+        rejects_resume_ = order["forget_streams"].asBool();
     if (order.isMember("hold_tokens"))
         scheduler_.hold(order["hold_tokens"].asBool(), now());
     pump();
@@ -123,7 +123,7 @@
 std::chrono::microseconds engine_streams::prefill(job_id job)
 {
     bool const cached = prefixes_.use(streams_.at(job).order.prefix, now());
-    return cached ? settings_.prefill_time / cached_prefill_gain
+    return cached ? settings_.prefill_time / cached_prefill_speedup
                   : settings_.prefill_time;
 }
 
@@ -134,28 +134,28 @@
          steps = scheduler_.advance(now()))
     {
         for (batch_step const& step : steps)
-            take_step(step);
+            apply_step(step);
     }
     token_timer_.set(scheduler_.next_due());
-    forget_old();
+    expire_finished_streams();
 }
 
-void engine_streams::take_step(batch_step const& step)
+void engine_streams::apply_step(batch_step const& step)
 {
     auto const found = streams_.find(step.job);
     if (found == streams_.end())
         return;
     stream& one = found->second;
-    one.made = step.to;
+    one.generated = step.to;
     if (step.from == step.to)
     {
         journal_.record("started", one.order.call);
-        begin(one);
+        start_response(one);
         return;
     }
-    bool const whole = one.made == one.order.text.tokens();
+    bool const whole = one.generated == one.order.text.tokens();
     if (one.order.fault != stream_fault::none && one.reader &&
-        one.made >= events_before_fault)
+        one.generated >= events_before_fault)
         apply_fault(found, step.from);
     else
         deliver(one, step.from, step.to);
@@ -167,18 +167,19 @@
 {
     stream& one = streams_.at(job);
     one.reader = reader;
-    one.begun = false;
+    one.headers_sent = false;
     std::uint64_t const number = ++one.reader_number;
     reader->on_closed(
-        [this, job, number]
-        { loop_.post([this, job, number] { reader_closed(job, number); }); });
+        [this, job, number] {
+            loop_.post([this, job, number] { on_reader_closed(job, number); });
+        });
 }
 
-void engine_streams::begin(stream& one)
+void engine_streams::start_response(stream& one)
 {
-    if (!one.order.streamed || !one.reader || one.begun)
+    if (!one.order.streamed || !one.reader || one.headers_sent)
         return;
-    one.begun = true;
+    one.headers_sent = true;
     http_headers headers = one.order.headers;
     headers.add("Content-Type", "text/event-stream");
     one.reader->start_stream(200, std::move(headers));
@@ -205,14 +206,14 @@
         return;
     }
     reader->abort();
-    lose_reader(found);
+    on_reader_lost(found);
 }
 
 void engine_streams::finish(stream_map::iterator found)
 {
     stream& one = found->second;
-    one.over = true;
-    over_.emplace_back(now(), found->first);
+    one.is_complete = true;
+    complete_streams_.emplace_back(now(), found->first);
     journal_.leave(one.order.call.name);
     journal_.record("finished", one.order.call);
     answer_ptr const reader = std::exchange(one.reader, nullptr);
@@ -226,7 +227,7 @@
     reader->respond(std::move(response));
 }
 
-void engine_streams::reader_closed(job_id job, std::uint64_t reader_number)
+void engine_streams::on_reader_closed(job_id job, std::uint64_t reader_number)
 {
     bool const was_silent = silent_readers_.erase({job, reader_number}) != 0;
     auto const found = streams_.find(job);
@@ -236,14 +237,14 @@
         std::exchange(found->second.reader, nullptr) != nullptr;
     if (!was_silent && !was_read)
         return;
-    lose_reader(found);
+    on_reader_lost(found);
     pump();
 }
 
-void engine_streams::lose_reader(stream_map::iterator found)
+void engine_streams::on_reader_lost(stream_map::iterator found)
 {
     stream const& one = found->second;
-    if (one.over)
+    if (one.is_complete)
         return;
     if (!one.order.resumable)
         return end(found, "cut");
@@ -255,7 +256,7 @@
 void engine_streams::expire(job_id job, std::uint64_t reader_number)
 {
     auto const found = streams_.find(job);
-    if (found == streams_.end() || found->second.over ||
+    if (found == streams_.end() || found->second.is_complete ||
         found->second.reader_number != reader_number)
         return;
     end(found, "cut");
@@ -281,15 +282,17 @@
     streams_.erase(found);
 }
 
-void engine_streams::forget_old()
+void engine_streams::expire_finished_streams()
 {
-    while (!over_.empty() && (over_.front().first + over_kept < now() ||
-                              over_.size() > over_limit))
+    while (
+        !complete_streams_.empty() &&
+        (complete_streams_.front().first + finished_stream_retention < now() ||
+         complete_streams_.size() > max_finished_streams))
     {
-        auto const found = streams_.find(over_.front().second);
+        auto const found = streams_.find(complete_streams_.front().second);
         if (found != streams_.end())
             erase(found);
-        over_.pop_front();
+        complete_streams_.pop_front();
     }
 }
 
--- a/standins/engine_streams.hpp
+++ b/standins/engine_streams.hpp
@@ -65,9 +65,9 @@
     /// Returns false if the stream is complete or unknown.
     bool cancel(std::string const& request);
     /// Aborts every stream in flight for the engine name.
-    void cut_name(std::string const& name);
+    void abort_streams_for(std::string const& name);
     /// Aborts all streams and clears the prefix cache, as a restart does.
-    void cut_all();
+    void abort_all_streams();
     void control(Json::Value const& order);
 
     std::size_t running() const { return scheduler_.running(); }
@@ -78,10 +78,10 @@
     struct stream
     {
         completion_order order;
-        bool over = false;
+        bool is_complete = false;
         /// The response headers were sent to the reader.
-        bool begun = false;
-        std::size_t made = 0;
+        bool headers_sent = false;
+        std::size_t generated = 0;
         /// The first offset to send to the reader.
         std::size_t from = 0;
         /// Incremented for each reader, so that late notifications about an
@@ -93,19 +93,19 @@
 
     std::chrono::microseconds prefill(job_id job);
     void pump();
-    void take_step(batch_step const& step);
+    void apply_step(batch_step const& step);
     void attach(job_id job, answer_ptr const& reader);
-    static void begin(stream& one);
+    static void start_response(stream& one);
     static void deliver(stream& one, std::size_t from, std::size_t to);
     void apply_fault(stream_map::iterator found, std::size_t from);
     void finish(stream_map::iterator found);
-    void reader_closed(job_id job, std::uint64_t reader_number);
+    void on_reader_closed(job_id job, std::uint64_t reader_number);
     /// Precondition: the stream has no reader.
-    void lose_reader(stream_map::iterator found);
+    void on_reader_lost(stream_map::iterator found);
     void expire(job_id job, std::uint64_t reader_number);
     void end(stream_map::iterator found, std::string_view kind);
     void erase(stream_map::iterator found);
-    void forget_old();
+    void expire_finished_streams();
     stream_map::iterator find(std::string const& request);
 
     engine_settings settings_;
@@ -114,13 +114,13 @@
     prefix_cache prefixes_;
     batch_scheduler scheduler_;
     loop_timer token_timer_;
-    bool forgets_ = false;
+    bool rejects_resume_ = false;
     std::uint64_t last_job_ = 0;
     stream_map streams_;
     /// The latest stream of each request id.
     std::map<std::string, job_id> jobs_;
     /// Complete streams, kept for readers that reconnect.
-    std::deque<std::pair<steady_time, job_id>> over_;
+    std::deque<std::pair<steady_time, job_id>> complete_streams_;
     /// Answers of hanging streams, kept until their clients disconnect, since
     /// destroying an answer closes its connection.
     std::map<std::pair<job_id, std::uint64_t>, answer_ptr> silent_readers_;
--- a/standins/engine_worker.cpp
+++ b/standins/engine_worker.cpp
@@ -15,13 +15,13 @@
 
 constexpr std::string_view streams_path = "/v1/streams/";
 constexpr std::size_t default_tokens = 16;
-constexpr std::size_t most_tokens = 100'000;
+constexpr std::size_t max_completion_tokens = 100'000;
 constexpr int default_priority = 5;
 /// Minimum length of a stream for an injected fault; shorter streams would be
 /// complete before the fault takes effect.
-constexpr std::size_t tokens_for_fault = 3;
+constexpr std::size_t min_tokens_for_fault = 3;
 constexpr std::string_view wrong_model_name = "another-adapter@1#0";
-constexpr std::chrono::minutes fetch_limit{10};
+constexpr std::chrono::minutes weight_fetch_timeout{10};
 
 steady_time now()
 {
@@ -68,7 +68,7 @@
 {
     std::uint64_t const tokens =
         body.get("max_tokens", Json::UInt64(default_tokens)).asUInt64();
-    if (tokens == 0 || tokens > most_tokens)
+    if (tokens == 0 || tokens > max_completion_tokens)
         throw bad_request("max_tokens out of range");
     return tokens;
 }
@@ -115,10 +115,10 @@
       journal_(process.history, settings.name),
       streams_(settings, journal_, process.loop),
       adapters_(settings.adapter_slots),
-      report_timer_(process.loop, [this] { take_report(); }),
+      report_timer_(process.loop, [this] { update_load_report(); }),
       boot_id_(new_boot_id())
 {
-    take_report();
+    update_load_report();
 }
 
 void engine_worker::handle(standin_request const& request,
@@ -126,7 +126,7 @@
 {
     if (refuses_connections_)
         return request.answer->abort();
-    if (now() < restarted_at_)
+    if (now() < restart_ends_at_)
         return respond(request, 503, R"({"error":{"code":"restarting"}})");
     if (request.http.method == "GET")
         handle_read(request, path);
@@ -142,7 +142,7 @@
     else if (path == "/load")
     {
         if (settings_.report_lag.count() == 0)
-            take_report();
+            update_load_report();
         respond(request, 200, report());
     }
     else if (path == "/cache_events")
@@ -183,7 +183,7 @@
 void engine_worker::complete(standin_request const& request,
                              completion_kind kind, Json::Value const& body)
 {
-    engine_call call = call_of(request, text_member(body, "model"));
+    engine_call call = make_call(request, text_member(body, "model"));
     if (call.request.empty())
         call.request =
             fmt::format("{}-{}", settings_.name, ++unnamed_requests_);
@@ -191,7 +191,7 @@
     std::size_t const tokens = tokens_of(body);
     int const priority = body.get("priority", default_priority).asInt();
     bool const streamed = body.get("stream", false).asBool();
-    if (is_old(call.fence))
+    if (is_stale_fence(call.fence))
         return refuse(request, call, 412, "old_fencing_number");
     if (!adapters_.is_loaded(call.name))
         return refuse(request, call, 404, "model_not_loaded");
@@ -204,7 +204,7 @@
     order.priority = priority;
     order.streamed = streamed;
     order.resumable = request.header("X-Resumable") == "1";
-    if (streamed && tokens >= tokens_for_fault)
+    if (streamed && tokens >= min_tokens_for_fault)
     {
         if (take_fault("hang_streams"))
             order.fault = stream_fault::hang;
@@ -226,9 +226,9 @@
 void engine_worker::load(standin_request const& request,
                          Json::Value const& body)
 {
-    engine_call const call = call_of(request, text_member(body, "lora_name"));
+    engine_call const call = make_call(request, text_member(body, "lora_name"));
     std::string const path = text_member(body, "lora_path");
-    if (is_old(call.fence))
+    if (is_stale_fence(call.fence))
         return refuse(request, call, 412, "old_fencing_number");
     switch (adapters_.start_load(call.name))
     {
@@ -237,7 +237,7 @@
     case load_start::no_free_slot:
         return refuse(request, call, 409, "no_free_slot");
     case load_start::joined:
-        loads_.at(call.name).writers.push_back(request);
+        loads_.at(call.name).waiting_requests.push_back(request);
         return;
     case load_start::started:
         loads_.emplace(call.name, pending_load{call, {request}});
@@ -249,21 +249,22 @@
                                   std::string const& path)
 {
     if (process_.weights_url.empty())
-        return weights_fetched(name, boot_, true);
+        return on_weights_fetched(name, boot_, true);
     http_call call;
     call.url = process_.weights_url + "/weights/" + path;
-    call.deadline = now() + fetch_limit;
+    call.deadline = now() + weight_fetch_timeout;
     process_.client.start(
         std::move(call),
         std::make_shared<weight_fetch>(
-            [this, &loop = process_.loop, name, boot = boot_](bool ok) {
+            [this, &loop = process_.loop, name, boot = boot_](bool ok)
+            {
                 loop.post([this, name, boot, ok]
-                          { weights_fetched(name, boot, ok); });
+                          { on_weights_fetched(name, boot, ok); });
             }));
 }
 
-void engine_worker::weights_fetched(std::string const& name, std::uint64_t boot,
-                                    bool ok)
+void engine_worker::on_weights_fetched(std::string const& name,
+                                       std::uint64_t boot, bool ok)
 {
     process_.loop.after(settings_.load_time, [this, name, boot, ok]
                         { finish_load(name, boot, ok); });
@@ -278,22 +279,23 @@
     adapters_.finish_load(name, loaded);
     auto const load = loads_.extract(name);
     journal_.record(loaded ? "loaded" : "load_failed", load.mapped().call);
-    for (standin_request const& response_writer : load.mapped().writers)
-        respond(response_writer, loaded ? 200 : 503,
+    for (standin_request const& waiting_request :
+         load.mapped().waiting_requests)
+        respond(waiting_request, loaded ? 200 : 503,
                 loaded ? "{}" : R"({"error":{"code":"load_failed"}})");
 }
 
 void engine_worker::unload(standin_request const& request,
                            Json::Value const& body)
 {
-    engine_call const call = call_of(request, text_member(body, "lora_name"));
-    if (is_old(call.fence))
+    engine_call const call = make_call(request, text_member(body, "lora_name"));
+    if (is_stale_fence(call.fence))
         return refuse(request, call, 412, "old_fencing_number");
     if (!adapters_.unload(call.name))
         return respond(request, 404,
                        R"({"error":{"code":"model_not_loaded"}})");
     journal_.record("unloaded", call);
-    streams_.cut_name(call.name);
+    streams_.abort_streams_for(call.name);
     respond(request, 200, "{}");
 }
 
@@ -314,16 +316,16 @@
     ++boot_;
     boot_id_ = new_boot_id();
     highest_fence_ = 0;
-    restarted_at_ = now() + settings_.restart_time;
+    restart_ends_at_ = now() + settings_.restart_time;
     journal_.record("restarted", {});
-    streams_.cut_all();
+    streams_.abort_all_streams();
     adapters_.clear();
     for (auto const& [name, load] : std::exchange(loads_, {}))
     {
-        for (standin_request const& response_writer : load.writers)
-            response_writer.answer->abort();
+        for (standin_request const& waiting_request : load.waiting_requests)
+            waiting_request.answer->abort();
     }
-    take_report();
+    update_load_report();
 }
 
 bool engine_worker::take_fault(std::string_view name)
@@ -331,7 +333,7 @@
     return faults_.take(name) || process_.faults.take(name);
 }
 
-bool engine_worker::is_old(std::uint64_t fence)
+bool engine_worker::is_stale_fence(std::uint64_t fence)
 {
     if (!settings_.checks_fence || fence == 0)
         return false;
@@ -341,8 +343,8 @@
     return false;
 }
 
-engine_call engine_worker::call_of(standin_request const& request,
-                                   std::string name)
+engine_call engine_worker::make_call(standin_request const& request,
+                                     std::string name)
 {
     return {request.header("X-Request-Id"), std::move(name),
             parse_fence(request.header("X-Fencing-Number"))};
@@ -416,7 +418,7 @@
     return to_text(json);
 }
 
-void engine_worker::take_report()
+void engine_worker::update_load_report()
 {
     report_.running = streams_.running();
     report_.waiting = streams_.waiting();
--- a/standins/engine_worker.hpp
+++ b/standins/engine_worker.hpp
@@ -63,7 +63,7 @@
     struct pending_load
     {
         engine_call call;
-        std::vector<standin_request> writers;
+        std::vector<standin_request> waiting_requests;
     };
 
     void handle_change(standin_request const& request, std::string const& path);
@@ -73,14 +73,15 @@
     void resume(standin_request const& request, std::string const& id);
     void load(standin_request const& request, Json::Value const& body);
     void fetch_weights(std::string const& name, std::string const& path);
-    void weights_fetched(std::string const& name, std::uint64_t boot, bool ok);
+    void on_weights_fetched(std::string const& name, std::uint64_t boot,
+                            bool ok);
     void finish_load(std::string const& name, std::uint64_t boot, bool ok);
     void unload(standin_request const& request, Json::Value const& body);
     void restart();
 
     bool take_fault(std::string_view name);
-    bool is_old(std::uint64_t fence);
-    engine_call call_of(standin_request const& request, std::string name);
+    bool is_stale_fence(std::uint64_t fence);
+    engine_call make_call(standin_request const& request, std::string name);
     http_headers answer_headers(std::string const& request) const;
     void respond(standin_request const& request, int status,
                  std::string const& body) const;
@@ -88,7 +89,7 @@
                 int status, std::string_view code);
     std::string models() const;
     std::string report() const;
-    void take_report();
+    void update_load_report();
 
     engine_settings settings_;
     engine_process& process_;
@@ -105,7 +106,7 @@
     std::uint64_t boot_ = 0;
     std::uint64_t unnamed_requests_ = 0;
     std::string boot_id_;
-    steady_time restarted_at_{};
+    steady_time restart_ends_at_{};
     bool refuses_connections_ = false;
 };
 
--- a/standins/fake_service.cpp
+++ b/standins/fake_service.cpp
@@ -23,7 +23,8 @@
 public:
     plain_service(std::vector<std::string> const& workers,
                   std::chrono::milliseconds slow, standin_loop& loop)
-        : loop_(loop), workers_(workers.begin(), workers.end()), slow_(slow)
+        : loop_(loop), workers_(workers.begin(), workers.end()),
+          response_delay_(slow)
     {
     }
 
@@ -49,21 +50,22 @@
     {
         faults_.set(order);
         if (order.isMember("slow_ms"))
-            slow_ = std::chrono::milliseconds(order["slow_ms"].asUInt());
+            response_delay_ =
+                std::chrono::milliseconds(order["slow_ms"].asUInt());
         if (order.isMember("hold_run"))
             hold_run_ = order["hold_run"].asBool();
         if (hold_run_)
             return;
-        for (standin_request const& request : std::exchange(held_, {}))
+        for (standin_request const& request : std::exchange(held_requests_, {}))
             run(request);
     }
 
     void call(standin_request const& request)
     {
         if (faults_.take("hang_before_run"))
-            hung_.push_back(request.answer);
+            hanging_answers_.push_back(request.answer);
         else if (hold_run_)
-            held_.push_back(request);
+            held_requests_.push_back(request);
         else
             run(request);
     }
@@ -77,29 +79,29 @@
             quoted(target.worker), quoted(target.rest), quoted(key),
             quoted(request.header("X-Request-Id")), quoted(request.http.body)));
         if (faults_.take("hang_after_run"))
-            return hung_.push_back(request.answer);
+            return hanging_answers_.push_back(request.answer);
         if (faults_.take("drop_after_run"))
             return request.answer->abort();
         http_response const response = json_response(
             200, fmt::format(R"({{"ran":{},"path":{},"key":{},"worker":{}}})",
                              number, quoted(target.rest), quoted(key),
                              quoted(target.worker)));
-        if (slow_.count() == 0)
+        if (response_delay_.count() == 0)
             return request.answer->respond(response);
-        loop_.after(slow_, [answer = request.answer, response]
+        loop_.after(response_delay_, [answer = request.answer, response]
                     { answer->respond(response); });
     }
 
     standin_loop& loop_;
     std::set<std::string> workers_;
-    std::chrono::milliseconds slow_;
+    std::chrono::milliseconds response_delay_;
     event_log history_;
     fault_counts faults_{"hang_after_run", "hang_before_run", "drop_after_run"};
     bool hold_run_ = false;
-    std::vector<standin_request> held_;
+    std::vector<standin_request> held_requests_;
     /// Answers of hanging calls, kept since destroying an answer would close
     /// its connection.
-    std::vector<std::shared_ptr<http_answer>> hung_;
+    std::vector<std::shared_ptr<http_answer>> hanging_answers_;
 };
 
 } // namespace
--- a/standins/link_relay.cpp
+++ b/standins/link_relay.cpp
@@ -27,7 +27,7 @@
     for (auto const& connection : connections_)
     {
         if (silent)
-            connection->silence();
+            connection->blackhole();
         if (cut)
             connection->close();
         if (!state_->blocked)
@@ -59,7 +59,7 @@
             {
                 auto const connection = std::make_shared<relay_connection>(
                     std::move(socket), state_);
-                forget_closed();
+                remove_closed();
                 connections_.push_back(connection);
                 connection->start(target_);
             }
@@ -67,7 +67,7 @@
         });
 }
 
-void link_relay::forget_closed()
+void link_relay::remove_closed()
 {
     std::erase_if(connections_, [](auto const& connection)
                   { return !connection->is_open(); });
--- a/standins/link_relay.hpp
+++ b/standins/link_relay.hpp
@@ -28,7 +28,7 @@
     void listen();
     void bind();
     void accept();
-    void forget_closed();
+    void remove_closed();
     void refuse(bool refused);
 
     asio::ip::tcp::endpoint target_;
--- a/standins/platform_service.cpp
+++ b/standins/platform_service.cpp
@@ -102,10 +102,10 @@
     if (order.isMember("down"))
         set_down(order);
     if (order.isMember("weights_down"))
-        down_[static_cast<std::size_t>(part::weights)] =
+        part_is_down_[static_cast<std::size_t>(part::weights)] =
             order["weights_down"].asBool();
     faults_.set(order);
-    set_duration(order, "slow_ms", slow_);
+    set_duration(order, "slow_ms", response_delay_);
     set_duration(order, "read_lag_ms", read_lag_);
     set_duration(order, "list_lag_ms", list_lag_);
     set_duration(order, "delay_writes_ms", write_delay_);
@@ -135,10 +135,10 @@
 {
     bool const down = order["down"].asBool();
     if (order.isMember("part"))
-        down_[static_cast<std::size_t>(part_named(order["part"].asString()))] =
-            down;
+        part_is_down_[static_cast<std::size_t>(
+            part_named(order["part"].asString()))] = down;
     else
-        down_.fill(down);
+        part_is_down_.fill(down);
 }
 
 http_response platform_service::stats() const
@@ -353,7 +353,7 @@
 
 bool platform_service::is_down(part where) const
 {
-    return down_[static_cast<std::size_t>(where)];
+    return part_is_down_[static_cast<std::size_t>(where)];
 }
 
 void platform_service::answer(part where, answer_ptr const& answer,
@@ -361,9 +361,9 @@
 {
     if (is_down(where))
         return answer->abort();
-    if (slow_.count() == 0)
+    if (response_delay_.count() == 0)
         return answer->respond(std::move(response));
-    loop_.after(slow_,
+    loop_.after(response_delay_,
                 [this, where, answer, response = std::move(response)]
                 {
                     if (is_down(where))
--- a/standins/platform_service.hpp
+++ b/standins/platform_service.hpp
@@ -86,9 +86,9 @@
     loop_timer weights_timer_;
     std::map<load_id, answer_ptr> loads_;
     statistics statistics_;
-    std::array<bool, 4> down_{};
+    std::array<bool, 4> part_is_down_{};
     fault_counts faults_{"lose_answers"};
-    std::chrono::milliseconds slow_{0};
+    std::chrono::milliseconds response_delay_{0};
     std::chrono::milliseconds read_lag_{0};
     std::chrono::milliseconds list_lag_{0};
     std::chrono::milliseconds write_delay_{0};
--- a/standins/relay_connection.cpp
+++ b/standins/relay_connection.cpp
@@ -11,23 +11,22 @@
 {
 
 /// In bytes per direction; reading from the sender stops at this limit.
-constexpr std::size_t queue_limit = 1U << 20U;
+constexpr std::size_t max_queued_bytes = 1U << 20U;
 
 } // namespace
 
 relay_connection::relay_connection(asio::ip::tcp::socket near,
                                    std::shared_ptr<link_state const> state)
-    : state_(std::move(state)), near_(std::move(near)),
-      far_(near_.get_executor()), outward_{near_, far_,
-                                           asio::steady_timer(
-                                               near_.get_executor())},
-      homeward_{far_, near_, asio::steady_timer(near_.get_executor())}
+    : state_(std::move(state)), client_(std::move(near)),
+      server_(client_.get_executor()),
+      to_target_{client_, server_, asio::steady_timer(client_.get_executor())},
+      to_client_{server_, client_, asio::steady_timer(client_.get_executor())}
 {
 }
 
 void relay_connection::start(asio::ip::tcp::endpoint const& target)
 {
-    far_.async_connect(
+    server_.async_connect(
         target,
         [self = shared_from_this()](std::error_code error)
         {
@@ -35,17 +34,17 @@
                 return self->close();
             self->connected_ = true;
             std::error_code ignored;
-            self->near_.set_option(asio::ip::tcp::no_delay(true), ignored);
-            self->far_.set_option(asio::ip::tcp::no_delay(true), ignored);
-            self->read(self->outward_);
-            self->read(self->homeward_);
+            self->client_.set_option(asio::ip::tcp::no_delay(true), ignored);
+            self->server_.set_option(asio::ip::tcp::no_delay(true), ignored);
+            self->read(self->to_target_);
+            self->read(self->to_client_);
         });
 }
 
-void relay_connection::silence()
+void relay_connection::blackhole()
 {
     silent_ = true;
-    for (direction* way : {&outward_, &homeward_})
+    for (direction* way : {&to_target_, &to_client_})
     {
         way->timer.cancel();
         way->chunks.clear();
@@ -58,32 +57,32 @@
 void relay_connection::close()
 {
     std::error_code ignored;
-    near_.close(ignored);
-    far_.close(ignored);
-    outward_.timer.cancel();
-    homeward_.timer.cancel();
+    client_.close(ignored);
+    server_.close(ignored);
+    to_target_.timer.cancel();
+    to_client_.timer.cancel();
 }
 
 void relay_connection::unblock()
 {
-    pump(outward_);
-    pump(homeward_);
+    pump(to_target_);
+    pump(to_client_);
 }
 
 void relay_connection::read(direction& way)
 {
-    if (!connected_ || way.reading || way.ended || way.queued >= queue_limit ||
-        !way.from.is_open())
+    if (!connected_ || way.reading || way.ended ||
+        way.queued >= max_queued_bytes || !way.from.is_open())
         return;
     way.reading = true;
     way.from.async_read_some(asio::buffer(way.buffer),
                              [self = shared_from_this(),
                               &way](std::error_code error, std::size_t size)
-                             { self->take(way, error, size); });
+                             { self->on_read(way, error, size); });
 }
 
-void relay_connection::take(direction& way, std::error_code error,
-                            std::size_t size)
+void relay_connection::on_read(direction& way, std::error_code error,
+                               std::size_t size)
 {
     way.reading = false;
     if (error)
@@ -146,10 +145,10 @@
     asio::async_write(way.to, asio::buffer(*bytes),
                       [self = shared_from_this(), &way,
                        bytes](std::error_code error, std::size_t)
-                      { self->wrote(way, error); });
+                      { self->on_written(way, error); });
 }
 
-void relay_connection::wrote(direction& way, std::error_code error)
+void relay_connection::on_written(direction& way, std::error_code error)
 {
     way.writing = false;
     if (error && !silent_)
@@ -161,7 +160,7 @@
 
 void relay_connection::close_if_done()
 {
-    for (direction const* way : {&outward_, &homeward_})
+    for (direction const* way : {&to_target_, &to_client_})
     {
         if (!way->ended || way->writing || !way->chunks.empty())
             return;
--- a/standins/relay_connection.hpp
+++ b/standins/relay_connection.hpp
@@ -31,9 +31,9 @@
     /// Connects to the target and starts to relay bytes.
     void start(asio::ip::tcp::endpoint const& target);
     /// Drops all further bytes while both ends stay connected.
-    void silence();
+    void blackhole();
     void close();
-    bool is_open() const { return near_.is_open(); }
+    bool is_open() const { return client_.is_open(); }
     /// Resumes relaying after `link_state::blocked` was reset.
     void unblock();
 
@@ -58,18 +58,18 @@
     };
 
     void read(direction& way);
-    void take(direction& way, std::error_code error, std::size_t size);
+    void on_read(direction& way, std::error_code error, std::size_t size);
     void pump(direction& way);
     void write(direction& way);
-    void wrote(direction& way, std::error_code error);
+    void on_written(direction& way, std::error_code error);
     void end(direction& way, std::error_code error);
     void close_if_done();
 
     std::shared_ptr<link_state const> state_;
-    asio::ip::tcp::socket near_;
-    asio::ip::tcp::socket far_;
-    direction outward_;
-    direction homeward_;
+    asio::ip::tcp::socket client_;
+    asio::ip::tcp::socket server_;
+    direction to_target_;
+    direction to_client_;
     bool connected_ = false;
     bool silent_ = false;
 };
--- a/standins/weight_gate.cpp
+++ b/standins/weight_gate.cpp
@@ -10,7 +10,7 @@
 using seconds = std::chrono::duration<double>;
 
 /// In seconds of work; rounding may leave a load slightly short of its end.
-constexpr double tolerance = 1e-6;
+constexpr double progress_tolerance = 1e-6;
 
 } // namespace
 
@@ -26,26 +26,26 @@
     if (!bucket_.take(now))
         return std::nullopt;
     load_id const id{++last_id_};
-    ends_.emplace(progress_ + seconds(limits_.load_time).count(), id);
+    loads_by_end_.emplace(progress_ + seconds(limits_.load_time).count(), id);
     return id;
 }
 
 std::vector<load_id> weight_gate::finished(steady_time now)
 {
     advance(now);
-    auto const end = ends_.upper_bound(progress_ + tolerance);
+    auto const end = loads_by_end_.upper_bound(progress_ + progress_tolerance);
     std::vector<load_id> ids;
-    for (auto load = ends_.begin(); load != end; ++load)
+    for (auto load = loads_by_end_.begin(); load != end; ++load)
         ids.push_back(load->second);
-    ends_.erase(ends_.begin(), end);
+    loads_by_end_.erase(loads_by_end_.begin(), end);
     return ids;
 }
 
 std::optional<steady_time> weight_gate::next_finish() const
 {
-    if (ends_.empty())
+    if (loads_by_end_.empty())
         return std::nullopt;
-    double const work = std::max(0.0, ends_.begin()->first - progress_);
+    double const work = std::max(0.0, loads_by_end_.begin()->first - progress_);
     return advanced_at_ + std::chrono::ceil<std::chrono::microseconds>(
                               seconds(work / speed()));
 }
@@ -59,7 +59,7 @@
 double weight_gate::speed() const
 {
     auto const width = static_cast<double>(limits_.loads_at_once);
-    auto const active = static_cast<double>(ends_.size());
+    auto const active = static_cast<double>(loads_by_end_.size());
     return std::min(1.0, width / std::max(1.0, active)) / slow_factor_;
 }
 
--- a/standins/weight_gate.hpp
+++ b/standins/weight_gate.hpp
@@ -55,7 +55,7 @@
     /// gate was created.
     double progress_ = 0;
     /// Loads in progress by the value of progress_ at which they complete.
-    std::multimap<double, load_id> ends_;
+    std::multimap<double, load_id> loads_by_end_;
 };
 
 } // namespace mulberry::standins
