--- a/tests/standins_test.cpp
+++ b/tests/standins_test.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("a transaction is all or nothing", "[table_store]")
+TEST_CASE("a transaction applies all writes or none", "[table_store]")
 {
     table_store table;
     auto const made =
@@ -46,7 +46,7 @@
     CHECK_FALSE(table.read("c", start));
 }
 
-TEST_CASE("a version is never used again, not even after a deletion",
+TEST_CASE("a row version is never reused, even after a deletion",
           "[table_store]")
 {
     table_store table;
@@ -59,7 +59,7 @@
     CHECK(again.version > first.version + 1);
 }
 
-TEST_CASE("reads that lag answer from the past", "[table_store]")
+TEST_CASE("stale reads return the rows as of the given time", "[table_store]")
 {
     table_store table;
     table.transact({}, {{"vm/1", "old"}, {"vm/2", "gone"}}, start);
@@ -72,7 +72,7 @@
     CHECK(table.scan("vm/", start + 5s).size() == 1);
 }
 
-TEST_CASE("a bucket passes its burst, then its rate", "[token_bucket]")
+TEST_CASE("a token bucket allows its burst, then its rate", "[token_bucket]")
 {
     token_bucket bucket(10, 2);
     CHECK(bucket.take(start));
@@ -84,13 +84,15 @@
     CHECK_FALSE(bucket.take(start + 11s));
 }
 
-TEST_CASE("loads beyond the width share its speed", "[weight_gate]")
+TEST_CASE("loads above the concurrency limit share the bandwidth",
+          "[weight_gate]")
 {
     weight_gate gate({100, 2, 1s});
     load_id const first = *gate.start(start);
     load_id const second = *gate.start(start);
     CHECK(gate.next_finish() == start + 1s);
-    // Four loads at the speed of two: half a second of work takes a second.
+    // Four loads share the bandwidth of two, so that half a second of work
+    // takes a second.
     load_id const third = *gate.start(start + 500ms);
     load_id const fourth = *gate.start(start + 500ms);
     CHECK(gate.finished(start + 1400ms).empty());
@@ -100,7 +102,7 @@
     CHECK_FALSE(gate.next_finish());
 }
 
-TEST_CASE("loads beyond the rate are refused, slow ones end later",
+TEST_CASE("loads above the rate are refused and a slowdown delays their end",
           "[weight_gate]")
 {
     weight_gate gate({4, 3, 1s});
@@ -129,7 +131,7 @@
     CHECK(batch.advance(start + 6ms) == std::vector<batch_step>{{job_id{2}}});
 }
 
-TEST_CASE("tokens keep their pace, also after a late wake-up or a hold",
+TEST_CASE("the token rate is kept after a late wake-up or a pause",
           "[batch_scheduler]")
 {
     batch_scheduler batch = small_batch(2, 0);
@@ -150,16 +152,17 @@
     CHECK(batch.running() == 0);
 }
 
-TEST_CASE("the text tells adapter, version, prompt and place", "[token_text]")
+TEST_CASE("the text depends on adapter version, prompt and position",
+          "[token_text]")
 {
-    // FNV-1a 64 of "a@1|hello|0", worked out apart from this code.
+    // FNV-1a 64 of "a@1|hello|0", computed independently of this code.
     CHECK(token_text("a@1", "hello").token(0) == "w0:411383 ");
     CHECK(without_fence("a@1#77") == "a@1");
     CHECK(token_text("a@1", "hello").token(12) !=
           token_text("a@2", "hello").token(12));
 }
 
-TEST_CASE("a stream's events are the same however they are cut",
+TEST_CASE("a stream's events do not depend on the requested ranges",
           "[completion_text]")
 {
     completion_text const text(completion_kind::chat, "r\"1", "a@1#3", "hello",
@@ -178,7 +181,8 @@
         token_text("a@1", "hello").token(0)));
 }
 
-TEST_CASE("loading counts towards the adapter slots", "[adapter_table]")
+TEST_CASE("loads in progress count towards the adapter slots",
+          "[adapter_table]")
 {
     adapter_table table(2);
     CHECK(table.start_load("a") == load_start::started);
@@ -194,7 +198,7 @@
     CHECK_FALSE(table.is_loaded("a"));
 }
 
-TEST_CASE("cache events come late and with gaps", "[prefix_cache]")
+TEST_CASE("cache events are delayed and some are lost", "[prefix_cache]")
 {
     prefix_cache cache({1, 100ms, 2});
     CHECK_FALSE(cache.use("p", start));
@@ -223,7 +227,7 @@
     CHECK(parse_object(log.page(9))["events"].empty());
 }
 
-TEST_CASE("a fault strikes as often as ordered", "[fault_counts]")
+TEST_CASE("a fault is injected as often as requested", "[fault_counts]")
 {
     fault_counts faults{"fail_loads", "wrong_model"};
     faults.set(parse_object(R"({"fail_loads": 2, /* or not */ "x": 1})"));
@@ -233,7 +237,7 @@
     CHECK_FALSE(faults.take("fail_loads"));
 }
 
-TEST_CASE("workers are named and found in paths", "[worker_names]")
+TEST_CASE("worker names are expanded and split off paths", "[worker_names]")
 {
     CHECK(worker_names({"loglm:2", "solo"}) ==
           std::vector<std::string>{"loglm-01", "loglm-02", "solo"});
