--- a/standins/event_log.hpp
+++ b/standins/event_log.hpp
@@ -15,6 +15,7 @@
 class event_log
 {
 public:
+    /// Maximum number of events in one page.
     static constexpr std::size_t page_limit = 10'000;
 
     explicit event_log(std::size_t capacity = 1'000'000);
--- a/standins/link_relay.hpp
+++ b/standins/link_relay.hpp
@@ -22,6 +22,7 @@
 public:
     link_relay(standin_loop& loop, asio::ip::tcp::endpoint target);
     std::uint16_t port() const { return address_.port(); }
+    /// Applies the link faults named in a control request.
     void control(Json::Value const& order);
 
 private:
--- a/standins/platform_service.hpp
+++ b/standins/platform_service.hpp
@@ -16,6 +16,7 @@
 namespace mulberry::standins
 {
 
+/// Rate limits; requests above a limit are answered with 429.
 struct platform_limits
 {
     double writes_per_second = 600;
@@ -23,6 +24,7 @@
     weight_limits weights;
 };
 
+/// Only on the loop's thread.
 class platform_service : public standin_service
 {
 public:
