--- a/standins/engine_streams.cpp
+++ b/standins/engine_streams.cpp
@@ -55,19 +55,19 @@
     auto const found = find(request);
     if (rejects_resume_ || found == streams_.end())
         return false;
-    stream& one = found->second;
-    journal_.record("resumed", one.order.call);
-    if (one.reader)
-        one.reader->abort();
-    one.order.headers = std::move(headers);
-    one.order.streamed = true;
-    one.order.fault = stream_fault::none;
-    one.from = offset;
+    stream& entry = found->second;
+    journal_.record("resumed", entry.order.call);
+    if (entry.reader)
+        entry.reader->abort();
+    entry.order.headers = std::move(headers);
+    entry.order.streamed = true;
+    entry.order.fault = stream_fault::none;
+    entry.from = offset;
     attach(found->first, reader);
-    start_response(one);
-    deliver(one, 0, one.generated);
-    if (one.is_complete)
-        std::exchange(one.reader, nullptr)->finish();
+    start_response(entry);
+    deliver(entry, 0, entry.generated);
+    if (entry.is_complete)
+        std::exchange(entry.reader, nullptr)->finish();
     return true;
 }
 
@@ -145,64 +145,64 @@
     auto const found = streams_.find(step.job);
     if (found == streams_.end())
         return;
-    stream& one = found->second;
-    one.generated = step.to;
+    stream& entry = found->second;
+    entry.generated = step.to;
     if (step.from == step.to)
     {
-        journal_.record("started", one.order.call);
-        start_response(one);
+        journal_.record("started", entry.order.call);
+        start_response(entry);
         return;
     }
-    bool const whole = one.generated == one.order.text.tokens();
-    if (one.order.fault != stream_fault::none && one.reader &&
-        one.generated >= events_before_fault)
+    bool const whole = entry.generated == entry.order.text.tokens();
+    if (entry.order.fault != stream_fault::none && entry.reader &&
+        entry.generated >= events_before_fault)
         apply_fault(found, step.from);
     else
-        deliver(one, step.from, step.to);
+        deliver(entry, step.from, step.to);
     if (whole && streams_.contains(step.job))
         finish(found);
 }
 
 void engine_streams::attach(job_id job, answer_ptr const& reader)
 {
-    stream& one = streams_.at(job);
-    one.reader = reader;
-    one.headers_sent = false;
-    std::uint64_t const number = ++one.reader_number;
+    stream& entry = streams_.at(job);
+    entry.reader = reader;
+    entry.headers_sent = false;
+    std::uint64_t const number = ++entry.reader_number;
     reader->on_closed(
         [this, job, number] {
             loop_.post([this, job, number] { on_reader_closed(job, number); });
         });
 }
 
-void engine_streams::start_response(stream& one)
+void engine_streams::start_response(stream& entry)
 {
-    if (!one.order.streamed || !one.reader || one.headers_sent)
+    if (!entry.order.streamed || !entry.reader || entry.headers_sent)
         return;
-    one.headers_sent = true;
-    http_headers headers = one.order.headers;
+    entry.headers_sent = true;
+    http_headers headers = entry.order.headers;
     headers.add("Content-Type", "text/event-stream");
-    one.reader->start_stream(200, std::move(headers));
+    entry.reader->start_stream(200, std::move(headers));
 }
 
-void engine_streams::deliver(stream& one, std::size_t from, std::size_t to)
+void engine_streams::deliver(stream& entry, std::size_t from, std::size_t to)
 {
-    if (!one.order.streamed || !one.reader)
+    if (!entry.order.streamed || !entry.reader)
         return;
-    std::size_t const wanted = std::max(from, one.from);
-    if (wanted < to || to == one.order.text.tokens())
-        one.reader->write(one.order.text.events(wanted, to));
+    std::size_t const wanted = std::max(from, entry.from);
+    if (wanted < to || to == entry.order.text.tokens())
+        entry.reader->write(entry.order.text.events(wanted, to));
 }
 
 void engine_streams::apply_fault(stream_map::iterator found, std::size_t from)
 {
-    stream& one = found->second;
-    deliver(one, from, events_before_fault);
-    auto const fault = std::exchange(one.order.fault, stream_fault::none);
-    answer_ptr const reader = std::exchange(one.reader, nullptr);
+    stream& entry = found->second;
+    deliver(entry, from, events_before_fault);
+    auto const fault = std::exchange(entry.order.fault, stream_fault::none);
+    answer_ptr const reader = std::exchange(entry.reader, nullptr);
     if (fault == stream_fault::hang)
     {
-        silent_readers_[{found->first, one.reader_number}] = reader;
+        silent_readers_[{found->first, entry.reader_number}] = reader;
         return;
     }
     reader->abort();
@@ -211,18 +211,18 @@
 
 void engine_streams::finish(stream_map::iterator found)
 {
-    stream& one = found->second;
-    one.is_complete = true;
+    stream& entry = found->second;
+    entry.is_complete = true;
     complete_streams_.emplace_back(now(), found->first);
-    journal_.leave(one.order.call.name);
-    journal_.record("finished", one.order.call);
-    answer_ptr const reader = std::exchange(one.reader, nullptr);
+    journal_.leave(entry.order.call.name);
+    journal_.record("finished", entry.order.call);
+    answer_ptr const reader = std::exchange(entry.reader, nullptr);
     if (!reader)
         return;
-    if (one.order.streamed)
+    if (entry.order.streamed)
         return reader->finish();
-    http_response response = json_response(200, one.order.text.body());
-    for (auto const& [name, value] : one.order.headers.fields())
+    http_response response = json_response(200, entry.order.text.body());
+    for (auto const& [name, value] : entry.order.headers.fields())
         response.headers.add(name, value);
     reader->respond(std::move(response));
 }
@@ -243,13 +243,13 @@
 
 void engine_streams::on_reader_lost(stream_map::iterator found)
 {
-    stream const& one = found->second;
-    if (one.is_complete)
+    stream const& entry = found->second;
+    if (entry.is_complete)
         return;
-    if (!one.order.resumable)
+    if (!entry.order.resumable)
         return end(found, "cut");
     loop_.after(reader_grace,
-                [this, job = found->first, number = one.reader_number]
+                [this, job = found->first, number = entry.reader_number]
                 { expire(job, number); });
 }
 
@@ -265,12 +265,12 @@
 
 void engine_streams::end(stream_map::iterator found, std::string_view kind)
 {
-    stream& one = found->second;
+    stream& entry = found->second;
     scheduler_.remove(found->first);
-    journal_.leave(one.order.call.name);
-    journal_.record(kind, one.order.call);
-    if (one.reader)
-        one.reader->abort();
+    journal_.leave(entry.order.call.name);
+    journal_.record(kind, entry.order.call);
+    if (entry.reader)
+        entry.reader->abort();
     erase(found);
 }
 
--- a/standins/engine_streams.hpp
+++ b/standins/engine_streams.hpp
@@ -68,6 +68,7 @@
     void abort_streams_for(std::string const& name);
     /// Aborts all streams and clears the prefix cache, as a restart does.
     void abort_all_streams();
+    /// Applies the stream settings named in a control request.
     void control(Json::Value const& order);
 
     std::size_t running() const { return scheduler_.running(); }
@@ -95,8 +96,8 @@
     void pump();
     void apply_step(batch_step const& step);
     void attach(job_id job, answer_ptr const& reader);
-    static void start_response(stream& one);
-    static void deliver(stream& one, std::size_t from, std::size_t to);
+    static void start_response(stream& entry);
+    static void deliver(stream& entry, std::size_t from, std::size_t to);
     void apply_fault(stream_map::iterator found, std::size_t from);
     void finish(stream_map::iterator found);
     void on_reader_closed(job_id job, std::uint64_t reader_number);
--- a/standins/relay_connection.cpp
+++ b/standins/relay_connection.cpp
@@ -17,16 +17,18 @@
 
 relay_connection::relay_connection(asio::ip::tcp::socket near,
                                    std::shared_ptr<link_state const> state)
-    : state_(std::move(state)), client_(std::move(near)),
-      server_(client_.get_executor()),
-      to_target_{client_, server_, asio::steady_timer(client_.get_executor())},
-      to_client_{server_, client_, asio::steady_timer(client_.get_executor())}
+    : state_(std::move(state)), client_socket_(std::move(near)),
+      target_socket_(client_socket_.get_executor()),
+      to_target_{client_socket_, target_socket_,
+                 asio::steady_timer(client_socket_.get_executor())},
+      to_client_{target_socket_, client_socket_,
+                 asio::steady_timer(client_socket_.get_executor())}
 {
 }
 
 void relay_connection::start(asio::ip::tcp::endpoint const& target)
 {
-    server_.async_connect(
+    target_socket_.async_connect(
         target,
         [self = shared_from_this()](std::error_code error)
         {
@@ -34,8 +36,10 @@
                 return self->close();
             self->connected_ = true;
             std::error_code ignored;
-            self->client_.set_option(asio::ip::tcp::no_delay(true), ignored);
-            self->server_.set_option(asio::ip::tcp::no_delay(true), ignored);
+            self->client_socket_.set_option(asio::ip::tcp::no_delay(true),
+                                            ignored);
+            self->target_socket_.set_option(asio::ip::tcp::no_delay(true),
+                                            ignored);
             self->read(self->to_target_);
             self->read(self->to_client_);
         });
@@ -44,21 +48,21 @@
 void relay_connection::blackhole()
 {
     silent_ = true;
-    for (direction* way : {&to_target_, &to_client_})
+    for (direction* dir : {&to_target_, &to_client_})
     {
-        way->timer.cancel();
-        way->chunks.clear();
-        way->queued = 0;
+        dir->timer.cancel();
+        dir->chunks.clear();
+        dir->queued = 0;
         // Further bytes are read and dropped.
-        read(*way);
+        read(*dir);
     }
 }
 
 void relay_connection::close()
 {
     std::error_code ignored;
-    client_.close(ignored);
-    server_.close(ignored);
+    client_socket_.close(ignored);
+    target_socket_.close(ignored);
     to_target_.timer.cancel();
     to_client_.timer.cancel();
 }
@@ -69,37 +73,37 @@
     pump(to_client_);
 }
 
-void relay_connection::read(direction& way)
+void relay_connection::read(direction& dir)
 {
-    if (!connected_ || way.reading || way.ended ||
-        way.queued >= max_queued_bytes || !way.from.is_open())
+    if (!connected_ || dir.reading || dir.ended ||
+        dir.queued >= max_queued_bytes || !dir.from.is_open())
         return;
-    way.reading = true;
-    way.from.async_read_some(asio::buffer(way.buffer),
+    dir.reading = true;
+    dir.from.async_read_some(asio::buffer(dir.buffer),
                              [self = shared_from_this(),
-                              &way](std::error_code error, std::size_t size)
-                             { self->on_read(way, error, size); });
+                              &dir](std::error_code error, std::size_t size)
+                             { self->on_read(dir, error, size); });
 }
 
-void relay_connection::on_read(direction& way, std::error_code error,
+void relay_connection::on_read(direction& dir, std::error_code error,
                                std::size_t size)
 {
-    way.reading = false;
+    dir.reading = false;
     if (error)
-        return end(way, error);
+        return end(dir, error);
     if (!silent_)
     {
-        way.chunks.push_back({std::chrono::steady_clock::now() + state_->delay,
-                              std::string(way.buffer.data(), size)});
-        way.queued += size;
-        pump(way);
+        dir.chunks.push_back({std::chrono::steady_clock::now() + state_->delay,
+                              std::string(dir.buffer.data(), size)});
+        dir.queued += size;
+        pump(dir);
     }
-    read(way);
+    read(dir);
 }
 
-void relay_connection::end(direction& way, std::error_code error)
+void relay_connection::end(direction& dir, std::error_code error)
 {
-    way.ended = true;
+    dir.ended = true;
     if (silent_)
     {
         // Neither end may notice that the other end has disconnected.
@@ -107,62 +111,62 @@
     }
     if (error != asio::error::eof)
         return close();
-    way.chunks.push_back(
+    dir.chunks.push_back(
         {std::chrono::steady_clock::now() + state_->delay, ""});
-    pump(way);
+    pump(dir);
 }
 
-void relay_connection::pump(direction& way)
+void relay_connection::pump(direction& dir)
 {
-    if (way.writing || way.chunks.empty() || state_->blocked || silent_)
+    if (dir.writing || dir.chunks.empty() || state_->blocked || silent_)
         return;
-    way.writing = true;
-    way.timer.expires_at(way.chunks.front().due);
-    way.timer.async_wait(
-        [self = shared_from_this(), &way](std::error_code)
+    dir.writing = true;
+    dir.timer.expires_at(dir.chunks.front().due);
+    dir.timer.async_wait(
+        [self = shared_from_this(), &dir](std::error_code)
         {
-            way.writing = false;
+            dir.writing = false;
             if (!self->silent_ && !self->state_->blocked)
-                self->write(way);
+                self->write(dir);
         });
 }
 
-void relay_connection::write(direction& way)
+void relay_connection::write(direction& dir)
 {
-    if (way.chunks.empty() || !way.to.is_open())
+    if (dir.chunks.empty() || !dir.to.is_open())
         return;
     auto const bytes =
-        std::make_shared<std::string const>(way.chunks.front().bytes);
-    way.chunks.pop_front();
+        std::make_shared<std::string const>(dir.chunks.front().bytes);
+    dir.chunks.pop_front();
     if (bytes->empty())
     {
         std::error_code ignored;
-        way.to.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
+        dir.to.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
         return close_if_done();
     }
-    way.writing = true;
-    way.queued -= bytes->size();
-    asio::async_write(way.to, asio::buffer(*bytes),
-                      [self = shared_from_this(), &way,
+    dir.writing = true;
+    dir.queued -= bytes->size();
+    asio::async_write(dir.to, asio::buffer(*bytes),
+                      [self = shared_from_this(), &dir,
                        bytes](std::error_code error, std::size_t)
-                      { self->on_written(way, error); });
+                      { self->on_written(dir, error); });
 }
 
-void relay_connection::on_written(direction& way, std::error_code error)
+void relay_connection::on_written(direction& dir, std::error_code error)
 {
-    way.writing = false;
+    dir.writing = false;
     if (error && !silent_)
         return close();
-    pump(way);
-    read(way);
+    pump(dir);
+    read(dir);
     close_if_done();
 }
 
 void relay_connection::close_if_done()
 {
-    for (direction const* way : {&to_target_, &to_client_})
+    for (direction const* dir : {&to_target_, &to_client_})
     {
-        if (!way->ended || way->writing || !way->chunks.empty())
+        if (!dir->ended || dir->writing || !dir->chunks.empty())
             return;
     }
     close();
--- a/standins/relay_connection.hpp
+++ b/standins/relay_connection.hpp
@@ -33,7 +33,7 @@
     /// Drops all further bytes while both ends stay connected.
     void blackhole();
     void close();
-    bool is_open() const { return client_.is_open(); }
+    bool is_open() const { return client_socket_.is_open(); }
     /// Resumes relaying after `link_state::blocked` was reset.
     void unblock();
 
@@ -57,17 +57,17 @@
         bool ended = false;
     };
 
-    void read(direction& way);
-    void on_read(direction& way, std::error_code error, std::size_t size);
-    void pump(direction& way);
-    void write(direction& way);
-    void on_written(direction& way, std::error_code error);
-    void end(direction& way, std::error_code error);
+    void read(direction& dir);
+    void on_read(direction& dir, std::error_code error, std::size_t size);
+    void pump(direction& dir);
+    void write(direction& dir);
+    void on_written(direction& dir, std::error_code error);
+    void end(direction& dir, std::error_code error);
     void close_if_done();
 
     std::shared_ptr<link_state const> state_;
-    asio::ip::tcp::socket client_;
-    asio::ip::tcp::socket server_;
+    asio::ip::tcp::socket client_socket_;
+    asio::ip::tcp::socket target_socket_;
     direction to_target_;
     direction to_client_;
     bool connected_ = false;
