--- a/tests/history.cpp
+++ b/tests/history.cpp
@@ -64,7 +64,7 @@
     request_record& record = requests_[request];
     ++record.service_runs;
     if (record.once && ++calls_[call] == 2)
-        at_once_.push_back(
+        immediate_violations_.push_back(
             {violation_kind::ran_twice, call + " ran more than once"});
 }
 
@@ -76,8 +76,9 @@
 void history::accepted(std::string const& vm, request_id const& request)
 {
     if (leaving_.contains(vm))
-        at_once_.push_back({violation_kind::work_while_leaving,
-                            vm + " took " + request.str() + " while leaving"});
+        immediate_violations_.push_back(
+            {violation_kind::work_while_leaving,
+             vm + " took " + request.str() + " while leaving"});
 }
 
 std::size_t history::open_requests() const
@@ -166,7 +167,7 @@
 
 std::vector<violation> history::check() const
 {
-    std::vector<violation> found = at_once_;
+    std::vector<violation> found = immediate_violations_;
     for (auto const& each : requests_)
     {
         check_adapter(each, found);
--- a/tests/history.hpp
+++ b/tests/history.hpp
@@ -109,7 +109,7 @@
     std::vector<std::pair<mulberry::engine_name, std::size_t>> unloads_;
     std::map<std::string, std::size_t> calls_;
     std::map<std::string, bool> leaving_;
-    std::vector<violation> at_once_;
+    std::vector<violation> immediate_violations_;
 };
 
 std::string to_string(std::vector<violation> const& violations);
--- a/tests/process_caller.cpp
+++ b/tests/process_caller.cpp
@@ -15,7 +15,7 @@
 {
 
 /// A caller waits a little longer than the deadline that it named.
-constexpr std::chrono::seconds patience{10};
+constexpr std::chrono::seconds deadline_margin{10};
 
 std::string to_text(Json::Value const& value)
 {
@@ -32,14 +32,15 @@
     made.method = method;
     made.url = url;
     made.headers.add("X-Deadline-Ms", std::to_string(deadline.count()));
-    made.deadline = std::chrono::steady_clock::now() + deadline + patience;
+    made.deadline =
+        std::chrono::steady_clock::now() + deadline + deadline_margin;
     return made;
 }
 
 } // namespace
 
-void request_under_way::on_status(int status,
-                                  mulberry::http_headers const& headers)
+void pending_request::on_status(int status,
+                                mulberry::http_headers const& headers)
 {
     std::lock_guard const lock(mutex_);
     seen_.status = status;
@@ -47,14 +48,14 @@
     changed_.notify_all();
 }
 
-void request_under_way::on_data(std::string_view data)
+void pending_request::on_data(std::string_view data)
 {
     std::lock_guard const lock(mutex_);
     seen_.body += data;
     changed_.notify_all();
 }
 
-void request_under_way::on_end()
+void pending_request::on_end()
 {
     std::lock_guard const lock(mutex_);
     seen_.ended = true;
@@ -62,8 +63,7 @@
     changed_.notify_all();
 }
 
-void request_under_way::on_failure(mulberry::call_stage stage,
-                                   std::string const&)
+void pending_request::on_failure(mulberry::call_stage stage, std::string const&)
 {
     std::lock_guard const lock(mutex_);
     seen_.not_sent = stage == mulberry::call_stage::not_sent;
@@ -72,13 +72,13 @@
     changed_.notify_all();
 }
 
-answer_seen request_under_way::seen() const
+received_answer pending_request::seen() const
 {
     std::lock_guard const lock(mutex_);
     return seen_;
 }
 
-answer_seen request_under_way::wait()
+received_answer pending_request::wait()
 {
     std::unique_lock lock(mutex_);
     if (!changed_.wait_for(lock, 2 * generous_wait,
@@ -87,7 +87,7 @@
     return seen_;
 }
 
-bool request_under_way::wait_for(std::string const& text)
+bool pending_request::wait_for(std::string const& text)
 {
     auto const has = [&] { return seen_.body.find(text) != std::string::npos; };
     std::unique_lock lock(mutex_);
--- a/tests/process_caller.hpp
+++ b/tests/process_caller.hpp
@@ -44,7 +44,7 @@
 };
 
 /// What a caller has seen of one request.
-struct answer_seen
+struct received_answer
 {
     int status = 0;
     mulberry::http_headers headers;
@@ -60,7 +60,7 @@
 };
 
 /// One request under way. Thread safe.
-class request_under_way : public mulberry::http_call_observer
+class pending_request : public mulberry::http_call_observer
 {
 public:
     void on_status(int status, mulberry::http_headers const& headers) override;
@@ -69,16 +69,16 @@
     void on_failure(mulberry::call_stage stage,
                     std::string const& text) override;
 
-    answer_seen seen() const;
+    received_answer seen() const;
     /// Waits until the request is over. Throws when it never is.
-    answer_seen wait();
+    received_answer wait();
     /// Waits until the body holds that text or the request is over.
     bool wait_for(std::string const& text);
 
 private:
     mutable std::mutex mutex_;
     std::condition_variable changed_;
-    answer_seen seen_;
+    received_answer seen_;
 };
 
 mulberry::http_call to_http(model_call const& call);
--- a/tests/process_calls_test.cpp
+++ b/tests/process_calls_test.cpp
@@ -39,15 +39,16 @@
     run.world().control_service(order("slow_ms", 300));
     for (int number = 0; number < 10; ++number)
     {
-        std::vector<caller_registry::under_way> tries;
+        std::vector<caller_registry::request_ptr> tries;
         std::string const key = fmt::format("permit-{}", number);
         for (std::size_t const vm : {0, 1, 2})
-            tries.push_back(run.callers().send(run.once_call_to(vm, key)));
+            tries.push_back(
+                run.callers().send(run.unrepeatable_call_to(vm, key)));
         for (auto const& each : tries)
             each->wait();
         CHECK(runs_under(run, key) == 1);
     }
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a retry through another VM is answered with the kept answer",
@@ -56,13 +57,15 @@
     // The second VM reads the claim of the first, makes no call and hands out
     // what was kept.
     scenario run;
-    auto const first = run.callers().send(run.once_call_to(0, "slip"))->wait();
-    auto const again = run.callers().send(run.once_call_to(1, "slip"))->wait();
+    auto const first =
+        run.callers().send(run.unrepeatable_call_to(0, "slip"))->wait();
+    auto const again =
+        run.callers().send(run.unrepeatable_call_to(1, "slip"))->wait();
     CHECK(first.status == 200);
     CHECK(again.status == 200);
     CHECK(again.body == first.body);
     CHECK(again.headers.find("Idempotent-Replayed") == "true");
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a permit whose answer never comes is told as unknown, not repeated",
@@ -72,14 +75,16 @@
     // ran cannot be told, so nobody calls again, through no VM.
     scenario run;
     run.world().control_service(order("drop_after_run", 1));
-    auto const first = run.callers().send(run.once_call_to(0, "slip"))->wait();
+    auto const first =
+        run.callers().send(run.unrepeatable_call_to(0, "slip"))->wait();
     CHECK(error_in(first).kind == "outcome_unknown");
     CHECK(error_in(first).ran == "unknown");
-    auto const again = run.callers().send(run.once_call_to(1, "slip"))->wait();
+    auto const again =
+        run.callers().send(run.unrepeatable_call_to(1, "slip"))->wait();
     CHECK(again.status != 200);
     CHECK(error_in(again).ran != "no");
     CHECK(runs_under(run, "slip") == 1);
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("all connections to a service going silent doubles nothing",
@@ -90,10 +95,10 @@
     // The callers are told that the outcome is unknown by their deadlines.
     scenario run;
     run.world().control_service(order("hold_run", true));
-    std::vector<caller_registry::under_way> tries;
+    std::vector<caller_registry::request_ptr> tries;
     for (std::size_t const vm : {0, 1, 2})
     {
-        auto call = run.once_call_to(vm, fmt::format("silent-{}", vm));
+        auto call = run.unrepeatable_call_to(vm, fmt::format("silent-{}", vm));
         call.deadline = std::chrono::milliseconds(4000);
         tries.push_back(run.callers().send(call));
     }
@@ -113,11 +118,11 @@
     {
         // New connections work; the keys are not called again.
         std::string const key = fmt::format("silent-{}", vm);
-        run.callers().send(run.once_call_to((vm + 1) % 3, key))->wait();
-        auto const other = run.once_call_to(vm, key + "-new");
+        run.callers().send(run.unrepeatable_call_to((vm + 1) % 3, key))->wait();
+        auto const other = run.unrepeatable_call_to(vm, key + "-new");
         CHECK(run.callers().send(other)->wait().status == 200);
     }
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a VM killed after its call leaves the key called once", "[calls]")
@@ -127,7 +132,7 @@
     // whether the call ran: it says so and does not call.
     scenario run;
     run.world().control_service(order("hang_after_run", 1));
-    auto const lost = run.callers().send(run.once_call_to(1, "slip"));
+    auto const lost = run.callers().send(run.unrepeatable_call_to(1, "slip"));
     REQUIRE(eventually([&] { return runs_under(run, "slip") == 1; }));
     run.kill_vm(1);
     CHECK(lost->wait().failed);
@@ -135,11 +140,11 @@
         [&]
         {
             auto const seen =
-                run.callers().send(run.once_call_to(0, "slip"))->wait();
+                run.callers().send(run.unrepeatable_call_to(0, "slip"))->wait();
             return error_in(seen).kind == "outcome_unknown";
         }));
     CHECK(runs_under(run, "slip") == 1);
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a VM frozen in the middle of a call leaves the key called once",
@@ -150,25 +155,26 @@
     // add no second run.
     scenario run;
     run.world().control_service(order("hold_run", true));
-    auto const held = run.callers().send(run.once_call_to(1, "slip"));
+    auto const held = run.callers().send(run.unrepeatable_call_to(1, "slip"));
     REQUIRE(eventually(
         [&] { return run.world().status(1)["in_progress"].asUInt64() > 0; }));
     run.freeze_vm(1);
     run.world().control_service(order("hold_run", false));
     for (int tries = 0; tries < 5; ++tries)
-        run.callers().send(run.once_call_to(0, "slip"))->wait();
+        run.callers().send(run.unrepeatable_call_to(0, "slip"))->wait();
     run.world().vm(1).process->thaw();
     held->wait();
     CHECK(runs_under(run, "slip") <= 1);
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a permit without a key is refused and does not run", "[calls]")
 {
     scenario run;
-    auto const seen = run.callers().send(run.once_call_to(0, ""))->wait();
+    auto const seen =
+        run.callers().send(run.unrepeatable_call_to(0, ""))->wait();
     CHECK(seen.status == 400);
     CHECK(error_in(seen).kind == "key_required");
     CHECK(run.world().service_history().empty());
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
--- a/tests/process_checker_test.cpp
+++ b/tests/process_checker_test.cpp
@@ -30,10 +30,10 @@
     return mulberry::standins::token_text(adapter, prompt).token(offset);
 }
 
-answer_seen answer(int status, std::string const& id, std::string const& type,
-                   std::string const& body)
+received_answer answer(int status, std::string const& id,
+                       std::string const& type, std::string const& body)
 {
-    answer_seen seen;
+    received_answer seen;
     seen.status = status;
     seen.headers.add("X-Request-Id", id);
     seen.headers.add("Content-Type", type);
@@ -50,7 +50,7 @@
     return body + "data: [DONE]\n\n";
 }
 
-recorded<model_call> model_record(answer_seen const& seen)
+recorded<model_call> model_record(received_answer const& seen)
 {
     model_call call;
     call.vm = "entry-1";
@@ -61,7 +61,7 @@
     return {call, seen};
 }
 
-recorded<service_call_made> service_record(answer_seen const& seen)
+recorded<service_call_made> service_record(received_answer const& seen)
 {
     service_call_made call;
     call.vm = "entry-1";
@@ -87,8 +87,8 @@
     return event;
 }
 
-answer_seen told(std::string const& id, std::string const& kind,
-                 std::string const& ran)
+received_answer told(std::string const& id, std::string const& kind,
+                     std::string const& ran)
 {
     return answer(503, id, "application/json",
                   fmt::format("{{\"error\":{{\"kind\":\"{}\",\"message\":\"\","
@@ -130,7 +130,7 @@
 
 TEST_CASE("the process checker accepts a good run", "[checker]")
 {
-    CHECK(to_string(findings(good_run())) == nothing);
+    CHECK(to_string(findings(good_run())) == no_findings);
 }
 
 TEST_CASE("the process checker names another adapter or version", "[checker]")
--- a/tests/process_child.cpp
+++ b/tests/process_child.cpp
@@ -16,11 +16,11 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds look_interval{10};
+constexpr std::chrono::milliseconds poll_interval{10};
 constexpr std::string_view address_line = "listening ";
 constexpr int signal_base = 128;
 
-std::string text_of(std::filesystem::path const& path)
+std::string read_file(std::filesystem::path const& path)
 {
     std::ifstream file(path, std::ios::binary);
     return {std::istreambuf_iterator<char>(file), {}};
@@ -91,7 +91,7 @@
                                end - begin - address_line.size());
         if (!running())
             break;
-        std::this_thread::sleep_for(look_interval);
+        std::this_thread::sleep_for(poll_interval);
     }
     throw std::runtime_error(name_ + " does not listen: " + log());
 }
@@ -103,7 +103,7 @@
     {
         if (std::chrono::steady_clock::now() > limit)
             throw std::runtime_error(name_ + " does not end: " + log());
-        std::this_thread::sleep_for(look_interval);
+        std::this_thread::sleep_for(poll_interval);
     }
     return WIFSIGNALED(status_) ? signal_base + WTERMSIG(status_)
                                 : WEXITSTATUS(status_);
@@ -158,12 +158,12 @@
 
 std::string child_process::output() const
 {
-    return text_of(out_);
+    return read_file(out_);
 }
 
 std::string child_process::log() const
 {
-    return text_of(log_);
+    return read_file(log_);
 }
 
 } // namespace mulberry_test
--- a/tests/process_engine_test.cpp
+++ b/tests/process_engine_test.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t some_answers = 60;
 constexpr std::size_t long_stream = 400;
 
-Json::Value at_all(char const* name, Json::Value const& value)
+Json::Value for_all_workers(char const* name, Json::Value const& value)
 {
     Json::Value body = order(name, value);
     body["worker"] = "*";
@@ -29,7 +29,7 @@
     return body;
 }
 
-bool happened(scenario& run, std::string const& kind)
+bool has_engine_event(scenario& run, std::string const& kind)
 {
     auto const events = run.world().engine_history();
     return std::any_of(events.begin(), events.end(),
@@ -38,9 +38,9 @@
 }
 
 /// A stream through each VM, each of which has begun to arrive.
-std::vector<caller_registry::under_way> begun_streams(scenario& run)
+std::vector<caller_registry::request_ptr> start_streams(scenario& run)
 {
-    std::vector<caller_registry::under_way> streams;
+    std::vector<caller_registry::request_ptr> streams;
     for (std::size_t const vm : {0, 1, 2})
     {
         model_call call = run.call_to(vm, run.world().adapters().front());
@@ -62,24 +62,24 @@
     // middle of streams, without being closed. New ones work. The VM notices
     // the silence and resumes each stream at its next event.
     scenario run;
-    auto const streams = begun_streams(run);
+    auto const streams = start_streams(run);
     run.world().control_link(engine_links("silent"));
     for (auto const& each : streams)
         CHECK(answered_whole(each->wait()));
-    CHECK(happened(run, "resumed"));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(has_engine_event(run, "resumed"));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("streams whose connections are cut are resumed without a gap",
           "[engine]")
 {
     scenario run;
-    auto const streams = begun_streams(run);
+    auto const streams = start_streams(run);
     run.world().control_link(engine_links("cut"));
     for (auto const& each : streams)
         CHECK(answered_whole(each->wait()));
-    CHECK(happened(run, "resumed"));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(has_engine_event(run, "resumed"));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("connections to engines cut and silent again and again break nothing",
@@ -90,13 +90,13 @@
     run.start_traffic();
     for (int round = 0; round < 3; ++round)
     {
-        REQUIRE(run.more_answers(some_answers / 2));
+        REQUIRE(run.wait_for_answers(some_answers / 2));
         run.world().control_link(engine_links("silent"));
-        REQUIRE(run.more_answers(some_answers / 2));
+        REQUIRE(run.wait_for_answers(some_answers / 2));
         run.world().control_link(engine_links("cut"));
     }
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a cut stream that the engine has forgotten is told as cut",
@@ -105,8 +105,8 @@
     // The engine cannot resume it. The caller has a part of the answer: it is
     // told that this is no end.
     scenario run;
-    run.world().control_engine(at_all("forget_streams", true));
-    auto const streams = begun_streams(run);
+    run.world().control_engine(for_all_workers("forget_streams", true));
+    auto const streams = start_streams(run);
     run.world().control_link(engine_links("cut"));
     for (auto const& each : streams)
     {
@@ -114,7 +114,7 @@
         CHECK(error_in(seen).kind == "answer_cut");
         CHECK_FALSE(answered_whole(seen));
     }
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("engines that restart cold in the middle of streams break nothing",
@@ -126,11 +126,11 @@
     run.start_traffic();
     for (int round = 0; round < 3; ++round)
     {
-        REQUIRE(run.more_answers(some_answers));
-        run.world().control_engine(at_all("restart", true));
+        REQUIRE(run.wait_for_answers(some_answers));
+        run.world().control_engine(for_all_workers("restart", true));
     }
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("loads that fail are tried again and break nothing", "[engine]")
@@ -139,11 +139,11 @@
     run.start_traffic();
     for (int round = 0; round < 3; ++round)
     {
-        run.world().control_engine(at_all("fail_loads", 5));
-        REQUIRE(run.more_answers(some_answers));
+        run.world().control_engine(for_all_workers("fail_loads", 5));
+        REQUIRE(run.wait_for_answers(some_answers));
     }
-    CHECK(happened(run, "load_failed"));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(has_engine_event(run, "load_failed"));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("an answer that bears another adapter's name reaches no caller",
@@ -153,10 +153,10 @@
     // nobody knows.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
-    run.world().control_engine(at_all("wrong_model", 20));
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    REQUIRE(run.wait_for_answers(some_answers));
+    run.world().control_engine(for_all_workers("wrong_model", 20));
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a VM frozen while an engine restarts does no harm", "[engine]")
@@ -166,16 +166,16 @@
     // what it believed.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
+    REQUIRE(run.wait_for_answers(some_answers));
     run.freeze_vm(1);
-    run.world().control_engine(at_all("restart", true));
-    run.aim_at({0, 2});
-    CHECK(run.more_answers(some_answers));
+    run.world().control_engine(for_all_workers("restart", true));
+    run.send_traffic_to({0, 2});
+    CHECK(run.wait_for_answers(some_answers));
     run.world().vm(1).process->thaw();
     CHECK(eventually([&] { return run.world().ready(1); }));
-    run.aim_at({0, 1, 2});
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    run.send_traffic_to({0, 1, 2});
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a caller that vanishes ends its request and no other", "[engine]")
@@ -183,10 +183,10 @@
     // The stream is cancelled at the engine, so that it takes no room in the
     // batch; the others come whole.
     scenario run;
-    auto const streams = begun_streams(run);
-    run.callers().go_away(streams.front());
-    CHECK(eventually([&] { return happened(run, "cancelled"); }));
+    auto const streams = start_streams(run);
+    run.callers().disconnect(streams.front());
+    CHECK(eventually([&] { return has_engine_event(run, "cancelled"); }));
     CHECK(answered_whole(streams.at(1)->wait()));
     CHECK(answered_whole(streams.at(2)->wait()));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
--- a/tests/process_input_test.cpp
+++ b/tests/process_input_test.cpp
@@ -43,14 +43,14 @@
     return socket.read_all();
 }
 
-bool tells(std::string const& answer, int status, std::string const& kind)
+bool is_refusal(std::string const& answer, int status, std::string const& kind)
 {
     return answer.starts_with(fmt::format("HTTP/1.1 {} ", status)) &&
            answer.find("\"kind\":\"" + kind + "\"") != std::string::npos &&
            answer.find("\"ran\":\"no\"") != std::string::npos;
 }
 
-std::string asking(std::string const& model)
+std::string completion_body(std::string const& model)
 {
     return "{\"model\":\"" + model + "\",\"prompt\":\"p\",\"max_tokens\":4}";
 }
@@ -76,25 +76,25 @@
     {
         std::string const answer = answer_to(to, bytes);
         INFO(bytes.substr(0, 200) << "\nwas answered " << answer);
-        CHECK(tells(answer, status, kind));
+        CHECK(is_refusal(answer, status, kind));
     };
     refused(completion("{\"model\":"), 400, "bad_request");
     refused(completion("[1,2]"), 400, "bad_request");
     refused(completion(std::string(20000, '[')), 400, "bad_request");
     refused(completion("{\"model\":\"note-1@1\"}"), 400, "bad_request");
-    refused(completion(asking("note-1")), 404, "unknown_model");
-    refused(completion(asking("note-1@99")), 404, "unknown_model");
-    refused(completion(asking("nobody@1")), 404, "unknown_model");
-    refused(completion(asking("note-1@1"), "X-Deadline-Ms: 0\r\n"), 400,
-            "bad_deadline");
-    refused(completion(asking("note-1@1"), "X-Deadline-Ms: -5\r\n"), 400,
-            "bad_deadline");
-    refused(completion(asking("note-1@1"),
+    refused(completion(completion_body("note-1")), 404, "unknown_model");
+    refused(completion(completion_body("note-1@99")), 404, "unknown_model");
+    refused(completion(completion_body("nobody@1")), 404, "unknown_model");
+    refused(completion(completion_body("note-1@1"), "X-Deadline-Ms: 0\r\n"),
+            400, "bad_deadline");
+    refused(completion(completion_body("note-1@1"), "X-Deadline-Ms: -5\r\n"),
+            400, "bad_deadline");
+    refused(completion(completion_body("note-1@1"),
                        "X-Deadline-Ms: 99999999999999999999\r\n"),
             400, "bad_deadline");
-    refused(completion(asking("note-1@1"), "X-Deadline-Ms: soon\r\n"), 400,
-            "bad_deadline");
-    refused(completion(asking("note-1@1"), "X-Priority: 12\r\n"), 400,
+    refused(completion(completion_body("note-1@1"), "X-Deadline-Ms: soon\r\n"),
+            400, "bad_deadline");
+    refused(completion(completion_body("note-1@1"), "X-Priority: 12\r\n"), 400,
             "bad_request");
     refused(with_bearer("GET", "/services/nobody/x", ""), 404,
             "unknown_service");
@@ -102,7 +102,7 @@
     // Engines have loaded what is to be ready, at most; nothing has run.
     for (Json::Value const& event : run.world().engine_history())
         CHECK(event["kind"].asString() == "loaded");
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("what is too large is refused before it is read", "[input]")
@@ -110,12 +110,12 @@
     scenario run;
     std::string const to = run.world().vm(0).callers;
     std::string const large(body_limit + 1, 'x');
-    CHECK(tells(answer_to(to, completion(large)), 413, "body_too_large"));
+    CHECK(is_refusal(answer_to(to, completion(large)), 413, "body_too_large"));
     std::string const header =
         "X-Long: " + std::string(header_limit, 'x') + "\r\n";
-    CHECK(tells(answer_to(to, completion_head(0, header)), 431,
-                "body_too_large"));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(is_refusal(answer_to(to, completion_head(0, header)), 431,
+                     "body_too_large"));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("callers that send slowly or half close harm no other", "[input]")
@@ -130,13 +130,13 @@
         slow.push_back(raw_socket::connected(port_of(to)));
         slow.back().send(completion_head(1000) + "{\"model\"");
     }
-    run.aim_at({0});
+    run.send_traffic_to({0});
     run.start_traffic();
-    CHECK(run.more_answers(60));
+    CHECK(run.wait_for_answers(60));
     for (raw_socket const& each : slow)
         each.shutdown_send();
-    CHECK(run.more_answers(60));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_answers(60));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a caller that sends too slowly is told so", "[input]")
@@ -145,8 +145,8 @@
     // its connection is closed.
     scenario run;
     std::string const to = run.world().vm(0).callers;
-    CHECK(tells(answer_to(to, completion_head(1000) + "{\"model\""), 408,
-                "too_slow"));
+    CHECK(is_refusal(answer_to(to, completion_head(1000) + "{\"model\""), 408,
+                     "too_slow"));
 }
 
 TEST_CASE("a caller that half closes gets an answer", "[input]")
@@ -155,7 +155,7 @@
     scenario run;
     raw_socket const half =
         raw_socket::connected(port_of(run.world().vm(0).callers));
-    half.send(completion(asking("note-1@1")));
+    half.send(completion(completion_body("note-1@1")));
     half.shutdown_send();
     CHECK(half.read_all().starts_with("HTTP/1.1 "));
 }
@@ -164,7 +164,7 @@
 {
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(30));
+    REQUIRE(run.wait_for_answers(30));
     for (entry_vm const* vm :
          {&run.world().vm(0), &run.world().vm(1), &run.world().vm(2)})
         for (std::string const& listener :
@@ -173,8 +173,8 @@
             answer_to(listener, std::string(1000, '\0') + "\r\n\r\n");
             answer_to(listener, "GET / HTTP/9.9\r\nContent-Length: -1\r\n\r\n");
         }
-    CHECK(run.more_answers(30));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_answers(30));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE(
--- a/tests/process_operators_test.cpp
+++ b/tests/process_operators_test.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t some_answers = 60;
 
 /// Plans into a file of its own.
-std::string planned(scenario& run, std::string const& change)
+std::string write_plan(scenario& run, std::string const& change)
 {
     auto const declaration = run.world().write_declaration(change);
     std::string plan = declaration.string() + ".plan";
@@ -39,8 +39,8 @@
     scenario run;
     run.start_traffic();
     std::uint64_t const before = version_on(run, 0);
-    std::string const one = planned(run, "one");
-    std::string const other = planned(run, "other");
+    std::string const one = write_plan(run, "one");
+    std::string const other = write_plan(run, "other");
     auto const confirm = [&run](std::string const& plan) {
         return run.world().ctl({"confirm", plan});
     };
@@ -57,7 +57,7 @@
           std::string::npos);
     for (std::size_t const vm : {0, 1, 2})
         CHECK(eventually([&] { return version_on(run, vm) == before + 1; }));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a confirm whose answer is lost is in force once or not at all",
@@ -68,20 +68,20 @@
     scenario run;
     run.start_traffic();
     std::uint64_t const before = version_on(run, 0);
-    std::string const plan = planned(run, "lost");
+    std::string const plan = write_plan(run, "lost");
     run.world().control_platform(order("lose_answers", 3));
     ctl_run const told = run.world().ctl({"confirm", plan});
     INFO(told.output << told.errors);
     bool const in_force = told.status == 0;
     CHECK((in_force || told.status == 1 || told.status == 5));
-    CHECK(run.more_answers(some_answers));
+    CHECK(run.wait_for_answers(some_answers));
     std::uint64_t const after = version_on(run, 0);
     CHECK(after <= before + 1);
     if (in_force)
         CHECK(after == before + 1);
     for (std::size_t const vm : {1, 2})
         CHECK(eventually([&] { return version_on(run, vm) == after; }));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a confirmed configuration is in force on a VM that stood still",
@@ -92,11 +92,11 @@
     // than the bound.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
+    REQUIRE(run.wait_for_answers(some_answers));
     run.freeze_vm(1);
-    run.aim_at({0, 2});
+    run.send_traffic_to({0, 2});
     std::uint64_t const before = version_on(run, 0);
-    std::string const plan = planned(run, "meanwhile");
+    std::string const plan = write_plan(run, "meanwhile");
     CHECK(eventually(
         [&]
         {
@@ -106,9 +106,9 @@
     run.world().vm(1).process->thaw();
     for (std::size_t const vm : {0, 1, 2})
         CHECK(eventually([&] { return version_on(run, vm) == before + 1; }));
-    run.aim_at({0, 1, 2});
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    run.send_traffic_to({0, 1, 2});
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a VM that starts has the confirmed configuration", "[operators]")
@@ -123,7 +123,7 @@
     CHECK(eventually([&] { return run.world().ready(2); }));
     CHECK(version_on(run, 2) == before + 1);
     run.world().control_platform(order("read_lag_ms", 0));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a late list of VMs breaks nothing", "[operators]")
@@ -132,13 +132,13 @@
     // of neither what holds.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
+    REQUIRE(run.wait_for_answers(some_answers));
     run.world().control_platform(order("list_lag_ms", 20000));
-    run.aim_at({0, 2});
+    run.send_traffic_to({0, 2});
     run.kill_vm(1);
     run.world().start_vm(1);
     CHECK(eventually([&] { return run.world().ready(1); }));
-    run.aim_at({0, 1, 2});
-    CHECK(run.more_answers(2 * some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    run.send_traffic_to({0, 1, 2});
+    CHECK(run.wait_for_answers(2 * some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
--- a/tests/process_record.cpp
+++ b/tests/process_record.cpp
@@ -17,21 +17,21 @@
 
 using namespace mulberry;
 
-constexpr std::size_t most_event_bytes = 1 << 20;
+constexpr std::size_t max_event_bytes = 1 << 20;
 
 std::vector<sse_event> events_in(std::string const& body)
 {
-    return sse_parser(most_event_bytes).feed(body);
+    return sse_parser(max_event_bytes).feed(body);
 }
 
-bool is_stream(answer_seen const& seen)
+bool is_stream(received_answer const& seen)
 {
     return seen.headers.find("Content-Type")
         .value_or("")
         .starts_with("text/event-stream");
 }
 
-std::optional<sse_event> last_event(answer_seen const& seen)
+std::optional<sse_event> last_event(received_answer const& seen)
 {
     auto const events = events_in(seen.body);
     if (events.empty())
@@ -50,7 +50,7 @@
 }
 
 /// The error object of an answer; null when there is none.
-Json::Value error_object(answer_seen const& seen)
+Json::Value error_object(received_answer const& seen)
 {
     if (!is_stream(seen))
         return seen.ended && seen.status != 200 ? parsed(seen.body)["error"]
@@ -61,7 +61,8 @@
     return parsed(last->data)["error"];
 }
 
-std::string request_of(answer_seen const& seen, std::string const& otherwise)
+std::string request_id_of(received_answer const& seen,
+                          std::string const& otherwise)
 {
     if (auto const id = seen.headers.find("X-Request-Id"))
         return *id;
@@ -70,7 +71,7 @@
 }
 
 /// A try of a request is named REQUEST.N.
-std::string without_try(std::string const& name)
+std::string without_attempt_number(std::string const& name)
 {
     auto const dot = name.rfind('.');
     bool const numbered =
@@ -92,22 +93,22 @@
 }
 
 /// Folds what was recorded into the history that the core's proof uses too.
-class folder
+class history_builder
 {
 public:
-    explicit folder(process_record const& run) : run_(run) {}
+    explicit history_builder(process_record const& run) : run_(run) {}
 
     std::vector<finding> findings()
     {
         for (std::size_t index = 0; index < run_.model_calls.size(); ++index)
-            fold(run_.model_calls[index], fmt::format("model-{}", index));
+            add(run_.model_calls[index], fmt::format("model-{}", index));
         for (std::size_t index = 0; index < run_.service_calls.size(); ++index)
-            fold(run_.service_calls[index], fmt::format("call-{}", index));
+            add(run_.service_calls[index], fmt::format("call-{}", index));
         for (Json::Value const& event : run_.engine_events)
-            fold_engine(event);
+            add_engine_event(event);
         for (Json::Value const& event : run_.service_events)
-            fold_service(event);
-        check_kept_answers();
+            add_service_event(event);
+        check_answers_by_key();
         check_versions();
         for (violation const& each : history_.check())
             found_.push_back({name_of(each.kind), each.text});
@@ -141,7 +142,7 @@
 
     /// Whether the system owes no final answer.
     template <class Call>
-    bool excused(recorded<Call> const& one) const
+    bool may_lack_answer(recorded<Call> const& one) const
     {
         return one.end == caller_end::went_away ||
                run_.killed.contains(one.call.vm) ||
@@ -150,9 +151,10 @@
     }
 
     /// Two callers with one request would share its answer.
-    request_id take_id(answer_seen const& seen, std::string const& otherwise)
+    request_id unique_id(received_answer const& seen,
+                         std::string const& otherwise)
     {
-        request_id id(request_of(seen, otherwise));
+        request_id id(request_id_of(seen, otherwise));
         if (!known_.insert(id).second)
             found_.push_back(
                 {"foreign_answer", id.str() + " was answered to two callers"});
@@ -160,7 +162,7 @@
     }
 
     template <class Call>
-    void fold_end(recorded<Call> const& one, request_id const& id)
+    void add_outcome(recorded<Call> const& one, request_id const& id)
     {
         Json::Value const object = error_object(one.seen);
         if (auto const told = list_error(object))
@@ -170,7 +172,7 @@
                               id.str() + " was answered " + one.seen.body});
         else if (answered_whole(one.seen))
             history_.answered_whole(id);
-        else if (excused(one))
+        else if (may_lack_answer(one))
             history_.withdrawn(id);
         if (!one.sent_while_leaving || !answered_whole(one.seen))
             return;
@@ -178,21 +180,21 @@
         history_.accepted(one.call.vm, id);
     }
 
-    void fold(recorded<model_call> const& one, std::string const& number)
+    void add(recorded<model_call> const& one, std::string const& number)
     {
-        request_id const id = take_id(one.seen, number);
+        request_id const id = unique_id(one.seen, number);
         auto const adapter = parse_adapter_ref(one.call.adapter);
         history_.invoked(id, adapter.value_or(adapter_ref()));
         if (one.seen.status == 200)
-            fold_pieces(one, id);
-        fold_end(one, id);
+            add_pieces(one, id);
+        add_outcome(one, id);
     }
 
-    void fold_pieces(recorded<model_call> const& one, request_id const& id)
+    void add_pieces(recorded<model_call> const& one, request_id const& id)
     {
         if (!is_stream(one.seen))
         {
-            fold_whole(one, id);
+            add_complete_answer(one, id);
             return;
         }
         for (sse_event const& event : events_in(one.seen.body))
@@ -200,26 +202,27 @@
             Json::Value const data = parsed(event.data);
             if (!event.event.empty() || !data.isObject())
                 continue;
-            fold_piece(one, id, data["model"].asString(),
-                       data["offset"].asUInt64(),
-                       text_of_choice(data["choices"][0]));
+            add_piece(one, id, data["model"].asString(),
+                      data["offset"].asUInt64(),
+                      text_of_choice(data["choices"][0]));
         }
     }
 
-    void fold_whole(recorded<model_call> const& one, request_id const& id)
+    void add_complete_answer(recorded<model_call> const& one,
+                             request_id const& id)
     {
         Json::Value const body = parsed(one.seen.body);
         std::istringstream words(text_of_choice(body["choices"][0]));
         std::string word;
         for (std::uint64_t offset = 0; words >> word; ++offset)
-            fold_piece(one, id, body["model"].asString(), offset, word + " ");
+            add_piece(one, id, body["model"].asString(), offset, word + " ");
     }
 
     /// The engines' text depends on adapter, prompt and place alone, so that
     /// a text that does not fit is another request's or another adapter's.
-    void fold_piece(recorded<model_call> const& one, request_id const& id,
-                    std::string const& model, std::uint64_t offset,
-                    std::string const& text)
+    void add_piece(recorded<model_call> const& one, request_id const& id,
+                   std::string const& model, std::uint64_t offset,
+                   std::string const& text)
     {
         std::string const expected =
             standins::token_text(one.call.adapter, one.call.prompt)
@@ -237,29 +240,31 @@
                                       " and was answered by " + model});
     }
 
-    void fold(recorded<service_call_made> const& one, std::string const& number)
+    void add(recorded<service_call_made> const& one, std::string const& number)
     {
-        request_id const id = take_id(one.seen, number);
+        request_id const id = unique_id(one.seen, number);
         history_.service_invoked(id, !one.call.key.empty());
-        fold_end(one, id);
+        add_outcome(one, id);
         if (one.seen.status == 200 && one.seen.ended && !one.call.key.empty())
-            kept_[one.call.key].insert(one.seen.body);
+            answers_by_key_[one.call.key].insert(one.seen.body);
     }
 
-    void fold_engine(Json::Value const& event)
+    void add_engine_event(Json::Value const& event)
     {
         std::string const kind = event["kind"].asString();
         engine_name const name(event["name"].asString());
-        request_id const id(without_try(event["request"].asString()));
+        request_id const id(
+            without_attempt_number(event["request"].asString()));
         if (kind == "unloaded")
             history_.unloaded(name, event["in_flight"].asUInt64());
         else if (kind == "started" && known_.contains(id))
             history_.started_at_backend(id, name);
     }
 
-    void fold_service(Json::Value const& event)
+    void add_service_event(Json::Value const& event)
     {
-        request_id const id(without_try(event["request"].asString()));
+        request_id const id(
+            without_attempt_number(event["request"].asString()));
         std::string const key = event["key"].asString();
         ran_keys_.insert(key);
         if (!known_.contains(id))
@@ -271,9 +276,9 @@
         history_.service_ran(key.empty() ? id.str() : key, id);
     }
 
-    void check_kept_answers()
+    void check_answers_by_key()
     {
-        for (auto const& [key, bodies] : kept_)
+        for (auto const& [key, bodies] : answers_by_key_)
         {
             if (bodies.size() > 1)
                 found_.push_back({"ran_twice", key + " has two answers"});
@@ -294,7 +299,7 @@
     history history_;
     std::vector<finding> found_;
     std::set<request_id> known_;
-    std::map<std::string, std::set<std::string>> kept_;
+    std::map<std::string, std::set<std::string>> answers_by_key_;
     std::set<std::string> ran_keys_;
 };
 
@@ -302,7 +307,7 @@
 
 std::vector<finding> findings(process_record const& run)
 {
-    return folder(run).findings();
+    return history_builder(run).findings();
 }
 
 std::string to_string(std::vector<finding> const& found)
@@ -313,7 +318,7 @@
     return text;
 }
 
-told_error error_in(answer_seen const& seen)
+reported_error error_in(received_answer const& seen)
 {
     Json::Value const object = error_object(seen);
     if (!object.isObject())
@@ -321,7 +326,7 @@
     return {object["kind"].asString(), object["ran"].asString()};
 }
 
-bool answered_whole(answer_seen const& seen)
+bool answered_whole(received_answer const& seen)
 {
     if (seen.status != 200 || !seen.ended)
         return false;
@@ -331,7 +336,7 @@
     return last && last->data == "[DONE]";
 }
 
-std::string text_in(answer_seen const& seen)
+std::string text_in(received_answer const& seen)
 {
     if (!is_stream(seen))
         return text_of_choice(parsed(seen.body)["choices"][0]);
--- a/tests/process_record.hpp
+++ b/tests/process_record.hpp
@@ -30,7 +30,7 @@
 struct recorded
 {
     Call call;
-    answer_seen seen;
+    received_answer seen;
     caller_end end = caller_end::waited;
     /// Sent after its VM had said that it takes no new work.
     bool sent_while_leaving = false;
@@ -62,19 +62,19 @@
 std::vector<finding> findings(process_record const& run);
 std::string to_string(std::vector<finding> const& found);
 /// What to_string makes of no findings.
-inline std::string const nothing;
+inline std::string const no_findings;
 
 /// What the system answered, as far as it is one of the closed list's errors.
-struct told_error
+struct reported_error
 {
     std::string kind;
     std::string ran;
 };
-told_error error_in(answer_seen const& seen);
+reported_error error_in(received_answer const& seen);
 /// Whether the answer is whole, as its own end says.
-bool answered_whole(answer_seen const& seen);
+bool answered_whole(received_answer const& seen);
 /// The text of a whole or streamed answer to a completion.
-std::string text_in(answer_seen const& seen);
+std::string text_in(received_answer const& seen);
 
 } // namespace mulberry_test
 
--- a/tests/process_table_test.cpp
+++ b/tests/process_table_test.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t some_answers = 60;
 constexpr int lease_ms = 1500;
-constexpr std::chrono::seconds promise_span{4};
+constexpr std::chrono::seconds promise_duration{4};
 
 Json::Value table_down(bool down)
 {
@@ -25,7 +25,7 @@
     return body;
 }
 
-bool goes_on_without_table(scenario& run, std::size_t vm)
+bool continues_without_table(scenario& run, std::size_t vm)
 {
     return run.world().status(vm)["going_on_without_table"].asBool();
 }
@@ -57,25 +57,26 @@
     // be repeated is refused with `ran: no`, since no claim can be written.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
+    REQUIRE(run.wait_for_answers(some_answers));
     // A promise to help a confirm keeps a VM from going on until it has ended.
-    pass(promise_span);
+    pass(promise_duration);
     run.world().control_platform(table_down(true));
     for (std::size_t const vm : {0, 1, 2})
-        CHECK(eventually([&] { return goes_on_without_table(run, vm); }));
+        CHECK(eventually([&] { return continues_without_table(run, vm); }));
     CHECK(eventually(
         [&] { return gauge(run, 0, "going_on_without_table") == "1"; }));
     CHECK(gauge(run, 0, "lease_holds") == "0");
     pass(std::chrono::milliseconds(3 * lease_ms));
-    CHECK(run.more_answers(some_answers));
-    auto const once = run.callers().send(run.once_call_to(0, "in-the-outage"));
-    told_error const refused = error_in(once->wait());
+    CHECK(run.wait_for_answers(some_answers));
+    auto const once =
+        run.callers().send(run.unrepeatable_call_to(0, "in-the-outage"));
+    reported_error const refused = error_in(once->wait());
     CHECK(refused.kind == "platform_unavailable");
     CHECK(refused.ran == "no");
     run.world().control_platform(table_down(false));
-    CHECK(run.more_once_calls(5));
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_unrepeatable_calls(5));
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("an outage right after the first confirm is gone through", "[table]")
@@ -85,10 +86,10 @@
     scenario run;
     run.world().control_platform(table_down(true));
     for (std::size_t const vm : {0, 1, 2})
-        CHECK(eventually([&] { return goes_on_without_table(run, vm); }));
+        CHECK(eventually([&] { return continues_without_table(run, vm); }));
     run.start_traffic();
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a VM that alone has lost the table stops taking work", "[table]")
@@ -99,7 +100,7 @@
     // again.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
+    REQUIRE(run.wait_for_answers(some_answers));
     Json::Value cut = order("link", "platform-2");
     cut["block"] = true;
     run.world().control_link(cut);
@@ -108,7 +109,7 @@
     auto const seen =
         run.callers().send(run.call_to(1, run.world().adapters().front()));
     CHECK(error_in(seen->wait()).ran == "no");
-    run.aim_at({0, 2});
+    run.send_traffic_to({0, 2});
     CHECK(eventually(
         [&]
         {
@@ -116,13 +117,13 @@
                        run.world().status(2)["workers"].size() ==
                    4;
         }));
-    CHECK(run.more_answers(some_answers));
+    CHECK(run.wait_for_answers(some_answers));
     cut["block"] = false;
     run.world().control_link(cut);
     CHECK(eventually([&] { return run.world().ready(1); }));
-    run.aim_at({0, 1, 2});
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    run.send_traffic_to({0, 1, 2});
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a VM killed in an outage of the table does no harm", "[table]")
@@ -131,12 +132,12 @@
     // is back, requests for them fail with a true `ran`, all others go on.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
+    REQUIRE(run.wait_for_answers(some_answers));
     run.world().control_platform(table_down(true));
-    CHECK(eventually([&] { return goes_on_without_table(run, 0); }));
+    CHECK(eventually([&] { return continues_without_table(run, 0); }));
     run.kill_vm(1);
-    run.aim_at({0, 2});
-    CHECK(run.more_answers(some_answers));
+    run.send_traffic_to({0, 2});
+    CHECK(run.wait_for_answers(some_answers));
     run.world().control_platform(table_down(false));
     CHECK(eventually(
         [&]
@@ -145,8 +146,8 @@
                        run.world().status(2)["workers"].size() ==
                    4;
         }));
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a VM that starts in an outage of the table is not ready", "[table]")
@@ -163,7 +164,7 @@
     CHECK(error_in(seen->wait()).ran == "no");
     run.world().control_platform(table_down(false));
     CHECK(eventually([&] { return run.world().ready(2); }));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a slow table delays orders and breaks nothing", "[table]")
@@ -171,13 +172,13 @@
     // Every call of the table takes a third of a lease.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
+    REQUIRE(run.wait_for_answers(some_answers));
     run.world().control_platform(order("slow_ms", lease_ms / 3));
-    CHECK(run.more_answers(some_answers));
-    CHECK(run.more_once_calls(2));
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(run.wait_for_unrepeatable_calls(2));
     run.world().control_platform(order("slow_ms", 0));
-    CHECK(run.more_once_calls(2));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_unrepeatable_calls(2));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("answers lost after the write took effect do no harm", "[table]")
@@ -186,12 +187,12 @@
     // writers read back what became of them under their own token.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
+    REQUIRE(run.wait_for_answers(some_answers));
     for (int round = 0; round < 5; ++round)
     {
         run.world().control_platform(order("lose_answers", 6));
-        CHECK(run.more_once_calls(3));
+        CHECK(run.wait_for_unrepeatable_calls(3));
     }
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
--- a/tests/process_traffic.cpp
+++ b/tests/process_traffic.cpp
@@ -18,12 +18,12 @@
 {
 
 constexpr unsigned model_threads = 6;
-constexpr std::size_t most_tries = 6;
+constexpr std::size_t max_attempts = 6;
 constexpr std::chrono::milliseconds pause_after_error{50};
 constexpr std::chrono::milliseconds watch_interval{50};
 
 /// Few adapters are popular, most are hardly asked for.
-std::size_t skewed(std::mt19937& random, std::size_t count)
+std::size_t skewed_index(std::mt19937& random, std::size_t count)
 {
     std::uniform_real_distribution<double> even(0.0, 1.0);
     double const place = even(random);
@@ -34,10 +34,10 @@
 } // namespace
 
 template <class Call>
-caller_registry::under_way caller_registry::send(Call const& call,
-                                                 std::deque<kept<Call>>& list)
+caller_registry::request_ptr caller_registry::send(Call const& call,
+                                                   std::deque<kept<Call>>& list)
 {
-    auto request = std::make_shared<request_under_way>();
+    auto request = std::make_shared<pending_request>();
     std::lock_guard const lock(mutex_);
     recorded<Call> what{
         call, {}, caller_end::waited, leaving_.contains(call.vm)};
@@ -48,19 +48,20 @@
     return request;
 }
 
-caller_registry::under_way caller_registry::send(model_call const& call)
+caller_registry::request_ptr caller_registry::send(model_call const& call)
 {
     return send(call, model_calls_);
 }
 
-caller_registry::under_way caller_registry::send(service_call_made const& call)
+caller_registry::request_ptr
+caller_registry::send(service_call_made const& call)
 {
     return send(call, service_calls_);
 }
 
 template <class Call>
 bool caller_registry::close(std::deque<kept<Call>>& list,
-                            under_way const& request)
+                            request_ptr const& request)
 {
     auto const found = std::find_if(list.begin(), list.end(),
                                     [&](kept<Call> const& each)
@@ -73,14 +74,14 @@
     return true;
 }
 
-void caller_registry::go_away(under_way const& request)
+void caller_registry::disconnect(request_ptr const& request)
 {
     std::lock_guard const lock(mutex_);
     if (!close(model_calls_, request))
         close(service_calls_, request);
 }
 
-void caller_registry::note_leaving(std::string const& vm)
+void caller_registry::mark_leaving(std::string const& vm)
 {
     std::lock_guard const lock(mutex_);
     leaving_.insert(vm);
@@ -93,7 +94,7 @@
     for (kept<Call>& each : list)
     {
         each.what.seen = each.request->wait();
-        answer_seen const& seen = each.what.seen;
+        received_answer const& seen = each.what.seen;
         if (seen.failed && seen.over_at >= each.gives_up_at)
             each.what.end = caller_end::gave_up;
         if (!each.what.seen.not_sent)
@@ -107,7 +108,7 @@
     write(service_calls_, record.service_calls);
 }
 
-std::string caller_registry::told()
+std::string caller_registry::outcome_counts()
 {
     std::map<std::string, std::size_t> counts;
     std::lock_guard const lock(mutex_);
@@ -133,17 +134,17 @@
     std::vector<std::size_t> all;
     for (std::size_t index = 0; index < options.vms; ++index)
         all.push_back(index);
-    aim_at(all);
+    send_traffic_to(all);
 }
 
 scenario::~scenario()
 {
     stop_traffic();
     if (std::getenv("MULBERRY_SHOW_LOGS") != nullptr)
-        std::cerr << "== told\n" << told();
+        std::cerr << "== told\n" << outcome_counts();
 }
 
-void scenario::aim_at(std::vector<std::size_t> const& vms)
+void scenario::send_traffic_to(std::vector<std::size_t> const& vms)
 {
     std::lock_guard const lock(mutex_);
     targets_.clear();
@@ -167,7 +168,7 @@
 {
     for (unsigned seed = 1; seed <= model_threads; ++seed)
         threads_.emplace_back([this, seed] { send_model_calls(seed); });
-    threads_.emplace_back([this] { send_once_calls(); });
+    threads_.emplace_back([this] { send_unrepeatable_calls(); });
     threads_.emplace_back([this] { watch_versions(); });
 }
 
@@ -181,7 +182,7 @@
         model_call call;
         call.vm = to.name;
         call.address = to.callers;
-        call.adapter = adapters[skewed(random, adapters.size())];
+        call.adapter = adapters[skewed_index(random, adapters.size())];
         call.prompt = fmt::format("note {} of caller {}", number, seed);
         call.tokens = 4 + random() % 30;
         call.streamed = random() % 2 == 0;
@@ -193,7 +194,7 @@
     }
 }
 
-void scenario::send_once_calls()
+void scenario::send_unrepeatable_calls()
 {
     std::mt19937 random(model_threads + 1);
     for (std::size_t number = 1; !stop_; ++number)
@@ -201,7 +202,7 @@
         service_call_made call;
         call.key = fmt::format("permit-{}", number);
         // A retry goes through whatever VM the balancer picks.
-        for (std::size_t tries = 0; tries < most_tries && !stop_; ++tries)
+        for (std::size_t tries = 0; tries < max_attempts && !stop_; ++tries)
         {
             target const to = pick(random);
             call.vm = to.name;
@@ -209,7 +210,7 @@
             auto const seen = registry_.send(call)->wait();
             if (seen.status == 200 && seen.ended)
             {
-                ++once_answers_;
+                ++unrepeatable_answers_;
                 break;
             }
             std::this_thread::sleep_for(pause_after_error);
@@ -243,16 +244,16 @@
     }
 }
 
-bool scenario::more_answers(std::size_t count)
+bool scenario::wait_for_answers(std::size_t count)
 {
     std::size_t const wanted = answers_ + count;
     return eventually([&] { return answers_ >= wanted; });
 }
 
-bool scenario::more_once_calls(std::size_t count)
+bool scenario::wait_for_unrepeatable_calls(std::size_t count)
 {
-    std::size_t const wanted = once_answers_ + count;
-    return eventually([&] { return once_answers_ >= wanted; });
+    std::size_t const wanted = unrepeatable_answers_ + count;
+    return eventually([&] { return unrepeatable_answers_ >= wanted; });
 }
 
 void scenario::stop_traffic()
@@ -273,7 +274,8 @@
     return call;
 }
 
-service_call_made scenario::once_call_to(std::size_t vm, std::string const& key)
+service_call_made scenario::unrepeatable_call_to(std::size_t vm,
+                                                 std::string const& key)
 {
     service_call_made call;
     call.vm = world_.vm(vm).name;
@@ -294,7 +296,7 @@
     world_.vm(vm).process->freeze();
 }
 
-bool scenario::becomes_owner(std::size_t vm)
+bool scenario::wait_until_owner(std::size_t vm)
 {
     return eventually([&] { return !world_.status(vm)["workers"].empty(); });
 }
@@ -308,13 +310,13 @@
                 registry_.send(call_to(vm, world_.adapters().front()))->wait();
             return seen.not_sent || error_in(seen).kind == "draining";
         });
-    registry_.note_leaving(world_.vm(vm).name);
+    registry_.mark_leaving(world_.vm(vm).name);
     return refused;
 }
 
-std::string scenario::told()
+std::string scenario::outcome_counts()
 {
-    return registry_.told();
+    return registry_.outcome_counts();
 }
 
 std::vector<finding> scenario::finish()
--- a/tests/process_traffic.hpp
+++ b/tests/process_traffic.hpp
@@ -25,35 +25,35 @@
 class caller_registry
 {
 public:
-    using under_way = std::shared_ptr<request_under_way>;
+    using request_ptr = std::shared_ptr<pending_request>;
 
-    under_way send(model_call const& call);
-    under_way send(service_call_made const& call);
+    request_ptr send(model_call const& call);
+    request_ptr send(service_call_made const& call);
     /// The caller closes its connection.
-    void go_away(under_way const& request);
+    void disconnect(request_ptr const& request);
     /// What is sent to the VM from now on must not be taken.
-    void note_leaving(std::string const& vm);
+    void mark_leaving(std::string const& vm);
     /// Waits until every request is over.
     void write_to(process_record& record);
     /// Counts the model requests that are over by what they were told.
-    std::string told();
+    std::string outcome_counts();
 
 private:
     template <class Call>
     struct kept
     {
         recorded<Call> what;
-        under_way request;
+        request_ptr request;
         mulberry::call_handle handle;
         std::chrono::steady_clock::time_point gives_up_at;
     };
     template <class Call>
-    under_way send(Call const& call, std::deque<kept<Call>>& list);
+    request_ptr send(Call const& call, std::deque<kept<Call>>& list);
     template <class Call>
     static void write(std::deque<kept<Call>>& list,
                       std::vector<recorded<Call>>& out);
     template <class Call>
-    bool close(std::deque<kept<Call>>& list, under_way const& request);
+    bool close(std::deque<kept<Call>>& list, request_ptr const& request);
 
     mulberry::http_client client_;
     std::mutex mutex_;
@@ -75,23 +75,24 @@
 
     void start_traffic();
     /// Where traffic goes from now on; all VMs at first.
-    void aim_at(std::vector<std::size_t> const& vms);
+    void send_traffic_to(std::vector<std::size_t> const& vms);
     /// Waits until so many more answers came whole; whether they did.
-    bool more_answers(std::size_t count);
+    bool wait_for_answers(std::size_t count);
     /// The same of calls that may not be repeated.
-    bool more_once_calls(std::size_t count);
+    bool wait_for_unrepeatable_calls(std::size_t count);
     void stop_traffic();
 
     model_call call_to(std::size_t vm, std::string const& adapter);
-    service_call_made once_call_to(std::size_t vm, std::string const& key);
+    service_call_made unrepeatable_call_to(std::size_t vm,
+                                           std::string const& key);
     void kill_vm(std::size_t vm);
     void freeze_vm(std::size_t vm);
     /// Waits until the VM owns workers, so that its failure touches them.
-    bool becomes_owner(std::size_t vm);
+    bool wait_until_owner(std::size_t vm);
     /// Notes that the VM takes nothing new once it has said so.
     bool await_refusal_of_new_work(std::size_t vm);
     /// How often the callers were told what, for whoever reads a failure.
-    std::string told();
+    std::string outcome_counts();
     /// Stops the traffic, gathers all histories and checks them.
     std::vector<finding> finish();
 
@@ -102,7 +103,7 @@
         std::string callers;
     };
     void send_model_calls(unsigned seed);
-    void send_once_calls();
+    void send_unrepeatable_calls();
     void watch_versions();
     target pick(std::mt19937& random);
     std::vector<target> targets();
@@ -114,7 +115,7 @@
     std::vector<target> targets_;
     std::atomic<bool> stop_ = false;
     std::atomic<std::size_t> answers_ = 0;
-    std::atomic<std::size_t> once_answers_ = 0;
+    std::atomic<std::size_t> unrepeatable_answers_ = 0;
     std::vector<std::thread> threads_;
 };
 
--- a/tests/process_vm_test.cpp
+++ b/tests/process_vm_test.cpp
@@ -43,11 +43,11 @@
 {
     CHECK(eventually([&] { return !run.world().ready(vm); }));
     CHECK(run.await_refusal_of_new_work(vm));
-    run.aim_at({0, 2});
+    run.send_traffic_to({0, 2});
     CHECK(run.world().vm(vm).process->wait_for_end() == 0);
     CHECK(eventually([&] { return own_all(run, {0, 2}); }));
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 } // namespace
@@ -59,14 +59,14 @@
     // had in flight is pinned, since nobody knows whether it has ended.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
-    REQUIRE(run.becomes_owner(1));
+    REQUIRE(run.wait_for_answers(some_answers));
+    REQUIRE(run.wait_until_owner(1));
     run.kill_vm(1);
-    run.aim_at({0, 2});
+    run.send_traffic_to({0, 2});
     CHECK(eventually([&] { return own_all(run, {0, 2}); }));
-    CHECK(run.more_answers(some_answers));
-    CHECK(run.more_once_calls(5));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(run.wait_for_unrepeatable_calls(5));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("two VMs killed one after the other leave one that serves", "[vm]")
@@ -75,16 +75,16 @@
     // last one takes workers which had two owners a moment ago.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
-    REQUIRE(run.becomes_owner(1));
+    REQUIRE(run.wait_for_answers(some_answers));
+    REQUIRE(run.wait_until_owner(1));
     run.kill_vm(1);
-    run.aim_at({0, 2});
+    run.send_traffic_to({0, 2});
     REQUIRE(eventually([&] { return own_all(run, {0, 2}); }));
     run.kill_vm(2);
-    run.aim_at({0});
+    run.send_traffic_to({0});
     CHECK(eventually([&] { return own_all(run, {0}); }));
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a VM frozen past its lease does no harm when it goes on", "[vm]")
@@ -95,19 +95,19 @@
     // are answered truly.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
-    REQUIRE(run.becomes_owner(1));
+    REQUIRE(run.wait_for_answers(some_answers));
+    REQUIRE(run.wait_until_owner(1));
     run.freeze_vm(1);
-    run.aim_at({0, 2});
+    run.send_traffic_to({0, 2});
     CHECK(eventually([&] { return own_all(run, {0, 2}); }));
-    CHECK(run.more_answers(some_answers));
+    CHECK(run.wait_for_answers(some_answers));
     run.world().vm(1).process->thaw();
     CHECK(eventually([&] { return run.world().ready(1); }));
-    run.aim_at({0, 1, 2});
-    CHECK(run.more_answers(2 * some_answers));
-    CHECK(run.more_once_calls(5));
+    run.send_traffic_to({0, 1, 2});
+    CHECK(run.wait_for_answers(2 * some_answers));
+    CHECK(run.wait_for_unrepeatable_calls(5));
     CHECK(has_event(run, 0, "lease-lapsed"));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a VM frozen twice does no harm", "[vm]")
@@ -116,19 +116,19 @@
     // its first life as an owner have only just been struck off.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
-    REQUIRE(run.becomes_owner(1));
+    REQUIRE(run.wait_for_answers(some_answers));
+    REQUIRE(run.wait_until_owner(1));
     for (int time = 0; time < 2; ++time)
     {
         run.freeze_vm(1);
-        run.aim_at({0, 2});
+        run.send_traffic_to({0, 2});
         CHECK(eventually([&] { return own_all(run, {0, 2}); }));
         run.world().vm(1).process->thaw();
         CHECK(eventually([&] { return run.world().ready(1); }));
-        run.aim_at({0, 1, 2});
-        CHECK(run.more_answers(some_answers));
+        run.send_traffic_to({0, 1, 2});
+        CHECK(run.wait_for_answers(some_answers));
     }
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a VM drained by an operator interrupts nothing", "[vm]")
@@ -137,8 +137,8 @@
     // workers over, ends what it has begun and its process ends with 0.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
-    REQUIRE(run.becomes_owner(1));
+    REQUIRE(run.wait_for_answers(some_answers));
+    REQUIRE(run.wait_until_owner(1));
     CHECK(run.world().ctl({"drain", "entry-2"}).status == 0);
     check_leaving(run, 1);
 }
@@ -148,8 +148,8 @@
     // As when an operator drains it: the platform stops its processes so.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
-    REQUIRE(run.becomes_owner(1));
+    REQUIRE(run.wait_for_answers(some_answers));
+    REQUIRE(run.wait_until_owner(1));
     run.world().vm(1).process->terminate();
     check_leaving(run, 1);
 }
@@ -159,8 +159,8 @@
     // The notice comes late and by the list alone; the VM reads it itself.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
-    REQUIRE(run.becomes_owner(1));
+    REQUIRE(run.wait_for_answers(some_answers));
+    REQUIRE(run.wait_until_owner(1));
     run.world().set_in_list("entry-2", "leaving");
     check_leaving(run, 1);
 }
@@ -182,5 +182,5 @@
     CHECK(run.world().vm(1).process->running());
     CHECK(answered_whole(stream->wait()));
     CHECK(run.world().vm(1).process->wait_for_end() == 0);
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
