--- a/tests/history.cpp
+++ b/tests/history.cpp
@@ -78,7 +78,7 @@
     if (leaving_.contains(vm))
         immediate_violations_.push_back(
             {violation_kind::work_while_leaving,
-             vm + " took " + request.str() + " while leaving"});
+             vm + " accepted " + request.str() + " while leaving"});
 }
 
 std::size_t history::open_requests() const
@@ -122,7 +122,7 @@
     {
         if (piece.written_for != id)
             found.push_back({violation_kind::foreign_answer,
-                             id.str() + " was given an event of " +
+                             id.str() + " received an event of " +
                                  piece.written_for.str()});
         in_order = in_order && piece.offset == expected++ &&
                    piece.run == record.pieces.front().run;
@@ -133,8 +133,10 @@
                                     "or an event after the end"});
     bool const ends = !record.pieces.empty() && record.pieces.back().last;
     if (record.whole && record.adapter && !ends)
-        found.push_back({violation_kind::answer_not_whole,
-                         id.str() + " was told as whole and lacks its end"});
+        found.push_back(
+            {violation_kind::answer_not_whole,
+             id.str() +
+                 " was reported complete but its last event is missing"});
 }
 
 void history::check_final(records::value_type const& each,
@@ -159,10 +161,10 @@
     bool const did_run = !record.started.empty() || record.service_runs > 0;
     ran const told = record.failure->request_ran();
     if ((told == ran::no && did_run) || (told == ran::yes && !did_run))
-        found.push_back(
-            {violation_kind::untrue_ran,
-             id.str() + " was told ran: " + std::string(to_string(told)) +
-                 " (" + record.failure->text() + "), which is untrue"});
+        found.push_back({violation_kind::untrue_ran,
+                         id.str() + " was reported with ran: " +
+                             std::string(to_string(told)) + " (" +
+                             record.failure->text() + "), which is incorrect"});
 }
 
 std::vector<violation> history::check() const
@@ -178,7 +180,7 @@
     for (auto const& [name, in_flight] : unloads_)
         if (in_flight > 0)
             found.push_back({violation_kind::evicted_in_flight,
-                             name.str() + " was unloaded under " +
+                             name.str() + " was unloaded during " +
                                  std::to_string(in_flight) + " requests"});
     return found;
 }
--- a/tests/history.hpp
+++ b/tests/history.hpp
@@ -1,5 +1,5 @@
-/// What callers, back ends and VMs saw of a concurrent run, and a checker that
-/// accepts it or names what was violated.
+/// Records what callers, backends and VMs observed in a concurrent run and
+/// checks the record against the system's guarantees.
 #ifndef MULBERRY_HISTORY_HPP
 #define MULBERRY_HISTORY_HPP
 
@@ -18,13 +18,15 @@
 namespace mulberry_test
 {
 
-/// One event of an answer, as the engine wrote it.
+/// One event of an answer as written by the engine.
 struct answer_piece
 {
+    /// The request for which the engine wrote the event.
     mulberry::request_id written_for;
     mulberry::engine_name name;
     std::uint64_t offset = 0;
-    /// Which run of the request at the engine wrote it; 0 when not known.
+    /// The run of the request at the engine that wrote the event; 0 if
+    /// unknown.
     std::uint64_t run = 0;
     bool last = false;
 };
@@ -47,36 +49,39 @@
     std::string text;
 };
 
-/// The entries of one run in the order in which they happened. Thread safety:
-/// none; callers of several threads lock around it.
+/// The events of one run, recorded in the order in which they occur.
+/// Thread safety: none; callers on several threads must synchronize.
 class history
 {
 public:
     void invoked(mulberry::request_id const& request,
                  mulberry::adapter_ref const& adapter);
-    /// A call of a plain service; `once` when it may not be repeated.
+    /// Records a call of a plain service; `once` if the call must not be
+    /// repeated.
     void service_invoked(mulberry::request_id const& request, bool once);
     void answer_event(mulberry::request_id const& request,
                       answer_piece const& piece);
     void answered_whole(mulberry::request_id const& request);
     void answered_error(mulberry::request_id const& request,
                         mulberry::error const& what);
-    /// The caller went away: it is owed no final answer.
+    /// Records that the caller disconnected: no final answer is required.
     void withdrawn(mulberry::request_id const& request);
     void started_at_backend(mulberry::request_id const& request,
                             mulberry::engine_name const& name);
     void finished_at_backend(mulberry::request_id const& request);
-    /// `in_flight`: requests that the engine ran under the name just then.
+    /// `in_flight`: number of requests that the engine was running under
+    /// the name at the time of the unload.
     void unloaded(mulberry::engine_name const& name, std::size_t in_flight);
-    /// `call`: the Idempotency-Key, or the request where there is none.
+    /// `call`: the Idempotency-Key, or the request id if the call has no key.
     void service_ran(std::string const& call,
                      mulberry::request_id const& request);
+    /// Records that the VM accepts no new requests from now on.
     void leaving(std::string const& vm);
     void accepted(std::string const& vm, mulberry::request_id const& request);
 
-    /// Requests that have no final answer and were not withdrawn.
+    /// Number of requests without a final answer that were not withdrawn.
     std::size_t open_requests() const;
-    /// Everything that must hold of a run that is over.
+    /// Checks a finished run and returns every violation.
     std::vector<violation> check() const;
 
 private:
