--- a/tests/process_child.cpp
+++ b/tests/process_child.cpp
@@ -26,7 +26,7 @@
     return {std::istreambuf_iterator<char>(file), {}};
 }
 
-/// The redirections of one child.
+/// File descriptor setup of one child.
 class file_actions
 {
 public:
@@ -40,8 +40,8 @@
         posix_spawn_file_actions_addopen(&actions_, descriptor, path.c_str(),
                                          O_WRONLY | O_CREAT | O_TRUNC, 0600);
     }
-    /// A child that inherits a listener goes on accepting connections for it
-    /// after the test closed it.
+    /// Closes all other descriptors in the child: an inherited listening
+    /// socket would accept connections after the test has closed it.
     void close_others()
     {
         posix_spawn_file_actions_addclosefrom_np(&actions_, STDERR_FILENO + 1);
@@ -93,7 +93,7 @@
             break;
         std::this_thread::sleep_for(poll_interval);
     }
-    throw std::runtime_error(name_ + " does not listen: " + log());
+    throw std::runtime_error(name_ + " did not report its address: " + log());
 }
 
 int child_process::wait_for_end()
@@ -102,7 +102,7 @@
     while (running())
     {
         if (std::chrono::steady_clock::now() > limit)
-            throw std::runtime_error(name_ + " does not end: " + log());
+            throw std::runtime_error(name_ + " did not exit: " + log());
         std::this_thread::sleep_for(poll_interval);
     }
     return WIFSIGNALED(status_) ? signal_base + WTERMSIG(status_)
--- a/tests/process_child.hpp
+++ b/tests/process_child.hpp
@@ -1,4 +1,4 @@
-/// A program of the project, run by a test as a process of its own.
+/// A program of the project that a test runs as a child process.
 #ifndef MULBERRY_PROCESS_CHILD_HPP
 #define MULBERRY_PROCESS_CHILD_HPP
 
@@ -10,33 +10,42 @@
 namespace mulberry_test
 {
 
-/// How long an awaited event may take. Far longer than any needs, so that a
-/// busy machine does not change the verdict.
+/// Limit for awaited events. Far longer than any event needs, so that load on
+/// the machine does not change a test's result.
 inline constexpr std::chrono::seconds generous_wait{30};
 
-/// Started when constructed; ended and reaped when destroyed, whatever state
-/// it is in then. Its output is kept in files. Not thread safe.
+/// A child process: started by the constructor, killed and reaped by the
+/// destructor in whatever state the process is. The output is written to files.
+/// Thread safety: none.
 class child_process
 {
 public:
-    /// `command` holds the program's path and its arguments; the output goes
-    /// to NAME.out and NAME.log in `folder`.
+    /// `command` holds the program's path and its arguments. Standard output
+    /// and standard error go to NAME.out and NAME.log in `folder`. Throws if
+    /// the program cannot be started.
     child_process(std::vector<std::string> const& command,
                   std::filesystem::path const& folder, std::string name);
     ~child_process();
     child_process(child_process const&) = delete;
     child_process& operator=(child_process const&) = delete;
 
-    /// The rest of its line "listening ...". Throws when it ends before.
+    /// Waits for the output line "listening ..." and returns the rest of that
+    /// line. Throws if the process ends first or generous_wait passes.
     std::string wait_for_address();
-    /// Its exit status once it has ended; 128 and the signal's number when a
-    /// signal ended it. Throws when it does not end.
+    /// Waits for the end of the process and returns the exit status, or 128
+    /// plus the signal's number if a signal ended the process. Throws if the
+    /// process does not end within generous_wait.
     int wait_for_end();
     bool running();
+    /// Sends SIGTERM.
     void terminate() const;
+    /// Sends SIGHUP.
     void hang_up() const;
+    /// Sends SIGSTOP.
     void freeze() const;
+    /// Sends SIGCONT.
     void thaw() const;
+    /// Sends SIGKILL and reaps the process.
     void kill();
 
     std::string output() const;
--- a/tests/process_wait.hpp
+++ b/tests/process_wait.hpp
@@ -1,4 +1,4 @@
-/// Waiting for an event in place of sleeping for a time.
+/// Waits for a condition instead of sleeping for a fixed time.
 #ifndef MULBERRY_PROCESS_WAIT_HPP
 #define MULBERRY_PROCESS_WAIT_HPP
 
@@ -10,8 +10,8 @@
 namespace mulberry_test
 {
 
-/// Looks until the condition holds, for as long as generous_wait; whether it
-/// held.
+/// Polls the condition until it holds or generous_wait has passed. Returns
+/// whether the condition held.
 template <class Condition>
 bool eventually(Condition const& holds)
 {
