--- a/tests/process_caller.cpp
+++ b/tests/process_caller.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// A caller waits a little longer than the deadline that it named.
+/// How long a caller waits beyond the deadline that the request states.
 constexpr std::chrono::seconds deadline_margin{10};
 
 std::string to_text(Json::Value const& value)
--- a/tests/process_caller.hpp
+++ b/tests/process_caller.hpp
@@ -1,4 +1,4 @@
-/// A caller's requests to the real processes, and what came back.
+/// Requests of a caller to the real processes and their answers.
 #ifndef MULBERRY_PROCESS_CALLER_HPP
 #define MULBERRY_PROCESS_CALLER_HPP
 
@@ -21,6 +21,7 @@
 {
     /// IP:PORT of the VM's listener for callers.
     std::string address;
+    /// Name of that VM.
     std::string vm;
     /// ADAPTER@VERSION
     std::string adapter;
@@ -37,29 +38,31 @@
     std::string address;
     std::string vm;
     std::string method = "POST";
-    /// Under /services/.
+    /// Path below /services/.
     std::string path = "recordsvc/permits";
+    /// The Idempotency-Key; no header is sent if empty.
     std::string key;
     std::chrono::milliseconds deadline{10000};
 };
 
-/// What a caller has seen of one request.
+/// What a caller has received for one request so far.
 struct received_answer
 {
     int status = 0;
     mulberry::http_headers headers;
     std::string body;
-    /// The response ended properly.
+    /// The response was received to its end.
     bool ended = false;
     /// The connection failed.
     bool failed = false;
-    /// It failed before a byte was sent: no VM took the request.
+    /// The connection failed before a byte was sent: no VM received the
+    /// request.
     bool not_sent = false;
     std::chrono::steady_clock::time_point over_at;
     bool over() const { return ended || failed; }
 };
 
-/// One request under way. Thread safe.
+/// One request in progress and its answer. Thread safety: safe.
 class pending_request : public mulberry::http_call_observer
 {
 public:
@@ -70,9 +73,10 @@
                     std::string const& text) override;
 
     received_answer seen() const;
-    /// Waits until the request is over. Throws when it never is.
+    /// Waits until the request is over. Throws after twice generous_wait.
     received_answer wait();
-    /// Waits until the body holds that text or the request is over.
+    /// Waits until the body contains the text, the request is over or
+    /// generous_wait has passed. Returns whether the body contains the text.
     bool wait_for(std::string const& text);
 
 private:
@@ -84,11 +88,12 @@
 mulberry::http_call to_http(model_call const& call);
 mulberry::http_call to_http(service_call_made const& call);
 
-/// Sends JSON and reads JSON; throws when the status is not 200.
+/// Sends a JSON body and returns the JSON answer. Throws if the status is not
+/// 200.
 Json::Value exchange(mulberry::http_client& client, std::string const& method,
                      std::string const& url, Json::Value const& body = {});
 
-/// The JSON value of a body; null when it is none.
+/// Parses a body as JSON; returns null if the body is not valid JSON.
 Json::Value parsed(std::string const& body);
 
 } // namespace mulberry_test
