--- a/tests/process_checker_test.cpp
+++ b/tests/process_checker_test.cpp
@@ -1,5 +1,5 @@
-// The checker of the runs of real processes, seen to fail: a record of a good
-// run is accepted, and with one violation planted it names that violation.
+// Tests of the checker for runs of real processes: a correct record is
+// accepted, and each violation added to that record is reported.
 #include "process_record.hpp"
 #include "token_text.hpp"
 
@@ -128,14 +128,15 @@
 
 } // namespace
 
-TEST_CASE("the process checker accepts a good run", "[checker]")
+TEST_CASE("the process checker accepts a correct run", "[checker]")
 {
     CHECK(to_string(findings(good_run())) == no_findings);
 }
 
-TEST_CASE("the process checker names another adapter or version", "[checker]")
+TEST_CASE("the process checker reports a wrong adapter or version", "[checker]")
 {
-    // The caller sees an answer; the engine ran version 1 where 2 was named.
+    // The caller receives an answer, but the engine ran version 1 instead of
+    // the requested version 2.
     process_record at_engine = good_run();
     at_engine.engine_events[0] = engine_event("started", "note-1@1#4", 1);
     CHECK(finds(at_engine, "wrong_adapter"));
@@ -146,14 +147,16 @@
     CHECK(finds(in_answer, "wrong_adapter"));
 }
 
-TEST_CASE("the process checker names an eviction in flight", "[checker]")
+TEST_CASE("the process checker reports an eviction with requests in flight",
+          "[checker]")
 {
     process_record run = good_run();
     run.engine_events[1] = engine_event("unloaded", "note-1@2#4", 1);
     CHECK(finds(run, "evicted_in_flight"));
 }
 
-TEST_CASE("the process checker names another's answer", "[checker]")
+TEST_CASE("the process checker reports an answer to another request",
+          "[checker]")
 {
     process_record other_text = good_run();
     body_of(other_text) =
@@ -166,7 +169,7 @@
     CHECK(finds(shared, "foreign_answer"));
 }
 
-TEST_CASE("the process checker names gaps, repetitions and cuts told as ends",
+TEST_CASE("the process checker reports gaps, repetitions and truncated answers",
           "[checker]")
 {
     process_record gap = good_run();
@@ -183,11 +186,11 @@
     CHECK(finds(cut, "answer_not_whole"));
 }
 
-TEST_CASE("the process checker names a request without a final answer",
+TEST_CASE("the process checker reports a request without a final answer",
           "[checker]")
 {
-    // The connection of a VM that nobody killed is lost: a drain that
-    // interrupts a request looks like that.
+    // The connection to a VM that was not killed is lost, as if a drain had
+    // interrupted the request.
     process_record run = good_run();
     run.model_calls.front().seen.ended = false;
     run.model_calls.front().seen.failed = true;
@@ -198,7 +201,7 @@
     CHECK_FALSE(finds(run, "final_answers"));
 }
 
-TEST_CASE("the process checker names an answer without an error of the list",
+TEST_CASE("the process checker reports an error that is not in the list",
           "[checker]")
 {
     process_record run = good_run();
@@ -207,7 +210,7 @@
     CHECK(finds(run, "no_listed_error"));
 }
 
-TEST_CASE("the process checker names an untrue ran", "[checker]")
+TEST_CASE("the process checker reports an incorrect ran", "[checker]")
 {
     process_record at_engine = good_run();
     at_engine.model_calls.front().seen = told("r-1", "overloaded", "no");
@@ -222,22 +225,24 @@
     CHECK(finds(never, "untrue_ran"));
 }
 
-TEST_CASE("the process checker names a call that ran twice", "[checker]")
+TEST_CASE("the process checker reports a call that ran twice", "[checker]")
 {
-    // The second run belongs to a caller that lost its VM and its answer.
+    // The second run belongs to a caller that lost the connection to the VM
+    // and with it the answer.
     process_record run = good_run();
     run.service_events.push_back(service_event("s-3.1"));
     CHECK(finds(run, "ran_twice"));
 }
 
-TEST_CASE("the process checker names work taken while leaving", "[checker]")
+TEST_CASE("the process checker reports a request accepted while leaving",
+          "[checker]")
 {
     process_record run = good_run();
     run.model_calls.front().sent_while_leaving = true;
     CHECK(finds(run, "work_while_leaving"));
 }
 
-TEST_CASE("the process checker names a configuration that went back",
+TEST_CASE("the process checker reports a configuration version that decreases",
           "[checker]")
 {
     process_record run = good_run();
--- a/tests/process_record.cpp
+++ b/tests/process_record.cpp
@@ -49,7 +49,7 @@
     return "";
 }
 
-/// The error object of an answer; null when there is none.
+/// The error object of an answer; null if the answer holds none.
 Json::Value error_object(received_answer const& seen)
 {
     if (!is_stream(seen))
@@ -70,7 +70,7 @@
     return told.empty() ? otherwise : told;
 }
 
-/// A try of a request is named REQUEST.N.
+/// The request id without the attempt number: backends see REQUEST.N.
 std::string without_attempt_number(std::string const& name)
 {
     auto const dot = name.rfind('.');
@@ -92,7 +92,8 @@
     return std::nullopt;
 }
 
-/// Folds what was recorded into the history that the core's proof uses too.
+/// Converts a record into the history that the tests of the core use too and
+/// checks it.
 class history_builder
 {
 public:
@@ -140,7 +141,7 @@
         return "unknown";
     }
 
-    /// Whether the system owes no final answer.
+    /// Whether the request may end without a final answer.
     template <class Call>
     bool may_lack_answer(recorded<Call> const& one) const
     {
@@ -150,7 +151,8 @@
                 run_.frozen.contains(one.call.vm));
     }
 
-    /// Two callers with one request would share its answer.
+    /// Returns the id of the request. Reports a violation if another caller's
+    /// request has the same id.
     request_id unique_id(received_answer const& seen,
                          std::string const& otherwise)
     {
@@ -218,8 +220,9 @@
             add_piece(one, id, body["model"].asString(), offset, word + " ");
     }
 
-    /// The engines' text depends on adapter, prompt and place alone, so that
-    /// a text that does not fit is another request's or another adapter's.
+    /// The text of the engine stand-ins depends only on adapter, prompt and
+    /// offset, so a text that differs from the expected one belongs to another
+    /// request or adapter.
     void add_piece(recorded<model_call> const& one, request_id const& id,
                    std::string const& model, std::uint64_t offset,
                    std::string const& text)
@@ -233,7 +236,8 @@
         piece.offset = offset;
         piece.last = offset + 1 == one.call.tokens;
         history_.answer_event(id, piece);
-        // The history leaves out the adapter of what is another's anyway.
+        // The history does not check the adapter of events that were written
+        // for another request.
         if (model != one.call.adapter)
             found_.push_back(
                 {"wrong_adapter", id.str() + " named " + one.call.adapter +
@@ -269,7 +273,7 @@
         ran_keys_.insert(key);
         if (!known_.contains(id))
         {
-            // Its caller lost the answer, and the name with it.
+            // The caller lost the answer, which holds the request id.
             history_.service_invoked(id, !key.empty());
             history_.withdrawn(id);
         }
@@ -292,7 +296,8 @@
         for (auto const& [vm, versions] : run_.versions)
             if (!std::is_sorted(versions.begin(), versions.end()))
                 found_.push_back(
-                    {"configuration_went_back", vm + " took an older one"});
+                    {"configuration_went_back",
+                     vm + " applied an older configuration version"});
     }
 
     process_record const& run_;
--- a/tests/process_record.hpp
+++ b/tests/process_record.hpp
@@ -1,4 +1,4 @@
-/// What was recorded of one run of the real processes, and its checker.
+/// The record of one run of the real processes and its checker.
 #ifndef MULBERRY_PROCESS_RECORD_HPP
 #define MULBERRY_PROCESS_RECORD_HPP
 
@@ -16,13 +16,14 @@
 namespace mulberry_test
 {
 
-/// How a request stands that has no answer of the system's.
+/// What the caller did if the system gave no answer.
 enum class caller_end
 {
+    /// The caller waited for the answer.
     waited,
-    /// The caller went away itself.
+    /// The caller closed the connection.
     went_away,
-    /// The caller's patience ended, some time after its deadline.
+    /// The caller stopped waiting some time after the request's deadline.
     gave_up
 };
 
@@ -32,7 +33,7 @@
     Call call;
     received_answer seen;
     caller_end end = caller_end::waited;
-    /// Sent after its VM had said that it takes no new work.
+    /// The request was sent after the VM had refused new requests.
     bool sent_while_leaving = false;
 };
 
@@ -40,40 +41,43 @@
 {
     std::vector<recorded<model_call>> model_calls;
     std::vector<recorded<service_call_made>> service_calls;
-    /// The histories of the back ends.
+    /// The histories of the backends.
     std::vector<Json::Value> engine_events;
     std::vector<Json::Value> service_events;
-    /// VMs that were killed: requests sent to them may be lost.
+    /// VMs that were killed: requests sent to these VMs may be lost.
     std::set<std::string> killed;
-    /// VMs that stood still for a while: their callers may give up.
+    /// VMs that were frozen for a while: callers of these VMs may give up.
     std::set<std::string> frozen;
-    /// Configuration versions as one life of a VM showed them, in order.
+    /// Configuration versions that one incarnation of a VM exported, in
+    /// order.
     std::map<std::string, std::vector<std::uint64_t>> versions;
 };
 
-/// What the checker found: the check's name, then what was seen.
+/// One violation: the name of the check and what was observed.
 struct finding
 {
     std::string check;
     std::string text;
 };
 
-/// Everything that must hold of a run that is over.
+/// Checks a finished run and returns every violation.
 std::vector<finding> findings(process_record const& run);
 std::string to_string(std::vector<finding> const& found);
-/// What to_string makes of no findings.
+/// The result of to_string for an empty list of findings.
 inline std::string const no_findings;
 
-/// What the system answered, as far as it is one of the closed list's errors.
+/// The error in the system's answer, as kind and `ran`; both are empty if the
+/// answer holds no error object.
 struct reported_error
 {
     std::string kind;
     std::string ran;
 };
 reported_error error_in(received_answer const& seen);
-/// Whether the answer is whole, as its own end says.
+/// Whether the answer is complete: status 200 and, for a stream, the closing
+/// [DONE] event.
 bool answered_whole(received_answer const& seen);
-/// The text of a whole or streamed answer to a completion.
+/// The text of a plain or streamed answer to a completion.
 std::string text_in(received_answer const& seen);
 
 } // namespace mulberry_test
