--- a/tests/process_deployment.cpp
+++ b/tests/process_deployment.cpp
@@ -31,7 +31,7 @@
     while (words >> word)
         if (word == listener && words >> word)
             return word;
-    throw std::runtime_error("no " + listener + " in " + listening);
+    throw std::runtime_error("no address of " + listener + " in " + listening);
 }
 
 std::string without_scheme(std::string const& url)
@@ -58,8 +58,8 @@
     return fmt::format("domain-{}", index % domain_count + 1);
 }
 
-/// Times short enough for a quick suite, long enough that a busy machine
-/// does not make leases lapse all the time.
+/// Sets times that are short enough for a quick test suite and long enough
+/// that leases do not keep lapsing on a busy machine.
 void add_times(Json::Value& settings)
 {
     settings["lease_ms"] = 1500;
@@ -129,7 +129,8 @@
     std::string pattern =
         (std::filesystem::temp_directory_path() / "mulberry-XXXXXX").string();
     if (mkdtemp(pattern.data()) == nullptr)
-        throw std::runtime_error("no folder for the test");
+        throw std::runtime_error(
+            "cannot create a temporary directory for the test");
     path_ = pattern;
 }
 
@@ -323,8 +324,8 @@
     std::uint64_t const before =
         status(0)["configuration"]["version"].asUInt64();
     ctl_run last;
-    // A VM that has just started gives no promises yet: a confirm is refused
-    // and changes nothing.
+    // A VM that has just started gives no promises yet, so a confirm may be
+    // refused; a refused confirm changes nothing and is repeated.
     bool const done = eventually(
         [&]
         {
@@ -334,10 +335,12 @@
             return last.status == 0;
         });
     if (!done)
-        throw std::runtime_error("not confirmed: " + last.output + last.errors);
+        throw std::runtime_error(
+            "the declaration was not confirmed: " + last.output + last.errors);
     for (std::size_t index = 0; index < vms_.size(); ++index)
         if (!eventually([&] { return in_force(index, before + 1); }))
-            throw std::runtime_error("not in force on " + vm(index).name);
+            throw std::runtime_error("the configuration is not in force on " +
+                                     vm(index).name);
 }
 
 bool deployment::in_force(std::size_t index, std::uint64_t version)
--- a/tests/process_deployment.hpp
+++ b/tests/process_deployment.hpp
@@ -1,4 +1,5 @@
-/// A whole deployment of real processes: entry VMs and stand-ins on loopback.
+/// A complete deployment of real processes on the loopback interface: entry VMs
+/// and stand-ins for the platform, the engines and the services.
 #ifndef MULBERRY_PROCESS_DEPLOYMENT_HPP
 #define MULBERRY_PROCESS_DEPLOYMENT_HPP
 
@@ -22,12 +23,13 @@
 {
     std::size_t vms = 3;
     std::size_t workers = 4;
-    /// Each has the versions 1 and 2.
+    /// Number of adapters; each has the versions 1 and 2.
     std::size_t adapters = 8;
+    /// Adapters that one worker can hold at a time.
     std::size_t adapter_slots = 3;
 };
 
-/// A folder that goes with its owner.
+/// A temporary directory, removed by the destructor.
 class scratch_folder
 {
 public:
@@ -41,7 +43,7 @@
     std::filesystem::path path_;
 };
 
-/// One entry VM and the addresses of its listeners.
+/// One entry VM and the addresses (IP:PORT) of its listeners.
 struct entry_vm
 {
     std::string name;
@@ -51,6 +53,7 @@
     std::string operators;
 };
 
+/// Exit status and output of one run of mulberryctl.
 struct ctl_run
 {
     int status = 0;
@@ -58,46 +61,54 @@
     std::string errors;
 };
 
-/// Everything between a VM and the stand-ins runs through links, so that it
-/// can be cut: "engines", "services", and "platform-N" for each VM. Not
-/// thread safe but for the const members.
+/// The processes of one deployment. All traffic between the VMs and the
+/// stand-ins passes through links that a test can cut: "engines", "services"
+/// and "platform-N" for each VM. Thread safety: only const members may be
+/// called concurrently.
 class deployment
 {
 public:
     explicit deployment(deployment_options const& options = {});
-    /// Prints the VMs' logs if MULBERRY_SHOW_LOGS is set.
+    /// Prints the logs of the VMs if MULBERRY_SHOW_LOGS is set.
     ~deployment();
 
     entry_vm& vm(std::size_t index) { return vms_.at(index); }
     std::vector<std::string> vm_names() const;
-    /// Starts the VM anew under the same name.
+    /// Starts a new process of the VM under the same name and waits until the
+    /// process listens.
     void start_vm(std::size_t index);
-    /// Ends it as a power cut would; the platform's list drops it.
+    /// Kills the VM's process without warning, as a power failure would, and
+    /// removes the VM from the platform's list.
     void kill_vm(std::size_t index);
 
-    /// ADAPTER@VERSION of all, most popular first.
+    /// All adapters as ADAPTER@VERSION, most popular first.
     std::vector<std::string> const& adapters() const { return adapters_; }
-    /// A declaration; `change` makes it differ from others.
+    /// Writes a declaration and returns its path. Different values of `change`
+    /// give different declarations.
     std::filesystem::path write_declaration(std::string const& change);
+    /// Runs mulberryctl against all running VMs and waits for its end.
     ctl_run ctl(std::vector<std::string> const& arguments);
-    /// Plans and confirms until it is in force on all VMs that are named.
+    /// Plans and confirms the declaration and waits until it is in force on
+    /// all VMs. Throws after generous_wait.
     void confirm(std::filesystem::path const& declaration);
+    /// Whether the VM applies this configuration version or a newer one.
     bool in_force(std::size_t index, std::uint64_t version);
 
     void control_platform(Json::Value const& order);
     void control_engine(Json::Value const& order);
     void control_service(Json::Value const& order);
     void control_link(Json::Value const& order);
+    /// Sets the state of the VM in the platform's list of VMs.
     void set_in_list(std::string const& vm, std::string const& state);
     std::vector<Json::Value> engine_history();
     std::vector<Json::Value> service_history();
-    /// The VM's own status; null when it does not answer.
+    /// The VM's status; null if the VM does not answer.
     Json::Value status(std::size_t index);
-    /// Whether /readyz says that it takes new work.
+    /// Whether /readyz reports that the VM accepts new requests.
     bool ready(std::size_t index);
     /// The text of /metrics.
     std::string metrics(std::size_t index);
-    /// The time line of all VMs, as the operators' listener gives it.
+    /// The timeline of all VMs, read from this VM's operators' listener.
     std::vector<Json::Value> timeline(std::size_t index);
     std::string const& operators_key() const { return operators_key_; }
 
@@ -129,7 +140,7 @@
     std::atomic<std::size_t> files_ = 0;
 };
 
-/// {"name": value}
+/// Returns the JSON object {"name": value}.
 Json::Value order(char const* name, Json::Value const& value);
 
 } // namespace mulberry_test
