--- a/tests/process_traffic.cpp
+++ b/tests/process_traffic.cpp
@@ -22,7 +22,8 @@
 constexpr std::chrono::milliseconds pause_after_error{50};
 constexpr std::chrono::milliseconds watch_interval{50};
 
-/// Few adapters are popular, most are hardly asked for.
+/// Picks an adapter's index with a skewed popularity: low indices are requested
+/// often, high ones rarely.
 std::size_t skewed_index(std::mt19937& random, std::size_t count)
 {
     std::uniform_real_distribution<double> even(0.0, 1.0);
@@ -70,7 +71,7 @@
         return false;
     found->what.end = caller_end::went_away;
     client_.cancel(found->handle);
-    request->on_failure(mulberry::call_stage::sent, "the caller went away");
+    request->on_failure(mulberry::call_stage::sent, "the caller disconnected");
     return true;
 }
 
@@ -116,8 +117,8 @@
     {
         auto const seen = each.request->seen();
         auto const what = error_in(seen);
-        std::string const text = !seen.over()           ? "under way"
-                                 : answered_whole(seen) ? "whole"
+        std::string const text = !seen.over()           ? "in progress"
+                                 : answered_whole(seen) ? "complete"
                                  : what.kind.empty()
                                      ? "connection lost"
                                      : what.kind + " ran " + what.ran;
@@ -141,7 +142,7 @@
 {
     stop_traffic();
     if (std::getenv("MULBERRY_SHOW_LOGS") != nullptr)
-        std::cerr << "== told\n" << outcome_counts();
+        std::cerr << "== outcomes\n" << outcome_counts();
 }
 
 void scenario::send_traffic_to(std::vector<std::size_t> const& vms)
@@ -201,7 +202,7 @@
     {
         service_call_made call;
         call.key = fmt::format("permit-{}", number);
-        // A retry goes through whatever VM the balancer picks.
+        // A retry may reach any VM, as behind a load balancer.
         for (std::size_t tries = 0; tries < max_attempts && !stop_; ++tries)
         {
             target const to = pick(random);
@@ -324,7 +325,7 @@
     bool const watched = !threads_.empty();
     stop_traffic();
     if (watched && record_.versions.empty())
-        throw std::runtime_error("no VM showed its configuration's version");
+        throw std::runtime_error("no VM exported its configuration version");
     registry_.write_to(record_);
     record_.engine_events = world_.engine_history();
     record_.service_events = world_.service_history();
--- a/tests/process_traffic.hpp
+++ b/tests/process_traffic.hpp
@@ -1,4 +1,5 @@
-/// Callers that keep a deployment busy, and the record of what they saw.
+/// Callers that keep a deployment under load, and the record of their requests
+/// and answers.
 #ifndef MULBERRY_PROCESS_TRAFFIC_HPP
 #define MULBERRY_PROCESS_TRAFFIC_HPP
 
@@ -21,7 +22,7 @@
 namespace mulberry_test
 {
 
-/// Sends requests and keeps them. Thread safe.
+/// Sends requests and records them with their answers. Thread safety: safe.
 class caller_registry
 {
 public:
@@ -29,13 +30,13 @@
 
     request_ptr send(model_call const& call);
     request_ptr send(service_call_made const& call);
-    /// The caller closes its connection.
+    /// Closes the caller's connection of the request.
     void disconnect(request_ptr const& request);
-    /// What is sent to the VM from now on must not be taken.
+    /// Records that the VM must not accept requests sent from now on.
     void mark_leaving(std::string const& vm);
-    /// Waits until every request is over.
+    /// Waits until every request is over and adds all requests to the record.
     void write_to(process_record& record);
-    /// Counts the model requests that are over by what they were told.
+    /// Numbers of model requests by VM and outcome, one line each.
     std::string outcome_counts();
 
 private:
@@ -62,8 +63,8 @@
     std::deque<kept<service_call_made>> service_calls_;
 };
 
-/// One run: a deployment, callers that keep it busy, and the checker at the
-/// end. The test's own thread uses it.
+/// One run: a deployment, callers that keep it under load, and the checker at
+/// the end. Thread safety: only the test's own thread may call it.
 class scenario
 {
 public:
@@ -73,12 +74,14 @@
     deployment& world() { return world_; }
     caller_registry& callers() { return registry_; }
 
+    /// Starts the threads of the callers.
     void start_traffic();
-    /// Where traffic goes from now on; all VMs at first.
+    /// Sets the VMs that receive the traffic from now on; initially all VMs.
     void send_traffic_to(std::vector<std::size_t> const& vms);
-    /// Waits until so many more answers came whole; whether they did.
+    /// Waits until `count` more model answers are complete. Returns false if
+    /// generous_wait passes first.
     bool wait_for_answers(std::size_t count);
-    /// The same of calls that may not be repeated.
+    /// The same for service calls that must not be repeated.
     bool wait_for_unrepeatable_calls(std::size_t count);
     void stop_traffic();
 
@@ -87,13 +90,15 @@
                                            std::string const& key);
     void kill_vm(std::size_t vm);
     void freeze_vm(std::size_t vm);
-    /// Waits until the VM owns workers, so that its failure touches them.
+    /// Waits until the VM owns workers, so that its failure affects workers.
+    /// Returns false if generous_wait passes first.
     bool wait_until_owner(std::size_t vm);
-    /// Notes that the VM takes nothing new once it has said so.
+    /// Waits until the VM refuses a new request and records that the VM must
+    /// accept none from then on. Returns whether the VM refused one.
     bool await_refusal_of_new_work(std::size_t vm);
-    /// How often the callers were told what, for whoever reads a failure.
+    /// Numbers of outcomes by VM, printed to help explain a failure.
     std::string outcome_counts();
-    /// Stops the traffic, gathers all histories and checks them.
+    /// Stops the traffic, collects all histories and returns the violations.
     std::vector<finding> finish();
 
 private:
