--- a/tests/process_calls_test.cpp
+++ b/tests/process_calls_test.cpp
@@ -1,5 +1,5 @@
-// Calls of plain services that may not be repeated, on the real processes:
-// one permit slip under one key runs at most once, and `ran: no` is true.
+// Service calls that must not be repeated, on real processes: a call with one
+// idempotency key runs at most once, and `ran: no` is correct.
 #include "process_traffic.hpp"
 #include "process_wait.hpp"
 
@@ -31,10 +31,10 @@
 
 } // namespace
 
-TEST_CASE("a permit asked for through every VM at once runs once", "[calls]")
+TEST_CASE("a call sent through all VMs concurrently runs once", "[calls]")
 {
-    // The caller's app sends the same key through all three VMs, since it saw
-    // no answer soon enough. The service is slow, so that the tries overlap.
+    // A caller whose answer is late sends the same key through all three VMs.
+    // The service is slow, so the attempts overlap.
     scenario run;
     run.world().control_service(order("slow_ms", 300));
     for (int number = 0; number < 10; ++number)
@@ -51,11 +51,10 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a retry through another VM is answered with the kept answer",
-          "[calls]")
+TEST_CASE("a retry through another VM returns the stored answer", "[calls]")
 {
-    // The second VM reads the claim of the first, makes no call and hands out
-    // what was kept.
+    // The second VM reads the claim of the first VM, makes no call and returns
+    // the stored answer.
     scenario run;
     auto const first =
         run.callers().send(run.unrepeatable_call_to(0, "slip"))->wait();
@@ -68,11 +67,11 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a permit whose answer never comes is told as unknown, not repeated",
+TEST_CASE("a call whose answer is lost is reported as unknown and not repeated",
           "[calls]")
 {
-    // The service runs the call and its answer is lost on the way. Whether it
-    // ran cannot be told, so nobody calls again, through no VM.
+    // The service runs the call, but its answer is lost. The VM cannot know
+    // whether the call ran, so no VM may repeat the call.
     scenario run;
     run.world().control_service(order("drop_after_run", 1));
     auto const first =
@@ -87,12 +86,12 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("all connections to a service going silent doubles nothing",
+TEST_CASE("no call runs twice when all connections to a service go silent",
           "[calls]")
 {
-    // The requests are written, then something between the two ends loses
-    // track of the connections: no byte comes back, ever, while new ones work.
-    // The callers are told that the outcome is unknown by their deadlines.
+    // After the requests are written, a device on the path drops the state of
+    // the connections: no further byte arrives on them, while new connections
+    // work. Callers must learn by their deadlines that the outcome is unknown.
     scenario run;
     run.world().control_service(order("hold_run", true));
     std::vector<caller_registry::request_ptr> tries;
@@ -116,7 +115,7 @@
         CHECK(error_in(each->wait()).ran == "unknown");
     for (std::size_t const vm : {0, 1, 2})
     {
-        // New connections work; the keys are not called again.
+        // New connections work; calls with the old keys are not repeated.
         std::string const key = fmt::format("silent-{}", vm);
         run.callers().send(run.unrepeatable_call_to((vm + 1) % 3, key))->wait();
         auto const other = run.unrepeatable_call_to(vm, key + "-new");
@@ -125,11 +124,13 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a VM killed after its call leaves the key called once", "[calls]")
+TEST_CASE("a call runs once if its VM is killed after sending the call",
+          "[calls]")
 {
-    // The holder dies between call and answer. The caller loses its connection
-    // and retries through another VM, which finds the claim and cannot tell
-    // whether the call ran: it says so and does not call.
+    // The VM that holds the claim is killed between call and answer. The caller
+    // loses the connection and retries through another VM. That VM finds the
+    // claim, cannot know whether the call ran, and reports the outcome as
+    // unknown instead of calling.
     scenario run;
     run.world().control_service(order("hang_after_run", 1));
     auto const lost = run.callers().send(run.unrepeatable_call_to(1, "slip"));
@@ -147,12 +148,12 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a VM frozen in the middle of a call leaves the key called once",
+TEST_CASE("a call runs at most once if its VM is frozen during the call",
           "[calls]")
 {
-    // The holder stands still past its lease with its call at the service.
-    // Retries through others meanwhile, and its own answer after it goes on,
-    // add no second run.
+    // The VM that holds the claim is frozen past its lease while the service
+    // runs the call. Neither retries through another VM in the meantime nor the
+    // frozen VM's answer after it resumes may cause a second run.
     scenario run;
     run.world().control_service(order("hold_run", true));
     auto const held = run.callers().send(run.unrepeatable_call_to(1, "slip"));
@@ -168,7 +169,8 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a permit without a key is refused and does not run", "[calls]")
+TEST_CASE("a call that needs a key is refused without one and does not run",
+          "[calls]")
 {
     scenario run;
     auto const seen =
