--- a/tests/process_engine_test.cpp
+++ b/tests/process_engine_test.cpp
@@ -1,5 +1,5 @@
-// What must always hold while engines misbehave and connections to them go
-// silent: real processes under traffic.
+// Guarantees that hold while engines fail and connections to engines are cut or
+// go silent, on real processes under traffic.
 #include "process_traffic.hpp"
 #include "process_wait.hpp"
 
@@ -37,7 +37,7 @@
                        { return event["kind"].asString() == kind; });
 }
 
-/// A stream through each VM, each of which has begun to arrive.
+/// Starts a stream through each VM and waits until its first events arrive.
 std::vector<caller_registry::request_ptr> start_streams(scenario& run)
 {
     std::vector<caller_registry::request_ptr> streams;
@@ -58,9 +58,9 @@
 TEST_CASE("streams whose connections go silent are resumed without a gap",
           "[engine]")
 {
-    // All connections open to the engines stop carrying bytes for good, in the
-    // middle of streams, without being closed. New ones work. The VM notices
-    // the silence and resumes each stream at its next event.
+    // All open connections to the engines stop carrying bytes in the middle of
+    // streams without being closed; new connections work. The VM detects the
+    // silence and resumes each stream at the next event.
     scenario run;
     auto const streams = start_streams(run);
     run.world().control_link(engine_links("silent"));
@@ -82,10 +82,11 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("connections to engines cut and silent again and again break nothing",
+TEST_CASE("repeatedly cut and silent engine connections violate no guarantee",
           "[engine]")
 {
-    // Traffic of all kinds goes on while the links fail in turn.
+    // All kinds of traffic continue while the links go silent and are cut in
+    // turn.
     scenario run;
     run.start_traffic();
     for (int round = 0; round < 3; ++round)
@@ -99,11 +100,11 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a cut stream that the engine has forgotten is told as cut",
+TEST_CASE("a cut stream that the engine cannot resume is reported as cut",
           "[engine]")
 {
-    // The engine cannot resume it. The caller has a part of the answer: it is
-    // told that this is no end.
+    // The engine has dropped the stream's state. The caller has received a part
+    // of the answer and must learn that the answer is incomplete.
     scenario run;
     run.world().control_engine(for_all_workers("forget_streams", true));
     auto const streams = start_streams(run);
@@ -117,11 +118,13 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("engines that restart cold in the middle of streams break nothing",
-          "[engine]")
+TEST_CASE(
+    "engines that restart without state during streams violate no guarantee",
+    "[engine]")
 {
-    // Adapters and streams are gone. Callers with a part of an answer are told
-    // that it is cut; the others are served after loads anew.
+    // The restart loses loaded adapters and streams. Callers with a part of an
+    // answer are told that it is cut; other requests are served after the
+    // adapters are loaded again.
     scenario run;
     run.start_traffic();
     for (int round = 0; round < 3; ++round)
@@ -133,7 +136,8 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("loads that fail are tried again and break nothing", "[engine]")
+TEST_CASE("failed adapter loads are retried and violate no guarantee",
+          "[engine]")
 {
     scenario run;
     run.start_traffic();
@@ -146,11 +150,10 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("an answer that bears another adapter's name reaches no caller",
-          "[engine]")
+TEST_CASE("an answer that names another adapter reaches no caller", "[engine]")
 {
-    // The engine echoes a name that was not asked for; whose text that is
-    // nobody knows.
+    // The engine returns an adapter name that was not requested, so the origin
+    // of the text is unknown.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
@@ -159,11 +162,11 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a VM frozen while an engine restarts does no harm", "[engine]")
+TEST_CASE("a VM frozen while engines restart violates no guarantee", "[engine]")
 {
-    // Two failures together: the owner stands still, the engine forgets what
-    // it had loaded, another VM takes over and loads, the first goes on with
-    // what it believed.
+    // Two failures together: while the owner is frozen, the engine loses its
+    // loaded adapters and another VM takes over and loads adapters. The first
+    // VM then resumes with outdated knowledge.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
@@ -178,10 +181,10 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a caller that vanishes ends its request and no other", "[engine]")
+TEST_CASE("a caller that disconnects cancels only its own request", "[engine]")
 {
-    // The stream is cancelled at the engine, so that it takes no room in the
-    // batch; the others come whole.
+    // The stream is cancelled at the engine, so that it occupies no place in
+    // the batch; the other streams are complete.
     scenario run;
     auto const streams = start_streams(run);
     run.callers().disconnect(streams.front());
