--- a/tests/process_input_test.cpp
+++ b/tests/process_input_test.cpp
@@ -1,5 +1,5 @@
-// Bad input on the real daemon: a clear error each, a bounded cost each, no
-// effect on others.
+// Bad input to the real daemon: each case gets a clear error at a bounded cost
+// and does not affect other callers.
 #include "process_traffic.hpp"
 #include "process_wait.hpp"
 #include "raw_socket.hpp"
@@ -35,7 +35,7 @@
     return completion_head(body.size(), more) + body;
 }
 
-/// What the daemon answers to these bytes, connection by connection.
+/// Sends the bytes on a new connection and returns the daemon's answer.
 std::string answer_to(std::string const& address, std::string const& bytes)
 {
     raw_socket const socket = raw_socket::connected(port_of(address));
@@ -43,6 +43,7 @@
     return socket.read_all();
 }
 
+/// Whether the answer has this status and error kind, and `ran` is `no`.
 bool is_refusal(std::string const& answer, int status, std::string const& kind)
 {
     return answer.starts_with(fmt::format("HTTP/1.1 {} ", status)) &&
@@ -67,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("what cannot be understood is refused with a clear error", "[input]")
+TEST_CASE("invalid requests are refused with a clear error", "[input]")
 {
     scenario run;
     std::string const to = run.world().vm(0).callers;
@@ -99,13 +100,15 @@
     refused(with_bearer("GET", "/services/nobody/x", ""), 404,
             "unknown_service");
     refused(with_bearer("GET", "/nowhere", ""), 404, "not_found");
-    // Engines have loaded what is to be ready, at most; nothing has run.
+    // The engines have loaded only the adapters declared as ready; no request
+    // has run.
     for (Json::Value const& event : run.world().engine_history())
         CHECK(event["kind"].asString() == "loaded");
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("what is too large is refused before it is read", "[input]")
+TEST_CASE("requests that are too large are refused before they are read",
+          "[input]")
 {
     scenario run;
     std::string const to = run.world().vm(0).callers;
@@ -118,10 +121,12 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("callers that send slowly or half close harm no other", "[input]")
+TEST_CASE("callers that send slowly or half-close do not affect others",
+          "[input]")
 {
-    // Many connections stand open with half a request while traffic goes on
-    // through the same VM; others close their sending half and go on reading.
+    // Many connections with an incomplete request stay open while traffic
+    // passes through the same VM; then these connections are closed for
+    // sending only.
     scenario run;
     std::string const to = run.world().vm(0).callers;
     std::vector<raw_socket> slow;
@@ -139,19 +144,20 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a caller that sends too slowly is told so", "[input]")
+TEST_CASE("a caller that sends too slowly gets an error", "[input]")
 {
-    // It stops in the middle of its body. At the limit it is told why, and
-    // its connection is closed.
+    // The caller stops in the middle of the body. At the time limit the daemon
+    // answers with the reason and closes the connection.
     scenario run;
     std::string const to = run.world().vm(0).callers;
     CHECK(is_refusal(answer_to(to, completion_head(1000) + "{\"model\""), 408,
                      "too_slow"));
 }
 
-TEST_CASE("a caller that half closes gets an answer", "[input]")
+TEST_CASE("a caller that half-closes gets an answer", "[input]")
 {
-    // It has sent its whole request, closes its sending half and still reads.
+    // The caller sends the complete request, closes its sending side and still
+    // reads.
     scenario run;
     raw_socket const half =
         raw_socket::connected(port_of(run.world().vm(0).callers));
@@ -160,7 +166,7 @@
     CHECK(half.read_all().starts_with("HTTP/1.1 "));
 }
 
-TEST_CASE("garbage in place of HTTP harms no other", "[input]")
+TEST_CASE("bytes that are not HTTP do not affect other callers", "[input]")
 {
     scenario run;
     run.start_traffic();
@@ -178,7 +184,7 @@
 }
 
 TEST_CASE(
-    "the listeners of peers and operators answer nothing without their key",
+    "the peers' and operators' listeners refuse requests without their key",
     "[input]")
 {
     scenario run;
@@ -193,7 +199,7 @@
                         answer_to(listener, with_bearer(method, path, key));
                     CHECK(answer.starts_with("HTTP/1.1 401 "));
                 }
-    // The key of the one listener does not open the other.
+    // The key of one listener is not accepted by the other.
     CHECK(answer_to(vm.peers, with_bearer("POST", "/rpc", "operators-key"))
               .starts_with("HTTP/1.1 401 "));
     CHECK(answer_to(vm.operators, with_bearer("POST", "/rpc", "peers-key"))
