--- a/tests/process_operators_test.cpp
+++ b/tests/process_operators_test.cpp
@@ -1,5 +1,6 @@
-// Operators and their configuration on the real processes: what is confirmed
-// is in force on every VM and stays, whoever races and whatever fails.
+// Operators and configuration on real processes: a confirmed configuration is
+// in force on every VM and stays in force despite concurrent operators and
+// failures.
 #include "process_traffic.hpp"
 #include "process_wait.hpp"
 
@@ -14,7 +15,7 @@
 
 constexpr std::size_t some_answers = 60;
 
-/// Plans into a file of its own.
+/// Plans the declaration and returns the path of the plan's file.
 std::string write_plan(scenario& run, std::string const& change)
 {
     auto const declaration = run.world().write_declaration(change);
@@ -31,11 +32,10 @@
 
 } // namespace
 
-TEST_CASE("of operators who race exactly one has a plan confirmed",
-          "[operators]")
+TEST_CASE("of two concurrent confirms exactly one succeeds", "[operators]")
 {
-    // Both plans were made on the same version and say different things. The
-    // one that loses changes nothing and is told what changed since.
+    // Both plans are based on the same version and differ. The refused confirm
+    // changes nothing and its operator is told what has changed since the plan.
     scenario run;
     run.start_traffic();
     std::uint64_t const before = version_on(run, 0);
@@ -60,11 +60,11 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a confirm whose answer is lost is in force once or not at all",
+TEST_CASE("a confirm whose answer is lost takes effect once or not at all",
           "[operators]")
 {
-    // The table takes the new version and its answer is lost. The VM reads
-    // back what became of it; the operator is told the truth.
+    // The table stores the new version, but its answer is lost. The VM reads
+    // the table to learn the outcome, and the operator gets the true result.
     scenario run;
     run.start_traffic();
     std::uint64_t const before = version_on(run, 0);
@@ -84,12 +84,12 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a confirmed configuration is in force on a VM that stood still",
+TEST_CASE("a confirmed configuration is in force on a VM that was frozen",
           "[operators]")
 {
-    // The VM is frozen while a version is confirmed by the others. When it
-    // goes on it may not take work under the old one: its knowledge is older
-    // than the bound.
+    // The VM is frozen while the others confirm a version. After it resumes,
+    // the VM must not accept requests under the old version, since its
+    // knowledge of the configuration is older than the bound.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
@@ -113,7 +113,7 @@
 
 TEST_CASE("a VM that starts has the confirmed configuration", "[operators]")
 {
-    // A lagging read of the table would hand it the version before.
+    // A stale read of the table would return the previous version.
     scenario run;
     std::uint64_t const before = version_on(run, 0);
     run.world().confirm(run.world().write_declaration("second"));
@@ -126,10 +126,10 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a late list of VMs breaks nothing", "[operators]")
+TEST_CASE("a stale list of VMs violates no guarantee", "[operators]")
 {
-    // A VM is killed and one of the same name started; for long the list says
-    // of neither what holds.
+    // A VM is killed and another of the same name is started; for a long time
+    // the list shows neither change.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
