--- a/tests/process_table_test.cpp
+++ b/tests/process_table_test.cpp
@@ -1,5 +1,5 @@
-// What must always hold while the platform's table service is down, slow or
-// loses its answers: real processes under traffic.
+// Guarantees that hold while the platform's table service is down, slow or
+// loses answers, on real processes under traffic.
 #include "process_traffic.hpp"
 #include "process_wait.hpp"
 
@@ -30,7 +30,7 @@
     return run.world().status(vm)["going_on_without_table"].asBool();
 }
 
-/// A gauge of the VM's /metrics, as its text.
+/// The value of a gauge in the VM's /metrics, as text; empty if missing.
 std::string gauge(scenario& run, std::size_t vm, std::string const& name)
 {
     std::string const page = run.world().metrics(vm);
@@ -41,32 +41,35 @@
     return page.substr(value, page.find('\n', value) - value);
 }
 
-/// Lets an outage last, or a promise end; nothing is asserted of the time.
-void pass(std::chrono::milliseconds span)
+/// Sleeps while an outage lasts or until a promise ends; no check depends on
+/// the exact time.
+void wait_for_span(std::chrono::milliseconds span)
 {
     std::this_thread::sleep_for(span);
 }
 
 } // namespace
 
-TEST_CASE("loaded adapters are served through an outage of several leases",
+TEST_CASE("loaded adapters are served during an outage of several lease times",
           "[table]")
 {
-    // Every VM loses the table. They promise each other not to help a confirm
-    // and go on with what is loaded; nothing is evicted; a call that may not
-    // be repeated is refused with `ran: no`, since no claim can be written.
+    // All VMs lose the table. The VMs promise each other not to help a confirm
+    // and continue with the loaded adapters; no adapter is evicted. A call that
+    // must not be repeated is refused with `ran: no`, since no claim can be
+    // written.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
-    // A promise to help a confirm keeps a VM from going on until it has ended.
-    pass(promise_duration);
+    // A VM cannot continue without the table until its promise to help a
+    // confirm has ended.
+    wait_for_span(promise_duration);
     run.world().control_platform(table_down(true));
     for (std::size_t const vm : {0, 1, 2})
         CHECK(eventually([&] { return continues_without_table(run, vm); }));
     CHECK(eventually(
         [&] { return gauge(run, 0, "going_on_without_table") == "1"; }));
     CHECK(gauge(run, 0, "lease_holds") == "0");
-    pass(std::chrono::milliseconds(3 * lease_ms));
+    wait_for_span(std::chrono::milliseconds(3 * lease_ms));
     CHECK(run.wait_for_answers(some_answers));
     auto const once =
         run.callers().send(run.unrepeatable_call_to(0, "in-the-outage"));
@@ -79,10 +82,11 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("an outage right after the first confirm is gone through", "[table]")
+TEST_CASE("VMs continue through an outage right after the first confirm",
+          "[table]")
 {
-    // The VMs have promised to help the confirm of version 1 a moment ago, and
-    // version 1 is in force on all: there is none that could have replaced it.
+    // The VMs have just promised to help the confirm of version 1, and version
+    // 1 is in force on all VMs: no newer version can exist.
     scenario run;
     run.world().control_platform(table_down(true));
     for (std::size_t const vm : {0, 1, 2})
@@ -92,12 +96,13 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a VM that alone has lost the table stops taking work", "[table]")
+TEST_CASE("a VM that alone has lost the table stops accepting requests",
+          "[table]")
 {
-    // Its peers keep the table and give it no promise, so it cannot know
-    // whether its configuration still holds: it says so to new callers at the
-    // bound. The others take its workers over. When its link is back it serves
-    // again.
+    // The other VMs still reach the table and give the VM no promise, so the VM
+    // cannot know whether its configuration is still in force. From the bound
+    // on the VM refuses new requests, and the others take over its workers.
+    // The VM serves again when its link is restored.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
@@ -126,10 +131,11 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a VM killed in an outage of the table does no harm", "[table]")
+TEST_CASE("a VM killed during a table outage violates no guarantee", "[table]")
 {
-    // Two failures together: its workers cannot be taken over before the table
-    // is back, requests for them fail with a true `ran`, all others go on.
+    // Two failures together: the killed VM's workers cannot be taken over
+    // before the table is back. Requests for these workers fail with a correct
+    // `ran`; all other requests are served.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
@@ -150,10 +156,10 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a VM that starts in an outage of the table is not ready", "[table]")
+TEST_CASE("a VM that starts during a table outage is not ready", "[table]")
 {
-    // It cannot know what was confirmed: it says that it is not ready and
-    // refuses work, and serves once the table is back.
+    // The VM cannot know the confirmed configuration, so the VM reports that it
+    // is not ready and refuses requests until the table is back.
     scenario run;
     run.kill_vm(2);
     run.world().control_platform(table_down(true));
@@ -167,9 +173,9 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a slow table delays orders and breaks nothing", "[table]")
+TEST_CASE("a slow table delays orders and violates no guarantee", "[table]")
 {
-    // Every call of the table takes a third of a lease.
+    // Every call to the table takes a third of the lease time.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
@@ -181,10 +187,11 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("answers lost after the write took effect do no harm", "[table]")
+TEST_CASE("answers lost after the write took effect violate no guarantee",
+          "[table]")
 {
-    // Claims, takeovers and intents are written and their answers lost; the
-    // writers read back what became of them under their own token.
+    // Claims, takeovers and intents are written, but the answers are lost. The
+    // writers read the table to learn the outcome by their own token.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
