--- a/tests/process_vm_test.cpp
+++ b/tests/process_vm_test.cpp
@@ -1,5 +1,6 @@
-// What must always hold while VMs die, freeze and leave: real processes, with
-// traffic from callers, evictions and calls that may not be repeated going on.
+// Guarantees that hold while VMs are killed, freeze and leave, on real
+// processes with callers' traffic, evictions and calls that must not be
+// repeated.
 #include "process_traffic.hpp"
 #include "process_wait.hpp"
 
@@ -20,7 +21,7 @@
     return run.world().status(vm)["workers"].size();
 }
 
-/// Whether these VMs own every worker between them.
+/// Whether these VMs together own all workers.
 bool own_all(scenario& run, std::vector<std::size_t> const& vms)
 {
     std::size_t count = 0;
@@ -37,8 +38,8 @@
                        { return event["kind"].asString() == kind; });
 }
 
-/// Whether traffic goes on while one VM leaves, none of it is interrupted and
-/// its process ends cleanly.
+/// Checks that traffic continues while the VM leaves, that no request is
+/// interrupted and that the VM's process exits with 0.
 void check_leaving(scenario& run, std::size_t vm)
 {
     CHECK(eventually([&] { return !run.world().ready(vm); }));
@@ -52,11 +53,13 @@
 
 } // namespace
 
-TEST_CASE("a killed VM's workers are taken over and nothing goes wrong", "[vm]")
+TEST_CASE("a killed VM's workers are taken over and no guarantee is violated",
+          "[vm]")
 {
-    // Callers of the killed VM lose their connections, all others are answered
-    // as before. The others see its lease lapse and take its workers; what it
-    // had in flight is pinned, since nobody knows whether it has ended.
+    // Callers of the killed VM lose their connections; all other callers are
+    // served as before. After the killed VM's lease lapses the other VMs take
+    // over its workers. Adapters of its requests in flight are pinned, since it
+    // is unknown whether these requests have ended.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
@@ -69,10 +72,10 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("two VMs killed one after the other leave one that serves", "[vm]")
+TEST_CASE("the last VM serves after two VMs are killed in succession", "[vm]")
 {
-    // The second dies as soon as it has taken over from the first, so that the
-    // last one takes workers which had two owners a moment ago.
+    // The second VM is killed as soon as the workers of the first are taken
+    // over, so the last VM takes over workers that had two recent owners.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
@@ -87,12 +90,13 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a VM frozen past its lease does no harm when it goes on", "[vm]")
+TEST_CASE("a VM frozen past its lease violates no guarantee when it resumes",
+          "[vm]")
 {
-    // Its lease lapses while it stands still with requests and orders under
-    // way; others take its workers, load and evict. When it goes on, what it
-    // still sends comes from an owner of the past. Its callers wait longer and
-    // are answered truly.
+    // The VM's lease lapses while the VM is frozen with requests and orders in
+    // progress; other VMs take over its workers, load and evict adapters. After
+    // resuming, the VM still sends requests as a previous owner. Its callers
+    // wait longer and get correct answers.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
@@ -110,10 +114,11 @@
     CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a VM frozen twice does no harm", "[vm]")
+TEST_CASE("a VM frozen twice violates no guarantee", "[vm]")
 {
-    // The second freeze comes as soon as the VM serves again: the suspects of
-    // its first life as an owner have only just been struck off.
+    // The second freeze comes as soon as the VM serves again, when the pins
+    // that protect the requests of its first ownership have only just been
+    // removed.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
@@ -133,8 +138,9 @@
 
 TEST_CASE("a VM drained by an operator interrupts nothing", "[vm]")
 {
-    // Callers of the VM get their whole answers, then `draining`. It hands its
-    // workers over, ends what it has begun and its process ends with 0.
+    // Callers of the VM get complete answers; later requests get `draining`.
+    // The VM hands over its workers, completes its requests in progress and its
+    // process exits with 0.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
@@ -145,7 +151,8 @@
 
 TEST_CASE("a VM ended by SIGTERM interrupts nothing", "[vm]")
 {
-    // As when an operator drains it: the platform stops its processes so.
+    // SIGTERM, with which the platform stops processes, has the same effect as
+    // an operator's drain.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
@@ -156,7 +163,7 @@
 
 TEST_CASE("a VM that the platform lists as leaving interrupts nothing", "[vm]")
 {
-    // The notice comes late and by the list alone; the VM reads it itself.
+    // The VM is notified late and only by the list, which the VM reads itself.
     scenario run;
     run.start_traffic();
     REQUIRE(run.wait_for_answers(some_answers));
@@ -165,11 +172,11 @@
     check_leaving(run, 1);
 }
 
-TEST_CASE("a long stream through a VM that leaves reaches its caller whole",
-          "[vm]")
+TEST_CASE("a long stream through a VM that leaves is completed", "[vm]")
 {
-    // The stream takes some seconds, so that it is in progress while the VM
-    // refuses new work and hands over. The VM waits for it before it ends.
+    // The stream takes some seconds, so the stream is in progress while the VM
+    // refuses new requests and hands over its workers. The VM must wait for the
+    // end of the stream before exiting.
     scenario run;
     run.world().control_engine(order("token_ms", 25));
     model_call call = run.call_to(1, run.world().adapters().front());
