--- a/tests/process_deployment.cpp
+++ b/tests/process_deployment.cpp
@@ -31,7 +31,7 @@
     while (words >> word)
         if (word == listener && words >> word)
             return word;
-    throw std::runtime_error("no address of " + listener + " in " + listening);
+    throw std::runtime_error("no " + listener + " address in " + listening);
 }
 
 std::string without_scheme(std::string const& url)
--- a/tests/process_traffic.cpp
+++ b/tests/process_traffic.cpp
@@ -118,7 +118,7 @@
         auto const seen = each.request->seen();
         auto const what = error_in(seen);
         std::string const text = !seen.over()           ? "in progress"
-                                 : answered_whole(seen) ? "complete"
+                                 : answered_whole(seen) ? "whole"
                                  : what.kind.empty()
                                      ? "connection lost"
                                      : what.kind + " ran " + what.ran;
