--- a/tests/process_caller.cpp
+++ b/tests/process_caller.cpp
@@ -39,8 +39,8 @@
 
 } // namespace
 
-void pending_request::on_status(int status,
-                                mulberry::http_headers const& headers)
+void request_in_progress::on_status(int status,
+                                    mulberry::http_headers const& headers)
 {
     std::lock_guard const lock(mutex_);
     seen_.status = status;
@@ -48,14 +48,14 @@
     changed_.notify_all();
 }
 
-void pending_request::on_data(std::string_view data)
+void request_in_progress::on_data(std::string_view data)
 {
     std::lock_guard const lock(mutex_);
     seen_.body += data;
     changed_.notify_all();
 }
 
-void pending_request::on_end()
+void request_in_progress::on_end()
 {
     std::lock_guard const lock(mutex_);
     seen_.ended = true;
@@ -63,7 +63,8 @@
     changed_.notify_all();
 }
 
-void pending_request::on_failure(mulberry::call_stage stage, std::string const&)
+void request_in_progress::on_failure(mulberry::call_stage stage,
+                                     std::string const&)
 {
     std::lock_guard const lock(mutex_);
     seen_.not_sent = stage == mulberry::call_stage::not_sent;
@@ -72,13 +73,13 @@
     changed_.notify_all();
 }
 
-received_answer pending_request::seen() const
+received_answer request_in_progress::seen() const
 {
     std::lock_guard const lock(mutex_);
     return seen_;
 }
 
-received_answer pending_request::wait()
+received_answer request_in_progress::wait()
 {
     std::unique_lock lock(mutex_);
     if (!changed_.wait_for(lock, 2 * generous_wait,
@@ -87,7 +88,7 @@
     return seen_;
 }
 
-bool pending_request::wait_for(std::string const& text)
+bool request_in_progress::wait_for(std::string const& text)
 {
     auto const has = [&] { return seen_.body.find(text) != std::string::npos; };
     std::unique_lock lock(mutex_);
--- a/tests/process_caller.hpp
+++ b/tests/process_caller.hpp
@@ -63,7 +63,7 @@
 };
 
 /// One request in progress and its answer. Thread safety: safe.
-class pending_request : public mulberry::http_call_observer
+class request_in_progress : public mulberry::http_call_observer
 {
 public:
     void on_status(int status, mulberry::http_headers const& headers) override;
--- a/tests/process_traffic.cpp
+++ b/tests/process_traffic.cpp
@@ -38,7 +38,7 @@
 caller_registry::request_ptr caller_registry::send(Call const& call,
                                                    std::deque<kept<Call>>& list)
 {
-    auto request = std::make_shared<pending_request>();
+    auto request = std::make_shared<request_in_progress>();
     std::lock_guard const lock(mutex_);
     recorded<Call> what{
         call, {}, caller_end::waited, leaving_.contains(call.vm)};
--- a/tests/process_traffic.hpp
+++ b/tests/process_traffic.hpp
@@ -26,7 +26,7 @@
 class caller_registry
 {
 public:
-    using request_ptr = std::shared_ptr<pending_request>;
+    using request_ptr = std::shared_ptr<request_in_progress>;
 
     request_ptr send(model_call const& call);
     request_ptr send(service_call_made const& call);
