--- a/tests/history.hpp
+++ b/tests/history.hpp
@@ -93,7 +93,7 @@
         std::vector<answer_piece> pieces;
         bool piece_after_end = false;
         std::size_t final_answers = 0;
-        bool whole = false;
+        bool complete = false;
         std::optional<mulberry::error> failure;
         std::vector<mulberry::engine_name> started;
         std::size_t finished = 0;
--- a/tests/process_caller.cpp
+++ b/tests/process_caller.cpp
@@ -122,7 +122,7 @@
     return made;
 }
 
-mulberry::http_call to_http(service_call_made const& call)
+mulberry::http_call to_http(plain_service_call const& call)
 {
     auto made = common_call(call.method,
                             "http://" + call.address + "/services/" + call.path,
--- a/tests/process_caller.hpp
+++ b/tests/process_caller.hpp
@@ -33,7 +33,7 @@
 };
 
 /// A call of a plain service.
-struct service_call_made
+struct plain_service_call
 {
     std::string address;
     std::string vm;
@@ -86,7 +86,7 @@
 };
 
 mulberry::http_call to_http(model_call const& call);
-mulberry::http_call to_http(service_call_made const& call);
+mulberry::http_call to_http(plain_service_call const& call);
 
 /// Sends a JSON body and returns the JSON answer. Throws if the status is not
 /// 200.
--- a/tests/process_checker_test.cpp
+++ b/tests/process_checker_test.cpp
@@ -61,9 +61,9 @@
     return {call, seen};
 }
 
-recorded<service_call_made> service_record(received_answer const& seen)
+recorded<plain_service_call> service_record(received_answer const& seen)
 {
-    service_call_made call;
+    plain_service_call call;
     call.vm = "entry-1";
     call.key = "permit-1";
     return {call, seen};
@@ -87,8 +87,8 @@
     return event;
 }
 
-received_answer told(std::string const& id, std::string const& kind,
-                     std::string const& ran)
+received_answer error_answer(std::string const& id, std::string const& kind,
+                             std::string const& ran)
 {
     return answer(503, id, "application/json",
                   fmt::format("{{\"error\":{{\"kind\":\"{}\",\"message\":\"\","
@@ -104,7 +104,7 @@
     run.engine_events.push_back(engine_event("started", "note-1@2#4", 1));
     run.engine_events.push_back(engine_event("unloaded", "note-1@2#4", 0));
     run.service_calls.push_back(
-        service_record(told("s-1", "back_end_unavailable", "no")));
+        service_record(error_answer("s-1", "back_end_unavailable", "no")));
     run.service_calls.push_back(
         service_record(answer(200, "s-2", "application/json", "{\"ran\":1}")));
     run.service_events.push_back(service_event("s-2.1"));
@@ -213,7 +213,8 @@
 TEST_CASE("the process checker reports an incorrect ran", "[checker]")
 {
     process_record at_engine = good_run();
-    at_engine.model_calls.front().seen = told("r-1", "overloaded", "no");
+    at_engine.model_calls.front().seen =
+        error_answer("r-1", "overloaded", "no");
     CHECK(finds(at_engine, "untrue_ran"));
 
     process_record at_service = good_run();
--- a/tests/process_record.cpp
+++ b/tests/process_record.cpp
@@ -66,8 +66,8 @@
 {
     if (auto const id = seen.headers.find("X-Request-Id"))
         return *id;
-    std::string const told = error_object(seen)["request_id"].asString();
-    return told.empty() ? otherwise : told;
+    std::string const reported = error_object(seen)["request_id"].asString();
+    return reported.empty() ? otherwise : reported;
 }
 
 /// The request id without the attempt number: backends see REQUEST.N.
@@ -85,9 +85,9 @@
     if (!object.isObject())
         return std::nullopt;
     auto const kind = error_kind_named(object["kind"].asString());
-    std::string const told = object["ran"].asString();
+    std::string const reported = object["ran"].asString();
     for (ran const value : {ran::no, ran::yes, ran::unknown})
-        if (kind && to_string(value) == told)
+        if (kind && to_string(value) == reported)
             return error(*kind, object["message"].asString(), value);
     return std::nullopt;
 }
@@ -167,8 +167,8 @@
     void add_outcome(recorded<Call> const& one, request_id const& id)
     {
         Json::Value const object = error_object(one.seen);
-        if (auto const told = list_error(object))
-            history_.answered_error(id, *told);
+        if (auto const reported = list_error(object))
+            history_.answered_error(id, *reported);
         else if (!object.isNull() || (one.seen.ended && one.seen.status != 200))
             found_.push_back({"no_listed_error",
                               id.str() + " was answered " + one.seen.body});
@@ -244,7 +244,7 @@
                                       " and was answered by " + model});
     }
 
-    void add(recorded<service_call_made> const& one, std::string const& number)
+    void add(recorded<plain_service_call> const& one, std::string const& number)
     {
         request_id const id = unique_id(one.seen, number);
         history_.service_invoked(id, !one.call.key.empty());
--- a/tests/process_record.hpp
+++ b/tests/process_record.hpp
@@ -40,7 +40,7 @@
 struct process_record
 {
     std::vector<recorded<model_call>> model_calls;
-    std::vector<recorded<service_call_made>> service_calls;
+    std::vector<recorded<plain_service_call>> service_calls;
     /// The histories of the backends.
     std::vector<Json::Value> engine_events;
     std::vector<Json::Value> service_events;
--- a/tests/process_traffic.cpp
+++ b/tests/process_traffic.cpp
@@ -35,8 +35,8 @@
 } // namespace
 
 template <class Call>
-caller_registry::request_ptr caller_registry::send(Call const& call,
-                                                   std::deque<kept<Call>>& list)
+caller_registry::request_ptr
+caller_registry::send(Call const& call, std::deque<sent_request<Call>>& list)
 {
     auto request = std::make_shared<request_in_progress>();
     std::lock_guard const lock(mutex_);
@@ -55,17 +55,17 @@
 }
 
 caller_registry::request_ptr
-caller_registry::send(service_call_made const& call)
+caller_registry::send(plain_service_call const& call)
 {
     return send(call, service_calls_);
 }
 
 template <class Call>
-bool caller_registry::close(std::deque<kept<Call>>& list,
+bool caller_registry::close(std::deque<sent_request<Call>>& list,
                             request_ptr const& request)
 {
     auto const found = std::find_if(list.begin(), list.end(),
-                                    [&](kept<Call> const& each)
+                                    [&](sent_request<Call> const& each)
                                     { return each.request == request; });
     if (found == list.end())
         return false;
@@ -89,10 +89,10 @@
 }
 
 template <class Call>
-void caller_registry::write(std::deque<kept<Call>>& list,
+void caller_registry::write(std::deque<sent_request<Call>>& list,
                             std::vector<recorded<Call>>& out)
 {
-    for (kept<Call>& each : list)
+    for (sent_request<Call>& each : list)
     {
         each.what.seen = each.request->wait();
         received_answer const& seen = each.what.seen;
@@ -200,7 +200,7 @@
     std::mt19937 random(model_threads + 1);
     for (std::size_t number = 1; !stop_; ++number)
     {
-        service_call_made call;
+        plain_service_call call;
         call.key = fmt::format("permit-{}", number);
         // A retry may reach any VM, as behind a load balancer.
         for (std::size_t tries = 0; tries < max_attempts && !stop_; ++tries)
@@ -275,10 +275,10 @@
     return call;
 }
 
-service_call_made scenario::unrepeatable_call_to(std::size_t vm,
-                                                 std::string const& key)
+plain_service_call scenario::unrepeatable_call_to(std::size_t vm,
+                                                  std::string const& key)
 {
-    service_call_made call;
+    plain_service_call call;
     call.vm = world_.vm(vm).name;
     call.address = world_.vm(vm).callers;
     call.key = key;
--- a/tests/process_traffic.hpp
+++ b/tests/process_traffic.hpp
@@ -29,7 +29,7 @@
     using request_ptr = std::shared_ptr<request_in_progress>;
 
     request_ptr send(model_call const& call);
-    request_ptr send(service_call_made const& call);
+    request_ptr send(plain_service_call const& call);
     /// Closes the caller's connection of the request.
     void disconnect(request_ptr const& request);
     /// Records that the VM must not accept requests sent from now on.
@@ -41,7 +41,7 @@
 
 private:
     template <class Call>
-    struct kept
+    struct sent_request
     {
         recorded<Call> what;
         request_ptr request;
@@ -49,18 +49,19 @@
         std::chrono::steady_clock::time_point gives_up_at;
     };
     template <class Call>
-    request_ptr send(Call const& call, std::deque<kept<Call>>& list);
+    request_ptr send(Call const& call, std::deque<sent_request<Call>>& list);
     template <class Call>
-    static void write(std::deque<kept<Call>>& list,
+    static void write(std::deque<sent_request<Call>>& list,
                       std::vector<recorded<Call>>& out);
     template <class Call>
-    bool close(std::deque<kept<Call>>& list, request_ptr const& request);
+    bool close(std::deque<sent_request<Call>>& list,
+               request_ptr const& request);
 
     mulberry::http_client client_;
     std::mutex mutex_;
     std::set<std::string> leaving_;
-    std::deque<kept<model_call>> model_calls_;
-    std::deque<kept<service_call_made>> service_calls_;
+    std::deque<sent_request<model_call>> model_calls_;
+    std::deque<sent_request<plain_service_call>> service_calls_;
 };
 
 /// One run: a deployment, callers that keep it under load, and the checker at
@@ -86,8 +87,8 @@
     void stop_traffic();
 
     model_call call_to(std::size_t vm, std::string const& adapter);
-    service_call_made unrepeatable_call_to(std::size_t vm,
-                                           std::string const& key);
+    plain_service_call unrepeatable_call_to(std::size_t vm,
+                                            std::string const& key);
     void kill_vm(std::size_t vm);
     void freeze_vm(std::size_t vm);
     /// Waits until the VM owns workers, so that its failure affects workers.
