--- a/tests/history.cpp
+++ b/tests/history.cpp
@@ -28,7 +28,7 @@
 {
     request_record& record = requests_[request];
     ++record.final_answers;
-    record.whole = true;
+    record.complete = true;
 }
 
 void history::answered_error(request_id const& request, error const& what)
@@ -132,7 +132,7 @@
                          id.str() + " has a gap, a repetition, a mix of runs "
                                     "or an event after the end"});
     bool const ends = !record.pieces.empty() && record.pieces.back().last;
-    if (record.whole && record.adapter && !ends)
+    if (record.complete && record.adapter && !ends)
         found.push_back(
             {violation_kind::answer_not_whole,
              id.str() +
@@ -159,11 +159,11 @@
     if (!record.failure)
         return;
     bool const did_run = !record.started.empty() || record.service_runs > 0;
-    ran const told = record.failure->request_ran();
-    if ((told == ran::no && did_run) || (told == ran::yes && !did_run))
+    ran const reported = record.failure->request_ran();
+    if ((reported == ran::no && did_run) || (reported == ran::yes && !did_run))
         found.push_back({violation_kind::untrue_ran,
                          id.str() + " was reported with ran: " +
-                             std::string(to_string(told)) + " (" +
+                             std::string(to_string(reported)) + " (" +
                              record.failure->text() + "), which is incorrect"});
 }
 
--- a/tests/process_operators_test.cpp
+++ b/tests/process_operators_test.cpp
@@ -70,10 +70,10 @@
     std::uint64_t const before = version_on(run, 0);
     std::string const plan = write_plan(run, "lost");
     run.world().control_platform(order("lose_answers", 3));
-    ctl_run const told = run.world().ctl({"confirm", plan});
-    INFO(told.output << told.errors);
-    bool const in_force = told.status == 0;
-    CHECK((in_force || told.status == 1 || told.status == 5));
+    ctl_run const confirmed = run.world().ctl({"confirm", plan});
+    INFO(confirmed.output << confirmed.errors);
+    bool const in_force = confirmed.status == 0;
+    CHECK((in_force || confirmed.status == 1 || confirmed.status == 5));
     CHECK(run.wait_for_answers(some_answers));
     std::uint64_t const after = version_on(run, 0);
     CHECK(after <= before + 1);
