--- a/bench/decision_cost.cpp
+++ b/bench/decision_cost.cpp
@@ -192,19 +192,20 @@
         model_request request = requests.front();
         request.adapter = adapter_numbered(i);
         policy->observe(request, start);
-        policy->choose(request, view, {}, start);
+        policy->choose_worker(request, view, {}, start);
     }
     row.bytes_an_adapter = static_cast<double>(allocated() - before_policy) /
                            static_cast<double>(adapters);
     row.observe = nanoseconds(
         decisions, [&](int i)
         { policy->observe(requests[static_cast<std::size_t>(i)], at(i)); });
-    row.choose =
-        nanoseconds(decisions,
-                    [&](int i) {
-                        policy->choose(requests[static_cast<std::size_t>(i)],
-                                       view, {}, at(i));
-                    });
+    row.choose = nanoseconds(decisions,
+                             [&](int i)
+                             {
+                                 policy->choose_worker(
+                                     requests[static_cast<std::size_t>(i)],
+                                     view, {}, at(i));
+                             });
     std::vector<worker_view> views;
     for (int i = 0; i < decisions; ++i)
         views.push_back(busy_worker(random() % workers, draw, random));
@@ -213,9 +214,11 @@
         { view.put(std::move(views[static_cast<std::size_t>(i)])); });
     auto const shown = view.all();
     std::vector<worker_view> const some(1, *shown.front());
-    row.ahead =
-        nanoseconds(decisions, [&](int i)
-                    { policy->ahead(some.front(), view, at(decisions + i)); });
+    row.ahead = nanoseconds(decisions,
+                            [&](int i) {
+                                policy->adapters_to_preload(some.front(), view,
+                                                            at(decisions + i));
+                            });
     row.add_sent = add_sent_cost(workers, draw, random, requests);
     return row;
 }
--- a/bench/trial_fleet.cpp
+++ b/bench/trial_fleet.cpp
@@ -80,7 +80,7 @@
         /// The owner's ticket that it was granted under.
         std::optional<std::pair<std::size_t, ticket_id>> grant;
     };
-    struct peer_ask
+    struct peer_grant_request
     {
         std::size_t asker = 0;
         ticket_id ticket;
@@ -110,13 +110,13 @@
     void carry_out(std::size_t index, placement_action const& action);
     void send(std::size_t index, place_request const& placed);
     void on_sent(ticket_id ticket, std::size_t to, admission outcome);
-    void refuse(std::size_t index, refuse_request const& refused);
-    void ask(std::size_t index, ask_owner const& question);
+    void refuse(std::size_t index, reject_request const& refused);
+    void ask(std::size_t index, request_owner_grant const& question);
     void watch_ask(std::size_t index, ticket_id ticket, ticket_id at_owner,
                    std::size_t owner);
     void answer(ticket_id at_owner, bool granted, granted_copy const& on);
-    void order(std::size_t index, give_order const& given);
-    void report(std::size_t index, ask_report const& question);
+    void order(std::size_t index, issue_order const& given);
+    void report(std::size_t index, request_report const& question);
     void step(std::size_t index);
     void plan_step(std::size_t index);
     void on_progress(engine_progress const& progress);
@@ -147,7 +147,7 @@
     std::map<worker_id, std::size_t> places_;
     std::map<vm_id, std::size_t> vm_places_;
     std::unordered_map<ticket_id, open_request> open_;
-    std::unordered_map<ticket_id, peer_ask> asks_;
+    std::unordered_map<ticket_id, peer_grant_request> asks_;
     /// The owner's ticket of a question, by the asker's.
     std::unordered_map<ticket_id, ticket_id> asked_;
     std::vector<tally> tallies_;
@@ -190,7 +190,8 @@
             domain_id("domain-" + std::to_string(number % plan_.domains));
         made.scheduler = std::make_unique<service_scheduler>(settings, config_);
         made.scheduler->set_members(plan_.vms);
-        made.scheduler->set_registry_moment({always_current, always_current});
+        made.scheduler->set_registry_timestamps(
+            {always_current, always_current});
         vm_places_.emplace(made.name, number);
         vms_.push_back(std::move(made));
     }
@@ -223,7 +224,7 @@
         entries.push_back(each.entry);
     for (std::size_t index = 0; index < vms_.size(); ++index)
     {
-        std::map<worker_id, order_grant> grants;
+        std::map<worker_id, owned_worker> grants;
         std::map<worker_id, vm_id> others;
         for (worker const& each : workers_)
             if (each.owner == index)
@@ -232,7 +233,7 @@
                 others[each.entry.id] = vms_.at(each.owner).name;
         service_scheduler& scheduler = *vms_.at(index).scheduler;
         scheduler.set_backends(entries);
-        scheduler.set_grants(grants);
+        scheduler.set_owned_workers(grants);
         scheduler.set_owners(std::move(others));
         post_run(index);
     }
@@ -349,18 +350,18 @@
 {
     if (auto const* placed = std::get_if<place_request>(&action))
         return send(index, *placed);
-    if (auto const* refused = std::get_if<refuse_request>(&action))
+    if (auto const* refused = std::get_if<reject_request>(&action))
         return refuse(index, *refused);
-    if (auto const* question = std::get_if<ask_owner>(&action))
+    if (auto const* question = std::get_if<request_owner_grant>(&action))
         return ask(index, *question);
-    if (auto const* granted = std::get_if<grant_ask>(&action))
+    if (auto const* granted = std::get_if<grant_peer_request>(&action))
         return answer(granted->ticket, true, granted->copy);
-    if (auto const* given = std::get_if<give_order>(&action))
+    if (auto const* given = std::get_if<issue_order>(&action))
         return order(index, *given);
     // No version is declared in a trial.
     if (std::holds_alternative<withdraw_request>(action))
         return;
-    report(index, std::get<ask_report>(action));
+    report(index, std::get<request_report>(action));
 }
 
 void fleet::send(std::size_t index, place_request const& placed)
@@ -419,7 +420,7 @@
     submit(ticket);
 }
 
-void fleet::refuse(std::size_t index, refuse_request const& refused)
+void fleet::refuse(std::size_t index, reject_request const& refused)
 {
     auto const found = open_.find(refused.ticket);
     if (found == open_.end())
@@ -454,19 +455,19 @@
                  });
 }
 
-void fleet::ask(std::size_t index, ask_owner const& question)
+void fleet::ask(std::size_t index, request_owner_grant const& question)
 {
     ++result_.questions;
     std::size_t const owner = index_of(question.owner);
     ticket_id const at_owner = next_ticket();
-    asks_.emplace(at_owner, peer_ask{index, question.ticket});
+    asks_.emplace(at_owner, peer_grant_request{index, question.ticket});
     asked_[question.ticket] = at_owner;
     work_item item;
     item.ticket = at_owner;
     item.target = question.target;
     item.priority = question.priority;
     item.give_up_at = question.give_up_at;
-    item.asked_for = question.worker;
+    item.requested_worker = question.worker;
     item.excluded = question.excluded;
     item.prompt_tokens = question.prompt_tokens;
     item.prefix = question.prefix;
@@ -479,30 +480,31 @@
                      vms_.at(owner).scheduler->submit(item, now());
                      post_run(owner);
                  });
-    queue_.after(2 * hop, [this, index, ticket = question.ticket]
-                 { vms_.at(index).scheduler->on_owner_heard(ticket, now()); });
+    queue_.after(
+        2 * hop, [this, index, ticket = question.ticket]
+        { vms_.at(index).scheduler->on_grant_answer_started(ticket, now()); });
     watch_ask(index, question.ticket, at_owner, owner);
 }
 
 void fleet::watch_ask(std::size_t index, ticket_id ticket, ticket_id at_owner,
                       std::size_t owner)
 {
-    time_point const ends = vms_.at(index).scheduler->ask_ends_at(ticket);
+    time_point const ends = vms_.at(index).scheduler->grant_deadline(ticket);
     queue_.at(std::max<time_point>(ends, now() + milliseconds(1)),
               [this, index, ticket, at_owner, owner]
               {
                   auto const asked = asked_.find(ticket);
                   if (asked == asked_.end() || asked->second != at_owner)
                       return;
-                  if (vms_.at(index).scheduler->ask_ends_at(ticket) > now())
+                  if (vms_.at(index).scheduler->grant_deadline(ticket) > now())
                       return watch_ask(index, ticket, at_owner, owner);
                   asked_.erase(asked);
                   asks_.erase(at_owner);
                   vms_.at(owner).scheduler->withdraw(at_owner, now());
                   vms_.at(owner).scheduler->ended(
                       at_owner, send_outcome::abandoned, now());
-                  vms_.at(index).scheduler->on_owner(
-                      ticket, ask_outcome::silent, {}, now());
+                  vms_.at(index).scheduler->on_grant_answer(
+                      ticket, grant_outcome::silent, {}, now());
                   post_run(index);
               });
 }
@@ -512,7 +514,7 @@
     auto const found = asks_.find(at_owner);
     if (found == asks_.end())
         return;
-    peer_ask const asked = found->second;
+    peer_grant_request const asked = found->second;
     asks_.erase(found);
     queue_.after(
         hop,
@@ -531,10 +533,11 @@
                     request->second.grant = {
                         workers_.at(index_of(on.worker)).owner, at_owner};
                 used = vms_.at(asked.asker)
-                           .scheduler->on_owner(asked.ticket,
-                                                granted ? ask_outcome::granted
-                                                        : ask_outcome::refused,
-                                                on, now());
+                           .scheduler->on_grant_answer(
+                               asked.ticket,
+                               granted ? grant_outcome::granted
+                                       : grant_outcome::refused,
+                               on, now());
                 post_run(asked.asker);
             }
             if (!granted || used)
@@ -548,7 +551,7 @@
         });
 }
 
-void fleet::order(std::size_t index, give_order const& given)
+void fleet::order(std::size_t index, issue_order const& given)
 {
     ++result_.orders;
     queue_.after(
@@ -569,7 +572,7 @@
         });
 }
 
-void fleet::report(std::size_t index, ask_report const& question)
+void fleet::report(std::size_t index, request_report const& question)
 {
     queue_.after(2 * hop,
                  [this, index, worker = question.worker]
--- a/src/adapter_slots.cpp
+++ b/src/adapter_slots.cpp
@@ -9,16 +9,16 @@
                              dispatcher_limits const& limits,
                              safeguards const& checks, time_point now)
     : slots_(slots), fence_(grant.fence), limits_(limits), checks_(&checks),
-      suspects_(grant.suspects),
-      suspects_stopped_(grant.suspects ? std::nullopt : std::optional(now)),
+      had_suspects_(grant.has_suspects),
+      suspects_stopped_(grant.has_suspects ? std::nullopt : std::optional(now)),
       open_intents_(grant.open_intents.begin(), grant.open_intents.end())
 {
 }
 
-void adapter_slots::doubt(time_point now)
+void adapter_slots::invalidate(time_point now)
 {
-    known_ = false;
-    doubted_ = now;
+    contents_known_ = false;
+    invalidated_at_ = now;
 }
 
 std::size_t adapter_slots::free_slots() const
@@ -35,10 +35,10 @@
     return found == adapters_.end() ? nullptr : &found->second;
 }
 
-engine_name const* adapter_slots::usable(adapter_ref const& adapter) const
+engine_name const* adapter_slots::ready_name(adapter_ref const& adapter) const
 {
-    auto const found = usable_.find(adapter);
-    return found == usable_.end() ? nullptr : &found->second;
+    auto const found = ready_names_.find(adapter);
+    return found == ready_names_.end() ? nullptr : &found->second;
 }
 
 engine_name adapter_slots::own_name(adapter_ref const& adapter) const
@@ -66,25 +66,25 @@
     return name;
 }
 
-void adapter_slots::enter(engine_name const& name, slot_state state,
-                          order_id order, time_point now)
+void adapter_slots::set_state(engine_name const& name, slot_state state,
+                              order_id order, time_point now)
 {
     loaded_adapter& item = adapters_.at(name);
     item.state = state;
     item.order = order;
     item.since = now;
-    index(item.adapter);
+    update_ready_name(item.adapter);
 }
 
 void adapter_slots::restore(engine_name const& name, time_point now)
 {
     slot_state const state =
         routable(name) ? slot_state::ready : slot_state::unusable;
-    enter(name, state, {}, now);
-    // An intent that stands in the row still is recorded at once. Were the
-    // reasons to evict and to keep the adapter both to last, one call would
-    // record and give up the same intent for ever.
-    adapters_.at(name).kept_until = now + limits_.load_backoff;
+    set_state(name, state, {}, now);
+    // An intent that is still in the row is confirmed as recorded at once. If
+    // the reasons to evict and to keep the adapter both persisted, a single
+    // call would record and cancel the same intent forever.
+    adapters_.at(name).evictable_from = now + limits_.load_backoff;
 }
 
 bool adapter_slots::routable(engine_name const& name) const
@@ -102,7 +102,7 @@
     return now <= pin->second + limits_.max_deadline + limits_.settle_time;
 }
 
-bool adapter_slots::unsettled(time_point now) const
+bool adapter_slots::has_abandoned_requests(time_point now) const
 {
     return std::any_of(pins_.begin(), pins_.end(),
                        [&](auto const& pin) {
@@ -116,7 +116,7 @@
     adapter_ref const adapter = found->second.adapter;
     adapters_.erase(found);
     removed_[name] = now;
-    index(adapter);
+    update_ready_name(adapter);
 }
 
 void adapter_slots::add_request(engine_name const& name, time_point now)
@@ -127,7 +127,7 @@
         found->second.last_used = now;
 }
 
-void adapter_slots::end_request(engine_name const& name, bool seen_to_end,
+void adapter_slots::end_request(engine_name const& name, bool end_confirmed,
                                 time_point now)
 {
     auto const count = requests_.find(name);
@@ -136,12 +136,12 @@
     auto const found = adapters_.find(name);
     if (found != adapters_.end())
         found->second.last_used = now;
-    // The engine may go on with a request whose connection was given up, and
-    // an order to cancel it may be lost. Evicted meanwhile, its adapter would
-    // vanish under a request that runs. A pin until a later report shows
-    // nothing running is enough, since no byte of it arrives after the settle
-    // time.
-    if (!seen_to_end)
+    // The engine may continue a request whose connection was given up, and the
+    // cancel message may be lost. Evicting the adapter meanwhile would unload
+    // it under a running request. A pin until a later report shows nothing
+    // running is sufficient, since no byte of the request arrives after the
+    // settle time.
+    if (!end_confirmed)
         pin(name, now);
 }
 
@@ -163,10 +163,10 @@
     loaded_adapter const* item = find(name);
     if (!item)
         return false;
-    bool const ours_to_evict =
+    bool const evictable =
         item->state == slot_state::ready ||
         (item->state == slot_state::unusable && open_intents_.contains(name));
-    if (!ours_to_evict || now < item->kept_until)
+    if (!evictable || now < item->evictable_from)
         return false;
     return checks_->may_evict({requests(name), queued, pinned(name, now)});
 }
@@ -175,38 +175,39 @@
                                       time_point now)
 {
     slot_changes changes;
-    if (report.as_of < last_report_ || report.as_of <= doubted_)
+    if (report.as_of < last_report_ || report.as_of <= invalidated_at_)
         return changes;
     last_report_ = report.as_of;
-    known_ = true;
-    std::map<engine_name, std::size_t> shown;
+    contents_known_ = true;
+    std::map<engine_name, std::size_t> reported;
     for (engine_report::adapter_load const& load : report.adapters)
-        shown[load.name] = load.running;
-    clear_pins(report, shown);
+        reported[load.name] = load.running;
+    clear_pins(report, reported);
     for (auto item = adapters_.begin(); item != adapters_.end();)
     {
         auto const next = std::next(item);
-        auto const found = shown.find(item->first);
-        compare(item->first, item->second,
-                found == shown.end() ? nullptr : &found->second, report, now,
-                changes);
+        auto const found = reported.find(item->first);
+        reconcile(item->first, item->second,
+                  found == reported.end() ? nullptr : &found->second, report,
+                  now, changes);
         item = next;
     }
-    for (auto const& [name, running] : shown)
+    for (auto const& [name, running] : reported)
         if (!adapters_.contains(name))
             adopt(name, report, now);
     std::erase_if(removed_,
                   [&](auto const& each) { return each.second < report.as_of; });
-    close_old_intents(report, shown, now, changes);
+    close_earlier_intents(report, reported, now, changes);
     return changes;
 }
 
-void adapter_slots::clear_pins(engine_report const& report,
-                               std::map<engine_name, std::size_t> const& shown)
+void adapter_slots::clear_pins(
+    engine_report const& report,
+    std::map<engine_name, std::size_t> const& reported)
 {
-    // Nothing of unseen origin runs under a name any more when a report from
-    // after the last moment at which such a request could arrive shows none
-    // running under it and none waiting inside the engine.
+    // An untracked request no longer runs under a name if a report from after
+    // the last moment at which such a request could arrive shows no request
+    // running under the name and none waiting inside the engine.
     std::erase_if(pins_,
                   [&](auto const& pin)
                   {
@@ -218,17 +219,17 @@
                           return false;
                       if (report.as_of > settled + limits_.max_deadline)
                           return true;
-                      auto const found = shown.find(pin.first);
+                      auto const found = reported.find(pin.first);
                       bool const idle =
-                          found == shown.end() || found->second == 0;
+                          found == reported.end() || found->second == 0;
                       return idle && report.waiting == 0;
                   });
 }
 
-void adapter_slots::compare(engine_name const& name, loaded_adapter& item,
-                            std::size_t const* running,
-                            engine_report const& report, time_point now,
-                            slot_changes& changes)
+void adapter_slots::reconcile(engine_name const& name, loaded_adapter& item,
+                              std::size_t const* running,
+                              engine_report const& report, time_point now,
+                              slot_changes& changes)
 {
     if (report.as_of <= item.since)
         return;
@@ -243,7 +244,7 @@
         return;
     case slot_state::load_unknown:
         if (running)
-            enter(name, slot_state::ready, {}, now);
+            set_state(name, slot_state::ready, {}, now);
         else if (settled)
             remove(name, now);
         return;
@@ -256,8 +257,8 @@
             changes.still_loaded.push_back(name);
             return;
         }
-        // No order sent before can arrive any more, so that the name may be
-        // loaded again.
+        // No order sent earlier can still arrive, so the name may be loaded
+        // again.
         changes.closed_intents.push_back(name);
         remove(name, now);
         return;
@@ -283,45 +284,45 @@
         item.adapter = parts->adapter;
         item.fence = parts->fence;
     }
-    // An earlier owner that was paused may yet send an unload order that it
-    // recorded before: a request routed there would lose its adapter halfway.
-    // Such names are in the row that this owner read, and an intent that is
-    // not there can no longer be recorded, so that leaving these names out is
-    // enough.
+    // An earlier owner that was paused may still send an unload order whose
+    // intent it recorded, and a request routed to that name would lose its
+    // adapter while it runs. All such names are in the row that this owner
+    // read, since an earlier owner can no longer record an intent. Therefore
+    // excluding these names is sufficient.
     bool const barred =
         !parts || parts->fence > fence_ || open_intents_.contains(name);
     item.state = barred ? slot_state::unusable : slot_state::ready;
-    if (suspects_ && (!parts || parts->fence < fence_))
+    if (had_suspects_ && (!parts || parts->fence < fence_))
         pin(name, suspects_stopped_.value_or(never));
     adapters_.emplace(name, item);
-    index(item.adapter);
+    update_ready_name(item.adapter);
 }
 
-// Failure: an earlier owner signs off or ends just after it sent an unload
-// order, which the engine carries out later. Symptom: the name is used again
-// and unloaded under a request. An order's connection is given up after the
-// order timeout, and the order acts within the settle time after that; a report
-// of a moment later than both since the last one could be sent shows what all
-// of them did.
-bool adapter_slots::nothing_comes(engine_report const& report) const
+// Failure: an earlier owner confirms that it stopped, or ends, just after it
+// sent an unload order, which the engine executes later. Symptom: the name is
+// used again and unloaded under a request. The connection of an order is closed
+// after the order timeout, and the order takes effect within the settle time
+// after that. A report from after both times, counted from the last moment at
+// which an order could be sent, shows the effects of all orders.
+bool adapter_slots::earlier_orders_settled(engine_report const& report) const
 {
     return suspects_stopped_ && report.as_of > *suspects_stopped_ +
                                                    limits_.order_timeout +
                                                    limits_.settle_time;
 }
 
-// Failure: an earlier owner ended between recording an intent and sending the
-// order. Symptom: the adapter stays loaded and serves nobody until another
-// wants its slot, and the intent stands in the row for as long. Shown by a
-// report from after the last order can have arrived, the name was not unloaded
-// and nobody but this owner can order it any more, so it is used again. Not so
-// if this owner has begun to evict it itself.
-void adapter_slots::close_old_intents(
+// Failure: an earlier owner ended after it recorded an intent and before it
+// sent the unload order. Symptom: the adapter stays loaded without serving
+// requests until another adapter needs its slot, and the intent stays in the
+// row as long. If a report from after the last order can have arrived still
+// shows the name, it was not unloaded and only this owner can order that now,
+// so the name is used again, unless this owner has begun to evict it.
+void adapter_slots::close_earlier_intents(
     engine_report const& report,
-    std::map<engine_name, std::size_t> const& shown, time_point now,
+    std::map<engine_name, std::size_t> const& reported, time_point now,
     slot_changes& changes)
 {
-    if (!nothing_comes(report))
+    if (!earlier_orders_settled(report))
         return;
     std::set<engine_name> const open = open_intents_;
     for (engine_name const& name : open)
@@ -336,11 +337,11 @@
         bool const ours =
             parse_engine_name(name.str()) && item->fence <= fence_;
         if (item->state != slot_state::unusable || !ours ||
-            !shown.contains(name))
+            !reported.contains(name))
             continue;
         changes.usable_again.push_back(name);
         open_intents_.erase(name);
-        enter(name, slot_state::ready, {}, now);
+        set_state(name, slot_state::ready, {}, now);
     }
 }
 
@@ -352,12 +353,12 @@
             since = stopped_at;
 }
 
-void adapter_slots::index(adapter_ref const& adapter)
+void adapter_slots::update_ready_name(adapter_ref const& adapter)
 {
-    usable_.erase(adapter);
+    ready_names_.erase(adapter);
     for (auto const& [name, item] : adapters_)
         if (item.adapter == adapter && item.state == slot_state::ready)
-            usable_.insert_or_assign(adapter, name);
+            ready_names_.insert_or_assign(adapter, name);
 }
 
 } // namespace mulberry
--- a/src/backend_pool.cpp
+++ b/src/backend_pool.cpp
@@ -24,35 +24,37 @@
 using clock = std::chrono::steady_clock;
 
 constexpr std::size_t read_buffer_bytes = 8UL * 1024;
-/// Workers close idle connections after their own timeout; without a
-/// Keep-Alive field it is not known, and this is kept short.
-constexpr std::chrono::milliseconds longest_idle{4000};
-/// A worker's timeout counts from its last byte, which left it earlier than it
-/// arrived here.
+/// Workers close idle connections after a timeout of their own, which is
+/// unknown without a Keep-Alive header field. So idle connections are kept only
+/// for a short time.
+constexpr std::chrono::milliseconds max_idle_time{4000};
+/// A worker's idle timeout starts when the worker sends its last byte, which is
+/// earlier than the byte's arrival here.
 constexpr std::chrono::milliseconds keep_alive_margin{500};
-/// Bytes that are not acknowledged for so long end the connection: a worker
-/// behind a partition answers nothing, not even with a reset. Several round
-/// trips with retransmissions fit in.
-constexpr unsigned unacknowledged_ms = 2000;
+/// A connection is closed when sent bytes stay unacknowledged for this long
+/// (TCP_USER_TIMEOUT): a worker behind a network partition does not even send a
+/// reset. Leaves time for several retransmissions.
+constexpr unsigned unacknowledged_timeout_ms = 2000;
 constexpr int first_final_status = 200;
 
 class connection;
 
-/// What connections need of their pool.
-class connection_home
+/// The part of the pool that connections call.
+class connection_registry
 {
 public:
-    virtual ~connection_home() = default;
+    virtual ~connection_registry() = default;
     virtual void keep(std::shared_ptr<connection> idle) = 0;
-    virtual void forget(connection const* gone) = 0;
+    virtual void remove(connection const* gone) = 0;
 };
 
 /// One TCP connection to a worker, serving one exchange at a time.
 class connection final : public std::enable_shared_from_this<connection>
 {
 public:
-    connection(asio::io_context& io, backend_address to, connection_home* home)
-        : socket_(io), timer_(io), address_(std::move(to)), home_(home)
+    connection(asio::io_context& io, backend_address to,
+               connection_registry* registry)
+        : socket_(io), timer_(io), address_(std::move(to)), registry_(registry)
     {
         http_parser_settings_init(&callbacks_);
         callbacks_.on_header_field = &connection::on_header_field;
@@ -75,7 +77,7 @@
         asio::error_code failure;
         auto const ip = asio::ip::make_address(address_.ip, failure);
         if (failure)
-            return fail_later("not an address: " + address_.ip);
+            return fail_later("not an IP address: " + address_.ip);
         timer_.expires_after(timeout);
         timer_.async_wait(
             [self = shared_from_this()](asio::error_code const& cancelled)
@@ -89,7 +91,7 @@
             { self->on_connected(refused); });
     }
 
-    /// Precondition: kept and idle.
+    /// Precondition: the connection is idle.
     void reuse(std::string request, std::shared_ptr<exchange_observer> observer)
     {
         begin(std::move(request), std::move(observer));
@@ -112,11 +114,11 @@
         asio::error_code ignored;
         timer_.cancel();
         socket_.close(ignored);
-        if (home_ != nullptr)
-            home_->forget(this);
+        if (registry_ != nullptr)
+            registry_->remove(this);
     }
 
-    void orphan() { home_ = nullptr; }
+    void detach() { registry_ = nullptr; }
 
 private:
     void begin(std::string request, std::shared_ptr<exchange_observer> observer)
@@ -151,7 +153,8 @@
         asio::error_code ignored;
         socket_.set_option(tcp::no_delay(true), ignored);
         setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
-                   &unacknowledged_ms, sizeof unacknowledged_ms);
+                   &unacknowledged_timeout_ms,
+                   sizeof unacknowledged_timeout_ms);
         send();
         read();
     }
@@ -168,7 +171,9 @@
                     return;
                 if (!failure)
                     self->written_ = true;
-                // What the worker answered before it closed is read first.
+                // A write failure is not reported here: an answer that the
+                // worker sent before it closed the connection is read first,
+                // and the read reports the failure.
             });
     }
 
@@ -186,8 +191,9 @@
         if (!connected_)
             return;
         if (idle_)
-            // Closed, or bytes that belong to no request: a late or second
-            // answer. Handed to the next request, they would be another's.
+            // The worker closed the connection, or sent bytes that belong to no
+            // request (a late or second answer). The next request must not
+            // receive these bytes as its answer.
             return close();
         if (failure)
             return on_closed(failure);
@@ -215,17 +221,17 @@
         std::uint64_t const exchange = exchange_number_;
         std::size_t const used =
             http_parser_execute(&parser_, &callbacks_, bytes, size);
-        // An observer may have cancelled within a callback.
+        // The observer may have cancelled the exchange within a callback.
         if (!connected_ || exchange != exchange_number_ || !observer_)
             return;
         if (complete_)
             return finish_framed(used < size);
         if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || used < size)
             fail(head_seen_ ? call_stage::answering : call_stage::sent,
-                 "not an HTTP answer");
+                 "not a valid HTTP answer");
     }
 
-    /// `dirty`: bytes follow the answer that belong to no request.
+    /// `dirty`: bytes that belong to no request follow the answer.
     void finish_framed(bool dirty)
     {
         bool const keep = !dirty && written_ && keep_alive_;
@@ -236,8 +242,8 @@
             idle_since_ = clock::now();
             usable_until_ = idle_since_ + idle_limit_;
             request_.clear();
-            if (home_ != nullptr)
-                home_->keep(shared_from_this());
+            if (registry_ != nullptr)
+                registry_->keep(shared_from_this());
         }
         else
             close();
@@ -299,7 +305,7 @@
         connection& self = of(parser);
         if (!self.field_.empty())
             self.store_header();
-        // An interim answer; the final one follows.
+        // An interim (1xx) answer; the final answer follows.
         if (parser->status_code < first_final_status)
             return 0;
         self.head_seen_ = true;
@@ -314,21 +320,22 @@
         return 0;
     }
 
-    /// Keep-Alive: timeout=SECONDS
+    /// Idle timeout from the header field "Keep-Alive: timeout=SECONDS", minus
+    /// the margin.
     std::chrono::milliseconds idle_limit() const
     {
         auto const field = headers_.find("Keep-Alive");
         if (!field)
-            return longest_idle;
+            return max_idle_time;
         constexpr std::string_view key = "timeout=";
         auto const at = field->find(key);
         if (at == std::string::npos)
-            return longest_idle;
+            return max_idle_time;
         int seconds = 0;
         std::from_chars(field->data() + at + key.size(),
                         field->data() + field->size(), seconds);
         return std::min<std::chrono::milliseconds>(
-            longest_idle, std::chrono::seconds(seconds) - keep_alive_margin);
+            max_idle_time, std::chrono::seconds(seconds) - keep_alive_margin);
     }
 
     static int on_body(http_parser* parser, char const* at, std::size_t size)
@@ -358,7 +365,7 @@
     tcp::socket socket_;
     asio::steady_timer timer_;
     backend_address address_;
-    connection_home* home_;
+    connection_registry* registry_;
     std::array<char, read_buffer_bytes> buffer_{};
     http_parser parser_{};
     http_parser_settings callbacks_{};
@@ -414,16 +421,16 @@
     return backend_address{text.substr(0, colon), port};
 }
 
-class backend_pool::implementation final : public connection_home
+class backend_pool::implementation final : public connection_registry
 {
 public:
     explicit implementation(asio::io_context& io) : io_(io) {}
     ~implementation() override
     {
-        auto const open = std::exchange(open_, {});
+        auto const open = std::exchange(connections_, {});
         for (auto const& [key, each] : open)
         {
-            each->orphan();
+            each->detach();
             each->close();
         }
     }
@@ -441,7 +448,7 @@
             return std::make_shared<running_exchange>(kept);
         }
         auto const made = std::make_shared<connection>(io_, to, this);
-        open_.emplace(made.get(), made);
+        connections_.emplace(made.get(), made);
         ++opened_;
         made->open(std::move(bytes), options.connect_timeout,
                    std::move(observer));
@@ -467,7 +474,7 @@
         idle_[idle->address()].push_back(std::move(idle));
     }
 
-    void forget(connection const* gone) override
+    void remove(connection const* gone) override
     {
         auto const list = idle_.find(gone->address());
         if (list != idle_.end())
@@ -475,12 +482,12 @@
                           { return each.get() == gone; });
         if (list != idle_.end() && list->second.empty())
             idle_.erase(list);
-        open_.erase(gone);
+        connections_.erase(gone);
     }
 
 private:
-    /// The one used last: the others grow old and are closed, so that no more
-    /// are kept than are needed.
+    /// Returns the most recently used idle connection. Connections that are not
+    /// needed stay unused, expire and are closed.
     std::shared_ptr<connection> take_idle(backend_address const& to,
                                           std::chrono::milliseconds max_idle)
     {
@@ -497,7 +504,7 @@
 
     asio::io_context& io_;
     std::map<backend_address, std::vector<std::shared_ptr<connection>>> idle_;
-    std::map<connection const*, std::shared_ptr<connection>> open_;
+    std::map<connection const*, std::shared_ptr<connection>> connections_;
     std::uint64_t opened_ = 0;
 };
 
--- a/src/baseline_policies.cpp
+++ b/src/baseline_policies.cpp
@@ -7,12 +7,14 @@
 namespace
 {
 
-constexpr double most_load_at_home = 1.25;
-constexpr std::size_t homes_tried = 8;
-
-worker_view const* usable(cluster_view const& view, worker_id const& id,
-                          base_model_id const& model,
-                          std::set<worker_id> const& excluded)
+constexpr double max_home_load = 1.25;
+constexpr std::size_t max_homes_tried = 8;
+
+/// Null unless the worker is usable, serves the base model and is not
+/// excluded.
+worker_view const* find_usable(cluster_view const& view, worker_id const& id,
+                               base_model_id const& model,
+                               std::set<worker_id> const& excluded)
 {
     worker_view const* worker = view.find(id);
     if (worker == nullptr || !worker->usable || worker->base_model != model)
@@ -34,9 +36,9 @@
 } // namespace
 
 std::optional<adapter_ref>
-baseline_policy::victim(worker_view const&, adapter_ref const&,
-                        std::vector<resident_view> const& candidates,
-                        time_point)
+baseline_policy::choose_victim(worker_view const&, adapter_ref const&,
+                               std::vector<resident_view> const& candidates,
+                               time_point)
 {
     auto const oldest = std::min_element(
         candidates.begin(), candidates.end(),
@@ -46,18 +48,19 @@
 }
 
 std::optional<std::size_t>
-baseline_policy::next(worker_view const&, std::vector<waiting_request> const&,
-                      time_point)
+baseline_policy::choose_next(worker_view const&,
+                             std::vector<waiting_request> const&, time_point)
 {
     return 0;
 }
 
-std::vector<adapter_ref> baseline_policy::ahead(worker_view const& worker,
-                                                cluster_view const&, time_point)
+std::vector<adapter_ref>
+baseline_policy::adapters_to_preload(worker_view const& worker,
+                                     cluster_view const&, time_point)
 {
     std::vector<adapter_ref> wanted;
-    auto const at = ready_.by_worker.find(worker.id);
-    if (at == ready_.by_worker.end())
+    auto const at = ready_placement_.by_worker.find(worker.id);
+    if (at == ready_placement_.by_worker.end())
         return wanted;
     std::size_t free = worker.adapter_slots;
     free -= std::min(free, worker.residents.size());
@@ -72,36 +75,35 @@
 void baseline_policy::configure(declaration const& configuration)
 {
     ring_ = worker_ring(configuration);
-    ready_ = place_ready(configuration);
+    ready_placement_ = place_ready(configuration);
 }
 
-std::optional<worker_id>
-least_loaded_policy::choose(model_request const& request,
-                            cluster_view const& view,
-                            std::set<worker_id> const& excluded, time_point)
+std::optional<worker_id> least_loaded_policy::choose_worker(
+    model_request const& request, cluster_view const& view,
+    std::set<worker_id> const& excluded, time_point)
 {
     return least_loaded_of(request, view, excluded);
 }
 
-std::optional<worker_id>
-consistent_hash_policy::choose(model_request const& request,
-                               cluster_view const& view,
-                               std::set<worker_id> const& excluded, time_point)
+std::optional<worker_id> consistent_hash_policy::choose_worker(
+    model_request const& request, cluster_view const& view,
+    std::set<worker_id> const& excluded, time_point)
 {
     for (worker_id const& home :
-         ring().homes(request.base_model, request.adapter, homes_tried))
+         ring().homes(request.base_model, request.adapter, max_homes_tried))
     {
         worker_view const* worker =
-            usable(view, home, request.base_model, excluded);
-        if (worker != nullptr && worker->load() < most_load_at_home)
+            find_usable(view, home, request.base_model, excluded);
+        if (worker != nullptr && worker->load() < max_home_load)
             return home;
     }
     return least_loaded_of(request, view, excluded);
 }
 
 std::optional<worker_id>
-random_policy::choose(model_request const& request, cluster_view const& view,
-                      std::set<worker_id> const& excluded, time_point)
+random_policy::choose_worker(model_request const& request,
+                             cluster_view const& view,
+                             std::set<worker_id> const& excluded, time_point)
 {
     auto const& workers = ring().workers(request.base_model);
     if (workers.empty())
@@ -110,15 +112,16 @@
     for (std::size_t i = 0; i < workers.size(); ++i)
     {
         worker_id const& id = workers[(start + i) % workers.size()];
-        if (usable(view, id, request.base_model, excluded) != nullptr)
+        if (find_usable(view, id, request.base_model, excluded) != nullptr)
             return id;
     }
     return least_loaded_of(request, view, excluded);
 }
 
 std::optional<adapter_ref>
-random_policy::victim(worker_view const&, adapter_ref const&,
-                      std::vector<resident_view> const& candidates, time_point)
+random_policy::choose_victim(worker_view const&, adapter_ref const&,
+                             std::vector<resident_view> const& candidates,
+                             time_point)
 {
     return candidates[random_() % candidates.size()].adapter;
 }
--- a/src/bounded_ring.hpp
+++ b/src/bounded_ring.hpp
@@ -1,4 +1,4 @@
-/// A bounded ring between threads: many producers, one consumer.
+/// A bounded queue in a ring buffer: many producers, one consumer.
 #ifndef MULBERRY_BOUNDED_RING_HPP
 #define MULBERRY_BOUNDED_RING_HPP
 
@@ -13,8 +13,9 @@
 namespace mulberry
 {
 
-/// Joins the threads of two duties. Every member but pop() may be called from
-/// any thread; pop() by one thread only.
+/// Passes values from producer threads to one consumer thread. Thread safety:
+/// any thread may call every member except pop(), which only one thread may
+/// call.
 template <class T>
 class bounded_ring
 {
@@ -24,8 +25,8 @@
     bounded_ring(bounded_ring const&) = delete;
     bounded_ring& operator=(bounded_ring const&) = delete;
 
-    /// False, with the value dropped, when the ring is full or closed. Never
-    /// waits for the consumer.
+    /// Adds a value without waiting for the consumer. Returns false and drops
+    /// the value if the ring is full or closed.
     bool try_push(T value)
     {
         {
@@ -35,64 +36,68 @@
             slots_[(first_ + size_) % slots_.size()] = std::move(value);
             ++size_;
         }
-        changed_.notify_one();
+        consumer_wakeup_.notify_one();
         return true;
     }
 
-    /// Waits for room. False, with the value dropped, when the ring is closed.
-    /// Precondition: not called by the consumer, which would wait for itself.
+    /// Adds a value, waiting while the ring is full. Returns false and drops
+    /// the value if the ring is closed. Precondition: not called by the
+    /// consumer, which would deadlock on a full ring.
     bool push(T value)
     {
         {
             std::unique_lock lock(mutex_);
-            room_.wait(lock,
-                       [this] { return closed_ || size_ < slots_.size(); });
+            not_full_.wait(lock,
+                           [this] { return closed_ || size_ < slots_.size(); });
             if (closed_)
                 return false;
             slots_[(first_ + size_) % slots_.size()] = std::move(value);
             ++size_;
         }
-        changed_.notify_one();
+        consumer_wakeup_.notify_one();
         return true;
     }
 
-    /// The oldest value. Nothing at the deadline, after wake(), and when the
-    /// ring is closed and empty.
+    /// Removes and returns the oldest value, waiting while the ring is empty.
+    /// Returns nullopt if the ring is still empty at the deadline, after
+    /// wake(), or when the ring is closed.
     std::optional<T> pop(std::chrono::steady_clock::time_point deadline)
     {
         std::unique_lock lock(mutex_);
-        changed_.wait_until(lock, deadline,
-                            [this] { return size_ > 0 || woken_ || closed_; });
-        woken_ = false;
+        consumer_wakeup_.wait_until(
+            lock, deadline,
+            [this] { return size_ > 0 || wake_requested_ || closed_; });
+        wake_requested_ = false;
         if (size_ == 0)
             return std::nullopt;
         std::optional<T> value = std::exchange(slots_[first_], std::nullopt);
         first_ = (first_ + 1) % slots_.size();
         --size_;
         lock.unlock();
-        room_.notify_one();
+        not_full_.notify_one();
         return value;
     }
 
-    /// Ends the wait of pop(), or of the next one if none waits now.
+    /// Ends the wait of the current call of pop(), or of the next call if none
+    /// is waiting.
     void wake()
     {
         {
             std::lock_guard const lock(mutex_);
-            woken_ = true;
+            wake_requested_ = true;
         }
-        changed_.notify_one();
+        consumer_wakeup_.notify_one();
     }
 
-    /// Takes no more values; those in the ring can still be popped.
+    /// Rejects further values; values in the ring can still be popped.
     void close()
     {
         {
             std::lock_guard const lock(mutex_);
             closed_ = true;
         }
-        changed_.notify_one();
-        room_.notify_all();
+        consumer_wakeup_.notify_one();
+        not_full_.notify_all();
     }
 
     bool closed() const
@@ -109,12 +114,12 @@
 
 private:
     mutable std::mutex mutex_;
-    std::condition_variable changed_;
-    std::condition_variable room_;
+    std::condition_variable consumer_wakeup_;
+    std::condition_variable not_full_;
     std::vector<std::optional<T>> slots_;
     std::size_t first_ = 0;
     std::size_t size_ = 0;
-    bool woken_ = false;
+    bool wake_requested_ = false;
     bool closed_ = false;
 };
 
--- a/src/claim_store.hpp
+++ b/src/claim_store.hpp
@@ -1,5 +1,5 @@
-/// The table work of this VM's claims: one row a call that may not be
-/// repeated, from the claim before the call to its end.
+/// Reads and writes the claims of this VM in the table: one row per call that
+/// must not be repeated, from the claim before the call to its outcome.
 #ifndef MULBERRY_CLAIM_STORE_HPP
 #define MULBERRY_CLAIM_STORE_HPP
 
@@ -21,37 +21,41 @@
 namespace mulberry
 {
 
-/// What a reply of the table says of a claim.
-struct claim_verdict
+/// What a reply of the table says about a claim.
+struct claim_result
 {
-    enum class what
+    enum class status_code
     {
-        /// Our claim is recorded.
-        ours,
+        /// The claim of this VM is recorded.
+        acquired,
         /// The row belongs to another request: see `row`.
-        held,
-        /// The table did not answer; the same transaction is sent again.
+        held_by_other,
+        /// The table did not answer or refused the write; the same transaction
+        /// is sent again.
         uncertain,
-        /// The bound of tries is over, and nothing is certain.
-        exhausted,
-        /// Our claim was recorded and another VM closed it, taking this
-        /// process for dead.
-        closed,
-        /// The row holds no text of ours.
+        /// The limit of unanswered tries is reached, and whether the claim is
+        /// recorded is not known.
+        retries_exhausted,
+        /// The claim of this VM was recorded, and another VM then closed it
+        /// because it considered this process dead.
+        closed_by_other,
+        /// The value of the row is not a valid claim.
         unreadable
     };
     request_id request;
-    what found = what::uncertain;
+    status_code status = status_code::uncertain;
     std::optional<claim_row> row;
     row_version version;
 };
 
-/// Claims are never deleted here: a key is protected for as long as its row
-/// stands, and a sweep that deletes old rows decides how long that is.
+/// Makes claims and writes their outcomes. Claims are never deleted here: a
+/// key is protected for as long as its row exists, which a separate sweep of
+/// old rows decides.
+///
+/// A transaction whose answer was lost is sent again unchanged. This is safe
+/// because each transaction is conditional on the previous version of the row:
+/// at most one of the copies takes effect, however late a copy arrives.
 ///
-/// Transactions that lost their answer are sent again as they were. That is
-/// safe since each is conditional on the version that the row had before: at
-/// most one of the copies takes effect, however late one lands.
 /// Thread safety: none; owned by service_caller.
 class claim_store
 {
@@ -59,116 +63,131 @@
     claim_store(id_source& ids, duration table_timeout,
                 std::size_t inline_answer_bytes, std::uint64_t seed);
 
-    /// Starts claiming `key` with `row` (stage claimed), until `deadline`.
-    /// Precondition: no claim of that request is open.
-    void open(request_id const& request, std::string key, claim_row row,
-              time_point deadline, time_point now, action_list& actions);
-    /// Writes the end of the claim until that is certain. A later end replaces
-    /// an earlier one. For `not_run`: no call was made and none will be.
-    void end(request_id const& request, claim_stage stage,
-             std::optional<service_answer> answer, time_point now,
-             action_list& actions);
-    /// Forgets a claim that is known not to be recorded, or whose end is.
+    /// Starts claiming `key` with `row` (stage `claimed`) and tries until
+    /// `deadline`.
+    ///
+    /// Precondition: there is no claim of that request.
+    void start_claim(request_id const& request, std::string key, claim_row row,
+                     time_point deadline, time_point now, action_list& actions);
+    /// Writes the outcome of the claim and repeats the write until the table
+    /// is known to hold it. A later outcome replaces an earlier one. `not_run`
+    /// means that no call was made and none will be made. Does nothing if
+    /// there is no claim of that request.
+    void record_outcome(request_id const& request, claim_stage stage,
+                        std::optional<service_answer> answer, time_point now,
+                        action_list& actions);
+    /// Removes a claim that is known not to be recorded or whose outcome is
+    /// recorded.
     void forget(request_id const& request);
 
-    bool open(request_id const& request) const;
-    /// Whether an end was given and the table is known to hold it.
-    bool settled(request_id const& request) const;
-    std::size_t unwritten() const { return unwritten_; }
+    bool has_claim(request_id const& request) const;
+    /// Returns whether an outcome was given and the table is known to hold it,
+    /// or is known not to hold the claim.
+    bool outcome_recorded(request_id const& request) const;
+    std::size_t unwritten_outcomes() const { return unwritten_outcomes_; }
     std::size_t size() const { return claims_.size(); }
 
+    /// Returns whether a reply to this operation is expected here.
     bool knows(operation_id operation) const;
-    /// A verdict when the claim is still being made; the request's name alone
-    /// matters when its end is being written.
-    std::optional<claim_verdict> on_table(table_reply const& reply,
-                                          time_point now, action_list& actions);
-    /// The request whose body was stored, if any.
+    /// Handles a reply of the table and returns its result, if the caller
+    /// needs to act on it. If an outcome is set, only `request` of the result
+    /// is meaningful.
+    std::optional<claim_result> on_table(table_reply const& reply,
+                                         time_point now, action_list& actions);
+    /// Handles a reply of the object store. Returns the request whose answer
+    /// body was being stored, if any.
     std::optional<request_id> on_object(object_reply const& reply,
                                         time_point now, action_list& actions);
-    /// Sends what is due. Returns when an operation that never got a reply was
-    /// counted as unreachable; to be called until it returns nothing.
-    std::optional<claim_verdict> tick(time_point now, action_list& actions);
+    /// Sends the operations that are due. Returns a result when an operation
+    /// whose reply is overdue was handled as unreachable; must be called until
+    /// it returns nothing.
+    std::optional<claim_result> tick(time_point now, action_list& actions);
 
 private:
-    enum class step
+    enum class operation_kind
     {
         idle,
         claiming,
-        storing,
-        writing
+        storing_body,
+        writing_outcome
     };
-    struct wanted_end
+    struct claim_outcome
     {
         claim_stage stage = claim_stage::not_run;
-        std::optional<kept_answer> answer;
-        /// The body on its way to the object store.
+        std::optional<stored_answer> answer;
+        /// The body while it has to be stored in the object store; otherwise
+        /// null.
         std::shared_ptr<std::string const> body;
     };
     struct claim
     {
         std::string key;
         claim_row row;
-        /// What the next write is conditional on.
+        /// The row version on which the next write is conditional.
         row_version condition;
         time_point deadline;
-        step busy = step::idle;
+        operation_kind in_flight = operation_kind::idle;
         operation_id operation;
         time_point reply_due = never;
         time_point retry_due = never;
         int tries = 0;
-        int unanswered = 0;
-        /// A claim that is not certain to have failed may stand in the table,
-        /// or may land there later.
-        bool may_land = false;
-        std::optional<wanted_end> end;
-        /// The end that the write under way carries.
-        claim_stage writing = claim_stage::claimed;
-        bool settled = false;
+        int unanswered_tries = 0;
+        /// Whether the claim may be recorded in the table or may still take
+        /// effect there.
+        bool may_take_effect = false;
+        std::optional<claim_outcome> outcome;
+        /// The stage carried by the outcome write in flight.
+        claim_stage stage_in_flight = claim_stage::claimed;
+        bool outcome_recorded = false;
     };
     using claim_map = std::unordered_map<request_id, claim>;
 
     void send_claim(claim_map::value_type& entry, time_point now,
                     action_list& actions);
-    void send_end(claim_map::value_type& entry, time_point now,
-                  action_list& actions);
+    void send_outcome(claim_map::value_type& entry, time_point now,
+                      action_list& actions);
     void send_body(claim_map::value_type& entry, time_point now,
                    action_list& actions);
-    void begin(claim_map::value_type& entry, step what, time_point due);
-    void finish_operation(claim_map::value_type& entry);
+    void start_operation(claim_map::value_type& entry, operation_kind what,
+                         time_point due);
+    void end_operation(claim_map::value_type& entry);
     void schedule(claim_map::value_type const& entry);
-    void retry(claim_map::value_type& entry, time_point now);
-    void settle(claim_map::value_type& entry);
-    std::optional<claim_verdict> apply(claim_map::value_type& entry,
-                                       table_reply const& reply, time_point now,
-                                       action_list& actions);
-    std::optional<claim_verdict> on_claim_reply(claim_map::value_type& entry,
-                                                table_reply const& reply,
-                                                time_point now,
-                                                action_list& actions);
-    std::optional<claim_verdict> on_claim_conflict(claim_map::value_type& entry,
-                                                   table_reply const& reply,
-                                                   time_point now,
-                                                   action_list& actions);
+    void schedule_retry(claim_map::value_type& entry, time_point now);
+    void mark_recorded(claim_map::value_type& entry);
+    std::optional<claim_result> on_reply(claim_map::value_type& entry,
+                                         table_reply const& reply,
+                                         time_point now, action_list& actions);
+    std::optional<claim_result> on_claim_reply(claim_map::value_type& entry,
+                                               table_reply const& reply,
+                                               time_point now,
+                                               action_list& actions);
+    std::optional<claim_result> on_claim_conflict(claim_map::value_type& entry,
+                                                  table_reply const& reply,
+                                                  time_point now,
+                                                  action_list& actions);
     void on_abandoned_claim_reply(claim_map::value_type& entry,
                                   table_reply const& reply, time_point now,
                                   action_list& actions);
-    void on_end_reply(claim_map::value_type& entry, table_reply const& reply,
-                      time_point now, action_list& actions);
-    void on_end_conflict(claim_map::value_type& entry, table_reply const& reply,
-                         time_point now, action_list& actions);
-    void resume(claim_map::value_type& entry, time_point now,
-                action_list& actions);
+    void on_outcome_reply(claim_map::value_type& entry,
+                          table_reply const& reply, time_point now,
+                          action_list& actions);
+    void on_outcome_conflict(claim_map::value_type& entry,
+                             table_reply const& reply, time_point now,
+                             action_list& actions);
+    void send_next(claim_map::value_type& entry, time_point now,
+                   action_list& actions);
 
     id_source& ids_;
     duration table_timeout_;
     std::size_t inline_answer_bytes_;
-    /// For its jitter only: tries are bounded by count and deadline here.
+    /// Used only for its backoff with jitter; tries are limited by count and
+    /// deadline.
     retry_budget jitter_;
     write_pacer pacer_;
     claim_map claims_;
     std::unordered_map<operation_id, request_id> operations_;
     due_index<request_id> due_;
-    std::size_t unwritten_ = 0;
+    std::size_t unwritten_outcomes_ = 0;
 };
 
 } // namespace mulberry
--- a/src/cluster_view.cpp
+++ b/src/cluster_view.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-/// A request that this VM sent and that the worker's view may not show yet.
-struct sent_note
+/// A request that this VM sent and that the worker's view may not include yet.
+struct sent_request
 {
     adapter_ref adapter;
     std::uint64_t prefix_key = 0;
@@ -22,12 +22,13 @@
 struct entry
 {
     worker_view view;
-    /// The place under which the indexes hold it.
+    /// The load by which the indexes sort the worker. Must not change while
+    /// the worker is indexed.
     double load = 0;
-    /// Breaks ties between equal loads alike on every VM, without comparing
-    /// names at each step of a descent.
-    std::uint64_t tie = 0;
-    std::vector<sent_note> sent;
+    /// Orders workers of equal load the same way on every VM, without
+    /// comparing ids at each step of a tree lookup.
+    std::uint64_t tie_break = 0;
+    std::vector<sent_request> sent;
 };
 
 struct by_load
@@ -36,8 +37,8 @@
     {
         if (left->load != right->load)
             return left->load < right->load;
-        if (left->tie != right->tie)
-            return left->tie < right->tie;
+        if (left->tie_break != right->tie_break)
+            return left->tie_break < right->tie_break;
         return left->view.id < right->view.id;
     }
 };
@@ -45,33 +46,33 @@
 using load_order = std::set<entry*, by_load>;
 using view_list = std::vector<worker_view const*>;
 
-constexpr double no_room = 1.0;
+constexpr double full_load = 1.0;
 
 bool routable(resident_view const& resident)
 {
     return resident.state != resident_state::evicting;
 }
 
-view_list first_of(load_order const& order, std::size_t most)
+view_list first_of(load_order const& order, std::size_t max_count)
 {
     view_list found;
-    found.reserve(std::min(most, order.size()));
+    found.reserve(std::min(max_count, order.size()));
     for (entry const* at : order)
     {
-        if (found.size() == most)
+        if (found.size() == max_count)
             break;
         found.push_back(&at->view);
     }
     return found;
 }
 
-view_list fullest_of(load_order const& order, std::size_t most)
+view_list fullest_of(load_order const& order, std::size_t max_count)
 {
     entry bound;
-    bound.load = no_room;
+    bound.load = full_load;
     view_list found;
     auto at = order.lower_bound(&bound);
-    while (at != order.begin() && found.size() < most)
+    while (at != order.begin() && found.size() < max_count)
     {
         --at;
         found.push_back(&(*at)->view);
@@ -84,8 +85,9 @@
     for (resident_view& resident : view.residents)
         if (resident.adapter == adapter)
             return resident;
-    // The request makes the worker load it: the next request for the same
-    // adapter should join it there and not start a second load elsewhere.
+    // The request makes the worker load the adapter. The next request for the
+    // same adapter should be sent to the same worker instead of starting a
+    // second load elsewhere.
     resident_view loading;
     loading.adapter = adapter;
     loading.state = resident_state::loading;
@@ -93,12 +95,12 @@
     return view.residents.back();
 }
 
-void apply(worker_view& view, sent_note const& note)
+void apply(worker_view& view, sent_request const& sent)
 {
     ++view.queued;
-    ++resident_for(view, note.adapter).queued;
-    if (note.prefix_key != 0)
-        view.cached_prefixes.insert(note.prefix_key);
+    ++resident_for(view, sent.adapter).queued;
+    if (sent.prefix_key != 0)
+        view.cached_prefixes.insert(sent.prefix_key);
 }
 
 } // namespace
@@ -106,8 +108,8 @@
 resident_view const* worker_view::find(adapter_ref const& adapter) const
 {
     auto const at = std::find_if(residents.begin(), residents.end(),
-                                 [&](resident_view const& one)
-                                 { return one.adapter == adapter; });
+                                 [&](resident_view const& resident)
+                                 { return resident.adapter == adapter; });
     return at == residents.end() ? nullptr : &*at;
 }
 
@@ -126,13 +128,14 @@
     return queued - std::min(queued, placed);
 }
 
-bool worker_view::takes_in() const
+bool worker_view::can_accept_adapter() const
 {
     if (residents.size() < adapter_slots)
         return true;
-    return evicts && std::any_of(residents.begin(), residents.end(),
-                                 [](resident_view const& resident)
-                                 { return !resident.suspected; });
+    return can_evict &&
+           std::any_of(residents.begin(), residents.end(),
+                       [](resident_view const& resident)
+                       { return !resident.pinned_by_previous_owner; });
 }
 
 class cluster_view::implementation
@@ -142,11 +145,11 @@
     {
         entry& at = entry_of(view.id);
         unindex(at);
-        std::erase_if(at.sent, [&](sent_note const& note)
-                      { return note.sent_at <= view.as_of; });
+        std::erase_if(at.sent, [&](sent_request const& sent)
+                      { return sent.sent_at <= view.as_of; });
         at.view = std::move(view);
-        for (sent_note const& note : at.sent)
-            apply(at.view, note);
+        for (sent_request const& sent : at.sent)
+            apply(at.view, sent);
         index(at);
     }
 
@@ -159,15 +162,15 @@
         workers_.erase(at);
     }
 
-    void add_sent(worker_id const& id, sent_note note)
+    void add_sent(worker_id const& id, sent_request sent)
     {
         auto const at = workers_.find(id);
         if (at == workers_.end())
             return;
         unindex(at->second);
-        apply(at->second.view, note);
-        if (note.sent_at > at->second.view.as_of)
-            at->second.sent.push_back(std::move(note));
+        apply(at->second.view, sent);
+        if (sent.sent_at > at->second.view.as_of)
+            at->second.sent.push_back(std::move(sent));
         index(at->second);
     }
 
@@ -188,13 +191,13 @@
     load_order const& holders(adapter_ref const& adapter) const
     {
         auto const at = by_adapter_.find(adapter);
-        return at == by_adapter_.end() ? none_ : at->second;
+        return at == by_adapter_.end() ? no_workers_ : at->second;
     }
 
     load_order const& of_model(base_model_id const& model) const
     {
         auto const at = by_model_.find(model);
-        return at == by_model_.end() ? none_ : at->second;
+        return at == by_model_.end() ? no_workers_ : at->second;
     }
 
     view_list all() const
@@ -215,7 +218,7 @@
         auto const [at, added] = workers_.try_emplace(id);
         if (added)
         {
-            at->second.tie = stable_hash(id.str());
+            at->second.tie_break = stable_hash(id.str());
             at->second.view.id = id;
             at->second.view.usable = false;
         }
@@ -262,7 +265,7 @@
     std::unordered_map<worker_id, entry> workers_;
     std::unordered_map<base_model_id, load_order> by_model_;
     std::unordered_map<adapter_ref, load_order> by_adapter_;
-    load_order none_;
+    load_order no_workers_;
     std::unordered_map<base_model_id, std::size_t> in_progress_;
     std::size_t stalled_ = 0;
 };
@@ -289,7 +292,7 @@
 void cluster_view::add_sent(worker_id const& id, adapter_ref const& adapter,
                             std::uint64_t prefix_key, time_point sent_at)
 {
-    implementation_->add_sent(id, sent_note{adapter, prefix_key, sent_at});
+    implementation_->add_sent(id, sent_request{adapter, prefix_key, sent_at});
 }
 
 worker_view const* cluster_view::find(worker_id const& id) const
@@ -310,30 +313,31 @@
 }
 
 std::vector<worker_view const*>
-cluster_view::least_loaded(base_model_id const& model, std::size_t most) const
+cluster_view::least_loaded(base_model_id const& model,
+                           std::size_t max_count) const
 {
-    return first_of(implementation_->of_model(model), most);
+    return first_of(implementation_->of_model(model), max_count);
 }
 
 std::vector<worker_view const*>
 cluster_view::fullest_with_room(base_model_id const& model,
-                                std::size_t most) const
+                                std::size_t max_count) const
 {
-    return fullest_of(implementation_->of_model(model), most);
+    return fullest_of(implementation_->of_model(model), max_count);
 }
 
 std::vector<worker_view const*>
 cluster_view::least_loaded_holders(adapter_ref const& adapter,
-                                   std::size_t most) const
+                                   std::size_t max_count) const
 {
-    return first_of(implementation_->holders(adapter), most);
+    return first_of(implementation_->holders(adapter), max_count);
 }
 
 std::vector<worker_view const*>
 cluster_view::fullest_holders_with_room(adapter_ref const& adapter,
-                                        std::size_t most) const
+                                        std::size_t max_count) const
 {
-    return fullest_of(implementation_->holders(adapter), most);
+    return fullest_of(implementation_->holders(adapter), max_count);
 }
 
 std::size_t cluster_view::holder_count(adapter_ref const& adapter) const
--- a/src/configuration_peers.hpp
+++ b/src/configuration_peers.hpp
@@ -1,4 +1,5 @@
-/// The members that promises are asked of, as this VM's rows last told them.
+/// The member VMs that are asked for promises, as of the rows that this VM last
+/// read.
 #ifndef MULBERRY_CONFIGURATION_PEERS_HPP
 #define MULBERRY_CONFIGURATION_PEERS_HPP
 
@@ -22,51 +23,57 @@
     explicit configuration_peers(vm_id self) : self_(std::move(self)) {}
 
     void set_members(std::vector<std::pair<vm_id, incarnation>> const& members,
-                     incarnation own_life)
+                     incarnation own_incarnation)
     {
-        own_life_ = own_life;
+        own_incarnation_ = own_incarnation;
         members_.clear();
-        lives_.clear();
-        for (auto const& [vm, life] : members)
-            if (lives_.emplace(vm, life).second)
+        incarnations_.clear();
+        for (auto const& [vm, incarnation_number] : members)
+            if (incarnations_.emplace(vm, incarnation_number).second)
                 members_.push_back(vm);
     }
 
     vm_id const& self() const { return self_; }
-    incarnation own_life() const { return own_life_; }
+    incarnation own_incarnation() const { return own_incarnation_; }
     std::vector<vm_id> const& members() const { return members_; }
 
-    /// Whether this VM is a member; only then does it give or ask promises.
-    bool joined() const { return !own_life_.none() && lives_.contains(self_); }
+    /// Whether this VM is a member. Only members give and request promises.
+    bool is_registered() const
+    {
+        return !own_incarnation_.none() && incarnations_.contains(self_);
+    }
 
-    /// Whether the answer comes from that member's present life.
-    bool is_member(vm_id const& vm, incarnation life) const
+    /// Whether `vm` is a member whose current incarnation is the given one.
+    bool is_member(vm_id const& vm, incarnation incarnation_number) const
     {
-        auto const found = lives_.find(vm);
-        return found != lives_.end() && found->second == life;
+        auto const found = incarnations_.find(vm);
+        return found != incarnations_.end() &&
+               found->second == incarnation_number;
     }
 
-    /// Unique over this VM's lives: else a late answer to a former life's
-    /// question would count from the moment this life asked another.
-    std::uint64_t next_question()
+    /// Unique over all incarnations of this VM. Otherwise a late answer to a
+    /// question of a previous incarnation would be taken for an answer to a
+    /// later question and count from the time at which that one was sent.
+    std::uint64_t next_question_number()
     {
-        constexpr unsigned life_shift = 32;
-        return (own_life_.value() << life_shift) + ++questions_;
+        constexpr unsigned incarnation_shift = 32;
+        return (own_incarnation_.value() << incarnation_shift) +
+               ++question_count_;
     }
 
-    void tell_all(peer_message const& message, action_list& actions) const
+    void broadcast(peer_message const& message, action_list& actions) const
     {
         for (vm_id const& member : members_)
             if (member != self_)
-                actions.emplace_back(tell_peer{member, message});
+                actions.emplace_back(send_peer_message{member, message});
     }
 
 private:
     vm_id self_;
-    incarnation own_life_;
+    incarnation own_incarnation_;
     std::vector<vm_id> members_;
-    std::map<vm_id, incarnation> lives_;
-    std::uint64_t questions_ = 0;
+    std::map<vm_id, incarnation> incarnations_;
+    std::uint64_t question_count_ = 0;
 };
 
 } // namespace mulberry
--- a/src/confirm_run.hpp
+++ b/src/confirm_run.hpp
@@ -1,4 +1,4 @@
-/// One confirm, from reading the row to a certain outcome.
+/// One confirm, from reading the row until its outcome is known.
 #ifndef MULBERRY_CONFIRM_RUN_HPP
 #define MULBERRY_CONFIRM_RUN_HPP
 
@@ -18,8 +18,9 @@
 namespace mulberry
 {
 
-/// What a confirm uses of its VM's keeper; outlives the run.
-struct confirm_surroundings
+/// Parts of the VM's configuration_keeper that a confirm uses. They outlive the
+/// confirm_run.
+struct confirm_context
 {
     configuration_settings const& settings;
     promise_rules const& rules;
@@ -30,33 +31,35 @@
     configuration_reader& reader;
 };
 
-/// What an operator wants confirmed.
-struct confirm_order
+/// A change that an operator asked to confirm.
+struct confirm_request
 {
     std::uint64_t ticket = 0;
     config_version base;
     std::string digest;
     std::shared_ptr<std::string const> text;
-    /// Unique; marks the write as this run's.
+    /// Unique; identifies the write of this run.
     std::string token;
 };
 
-/// Steps: read the row; store the object; gather promises; write, conditional
-/// on the row's version. After a write whose outcome is unknown: read back
-/// under the token; when the row still is as before the write, which may then
-/// yet land, write it anew unchanged, so that the late write's condition can
-/// never hold. Promises are gathered last, so that others are held up for the
-/// shortest time.
+/// Steps: read the row, store the object, gather promises, write the row on
+/// condition of its version. After a write whose outcome is unknown, the row is
+/// read and its token compared. If the row is unchanged, the write may still
+/// take effect; the row is then rewritten with the same text, which changes its
+/// version, so that the late write's condition can never be satisfied. Promises
+/// are gathered last, so that other VMs are bound by them as briefly as
+/// possible.
 ///
-/// The operator is told success only while the promises hold. A write seen
-/// too late for that is told after another majority has promised: each of
-/// these VMs goes on without the table only once it has read the row again.
+/// Success is reported to the operator only while the promises hold. If the
+/// write is seen too late, success is reported after a majority has promised
+/// again: each of these VMs continues without the table only after it has read
+/// the row again.
 ///
 /// Thread safety: none; part of a configuration_keeper.
 class confirm_run
 {
 public:
-    confirm_run(confirm_order order, confirm_surroundings around);
+    confirm_run(confirm_request request, confirm_context context);
 
     void begin(time_point now, action_list& actions);
     void tick(time_point now, action_list& actions);
@@ -65,16 +68,17 @@
                   action_list& actions);
     void on_object(object_reply const& reply, time_point now,
                    action_list& actions);
-    /// Answers to other runs' questions are ignored.
+    /// Ignores answers to questions of other runs.
     void on_answer(vm_id const& from, confirm_answer const& answer,
                    time_point now, action_list& actions);
 
-    /// The operator's answer, once. `plan_outdated` leaves `current` open.
+    /// The result for the operator, returned once. `current` is not set, not
+    /// even for plan_outdated.
     std::optional<confirm_settled> take_settled();
-    /// For plan_outdated: the version found in the row.
-    config_version found() const { return row_.version; }
-    /// Whether nothing is left to do or to find out.
-    bool over() const { return step_ == step::over; }
+    /// For plan_outdated: the version read from the row.
+    config_version found_version() const { return row_.version; }
+    /// Whether the outcome is known and nothing is left to do.
+    bool is_finished() const { return step_ == step::finished; }
 
 private:
     enum class step
@@ -83,52 +87,52 @@
         storing,
         gathering,
         writing,
-        fencing,
-        over
+        invalidating,
+        finished
     };
 
     void send(step next, table_transaction transaction, time_point deadline,
               time_point now, action_list& actions);
     void retry_later(time_point now);
     void read(time_point now, action_list& actions);
-    void decide(std::vector<table_row> const& rows, time_point now,
-                action_list& actions);
+    void on_row_read(std::vector<table_row> const& rows, time_point now,
+                     action_list& actions);
     void store(time_point now, action_list& actions);
-    void gather(time_point now, action_list& actions);
-    void ask(time_point now, action_list& actions);
-    void use_majority(time_point now, action_list& actions);
-    void gathered_too_few(time_point now, action_list& actions);
+    void gather_promises(time_point now, action_list& actions);
+    void request_promises(time_point now, action_list& actions);
+    void proceed_with_majority(time_point now, action_list& actions);
+    void on_gather_timeout(time_point now, action_list& actions);
     void write(time_point now, action_list& actions);
-    void fence(time_point now, action_list& actions);
+    void invalidate_write(time_point now, action_list& actions);
     void on_write(table_reply const& reply, time_point now,
                   action_list& actions);
-    void on_fence(table_reply const& reply, time_point now,
-                  action_list& actions);
-    void landed(time_point now, action_list& actions);
-    void time_out(action_list& actions);
+    void on_invalidated(table_reply const& reply, time_point now,
+                        action_list& actions);
+    void on_written(time_point now, action_list& actions);
+    void on_deadline(action_list& actions);
     void succeed();
     void refuse(error why, action_list& actions);
-    void settle(std::variant<config_version, error> result);
-    config_version wanted() const;
-    time_point promises_end() const;
+    void set_result(std::variant<config_version, error> result);
+    config_version target_version() const;
+    time_point majority_end() const;
 
-    confirm_order order_;
-    confirm_surroundings around_;
+    confirm_request request_;
+    confirm_context context_;
     collected_promises promises_;
     step step_ = step::reading;
     time_point deadline_{};
     operation_id operation_;
-    time_point operation_overdue_ = never;
+    time_point operation_expires_at_ = never;
     time_point retry_at_ = never;
-    time_point ask_again_ = never;
-    time_point gather_until_ = never;
+    time_point next_request_at_ = never;
+    time_point gather_deadline_ = never;
     /// The row as last read.
     configuration_row row_;
-    bool stored_ = false;
-    /// The row's version under which a write of unknown outcome was sent.
-    std::optional<row_version> written_under_;
-    bool landed_ = false;
-    bool told_ = false;
+    bool object_stored_ = false;
+    /// The row version that a write of unknown outcome has as its condition.
+    std::optional<row_version> pending_write_version_;
+    bool written_ = false;
+    bool answered_ = false;
     std::optional<confirm_settled> settled_;
 };
 
--- a/src/ctl_commands.cpp
+++ b/src/ctl_commands.cpp
@@ -22,7 +22,7 @@
 using namespace std::chrono_literals;
 
 constexpr auto poll_interval = 1s;
-constexpr Json::UInt64 events_a_call = 1000;
+constexpr Json::UInt64 events_per_call = 1000;
 
 Json::Value no_parameters()
 {
@@ -37,14 +37,14 @@
         throw file_failure(path + ": cannot be written");
 }
 
-ctl_exit show_faults(std::vector<text_fault> const& faults, std::ostream& err)
+ctl_exit print_faults(std::vector<text_fault> const& faults, std::ostream& err)
 {
     for (text_fault const& fault : faults)
         err << fault.str() << "\n";
     return ctl_exit::faults;
 }
 
-void keep_plan(ctl_options const& options, Json::Value const& answer,
+void save_plan(ctl_options const& options, Json::Value const& answer,
                std::ostream& err)
 {
     Json::Value const& plan = answer["plan"];
@@ -52,18 +52,19 @@
                write_plan_file({config_version(plan["base"].asUInt64()),
                                 plan["digest"].asString(),
                                 answer["declaration"].asString(), plan}));
-    err << "Nothing is changed yet. To put this plan in force:\n"
+    err << "Nothing has changed yet. To put this plan in force:\n"
         << "  mulberryctl confirm " << options.output << "\n";
 }
 
-// Faults are found here with their lines; the system sees only whole files.
+// The declaration is parsed here first, so that faults are reported with their
+// line numbers and only files without faults are sent to a VM.
 ctl_exit run_plan(ctl_options const& options, ctl_context const& context)
 {
     std::string const& file = options.arguments.front();
     std::string const text = read_file(file);
     auto const parsed = parse_declaration(text, file);
     if (auto const* faults = std::get_if<std::vector<text_fault>>(&parsed))
-        return show_faults(*faults, context.err);
+        return print_faults(*faults, context.err);
     Json::Value parameters(Json::objectValue);
     parameters["declaration"] = text;
     Json::Value const answer =
@@ -77,9 +78,9 @@
         return ctl_exit::refused;
     }
     if (!options.output.empty())
-        keep_plan(options, answer, context.err);
+        save_plan(options, answer, context.err);
     else
-        context.err << "Nothing is changed. Keep the plan with --output FILE "
+        context.err << "Nothing has changed. Save the plan with --output FILE "
                        "to confirm it.\n";
     return ctl_exit::ok;
 }
@@ -108,7 +109,7 @@
     if (options.json)
         context.out << pretty_json(answer);
     else if (version == 0)
-        context.err << "no configuration was confirmed yet\n";
+        context.err << "no configuration has been confirmed yet\n";
     else
     {
         json_document const document(text, "configuration");
@@ -127,8 +128,8 @@
     return ctl_exit::ok;
 }
 
-/// The state of a VM in an answer to `status`; empty when it is gone.
-std::string state_of(Json::Value const& status, std::string const& vm)
+/// The state of a VM in an answer to `status`; empty when the VM is not listed.
+std::string vm_state(Json::Value const& status, std::string const& vm)
 {
     for (Json::Value const& each : status["vms"])
         if (each["vm"] == vm)
@@ -153,7 +154,7 @@
         std::string state = "unknown";
         try
         {
-            state = state_of(read_status(context, true), vm);
+            state = vm_state(read_status(context, true), vm);
         }
         catch (operator_call_failure const& failure)
         {
@@ -170,11 +171,11 @@
                                    state, left.count());
         context.clock.sleep_until(context.clock.now() + poll_interval);
     }
-    context.err << vm << " has not left in time; it goes on leaving\n";
+    context.err << vm << " has not left in time; it is still leaving\n";
     return ctl_exit::outcome_unknown;
 }
 
-// Draining twice is the same as once, so it may be sent again.
+// Draining is idempotent, so the call may be sent again.
 ctl_exit run_drain(ctl_options const& options, ctl_context const& context)
 {
     Json::Value parameters(Json::objectValue);
@@ -191,38 +192,38 @@
     return ctl_exit::ok;
 }
 
-/// Reads the time line on from where it was last.
+/// Reads the timeline page by page; each read continues after the last one.
 class timeline_reader
 {
 public:
     explicit timeline_reader(operator_client& client) : client_(client) {}
 
-    /// The next events, none at the end.
+    /// The next events; empty when there are no newer ones.
     Json::Value next()
     {
         Json::Value parameters(Json::objectValue);
         parameters["after"] = cursor_;
-        parameters["limit"] = events_a_call;
+        parameters["limit"] = events_per_call;
         Json::Value answer =
             client_.call("timeline", parameters, resend::allowed);
         cursor_ = answer["cursor"].asString();
         return answer["events"];
     }
 
-    /// Reads to the end and returns the newest `most` events.
-    Json::Value newest(std::size_t most)
+    /// Reads to the end and returns the newest events, at most `max_events`.
+    Json::Value newest(std::size_t max_events)
     {
-        std::deque<Json::Value> kept;
+        std::deque<Json::Value> recent;
         Json::Value events = next();
         for (; !events.empty(); events = next())
             for (Json::Value const& event : events)
             {
-                kept.push_back(event);
-                if (kept.size() > most)
-                    kept.pop_front();
+                recent.push_back(event);
+                if (recent.size() > max_events)
+                    recent.pop_front();
             }
         Json::Value result(Json::arrayValue);
-        for (Json::Value& event : kept)
+        for (Json::Value& event : recent)
             result.append(std::move(event));
         return result;
     }
@@ -232,7 +233,7 @@
     std::string cursor_;
 };
 
-void show_events(Json::Value const& events, bool json, std::ostream& out)
+void print_events(Json::Value const& events, bool json, std::ostream& out)
 {
     if (!json)
         out << events_text(events);
@@ -244,13 +245,13 @@
 ctl_exit run_timeline(ctl_options const& options, ctl_context const& context)
 {
     timeline_reader reader(context.client);
-    show_events(reader.newest(options.limit), options.json, context.out);
+    print_events(reader.newest(options.limit), options.json, context.out);
     while (options.follow && context.out)
     {
         context.clock.sleep_until(context.clock.now() + poll_interval);
         try
         {
-            show_events(reader.next(), options.json, context.out);
+            print_events(reader.next(), options.json, context.out);
         }
         catch (operator_call_failure const& failure)
         {
@@ -274,20 +275,20 @@
     return table;
 }
 
-bool changes_something(std::string const& command)
+bool changes_deployment(std::string const& command)
 {
     return command == "confirm" || command == "drain";
 }
 
-ctl_exit exit_of(operator_call_failure const& failure,
-                 std::string const& command)
+ctl_exit exit_code_for(operator_call_failure const& failure,
+                       std::string const& command)
 {
     switch (failure.reason())
     {
     case operator_call_failure::kind::refused:
         return ctl_exit::refused;
     case operator_call_failure::kind::outcome_unknown:
-        if (changes_something(command))
+        if (changes_deployment(command))
             return ctl_exit::outcome_unknown;
         [[fallthrough]];
     default:
@@ -295,14 +296,14 @@
     }
 }
 
-std::string_view meaning_of(operator_call_failure const& failure)
+std::string_view failure_text(operator_call_failure const& failure)
 {
     switch (failure.reason())
     {
     case operator_call_failure::kind::unreachable:
         return "no VM can be reached";
     case operator_call_failure::kind::outcome_unknown:
-        return "no whole answer came";
+        return "no complete answer was received";
     default:
         return "refused";
     }
@@ -310,7 +311,7 @@
 
 void report(operator_call_failure const& failure, std::ostream& err)
 {
-    err << meaning_of(failure) << ": " << failure.what() << "\n";
+    err << failure_text(failure) << ": " << failure.what() << "\n";
     Json::Value const& data = failure.data();
     if (!data.isObject())
         return;
@@ -348,7 +349,7 @@
             failure.reason() == operator_call_failure::kind::refused)
             context.out << pretty_json(
                 refusal_json(failure.what(), failure.data()));
-        return exit_of(failure, options.command);
+        return exit_code_for(failure, options.command);
     }
     catch (file_failure const& failure)
     {
@@ -357,10 +358,9 @@
     }
     catch (Json::Exception const& failure)
     {
-        context.err << "the answer cannot be understood: " << failure.what()
-                    << "\n";
-        return changes_something(options.command) ? ctl_exit::outcome_unknown
-                                                  : ctl_exit::unreachable;
+        context.err << "the answer is malformed: " << failure.what() << "\n";
+        return changes_deployment(options.command) ? ctl_exit::outcome_unknown
+                                                   : ctl_exit::unreachable;
     }
 }
 
--- a/src/ctl_confirm.cpp
+++ b/src/ctl_confirm.cpp
@@ -18,8 +18,8 @@
 constexpr char const* unknown_outcome = "outcome_unknown";
 constexpr char const* outdated_plan = "plan_outdated";
 
-/// What is in force, as one VM tells it.
-struct confirmed
+/// The configuration in force according to one VM.
+struct confirmed_configuration
 {
     std::uint64_t version = 0;
     std::string digest;
@@ -34,8 +34,9 @@
     return parameters;
 }
 
-// The VM that was asked may itself have lost the table's answer: its error
-// then says that the write may have taken effect.
+// True if the answer of the VM was lost, and also if the VM itself lost the
+// answer of the table: its error then says that the write may have taken
+// effect.
 bool may_have_run(operator_call_failure const& failure)
 {
     if (failure.reason() == operator_call_failure::kind::outcome_unknown)
@@ -62,7 +63,7 @@
         {
             Json::Value const result = context_.client.call(
                 "confirm", confirm_parameters(plan_), resend::never);
-            return in_force(result["version"].asUInt64(), "");
+            return report_in_force(result["version"].asUInt64(), "");
         }
         catch (operator_call_failure const& failure)
         {
@@ -75,8 +76,9 @@
     }
 
 private:
-    // A VM may answer from before the change, so "still the old version" is
-    // no proof and is asked again; a newer version is proof.
+    // A VM may answer with a stale configuration, so the base version does not
+    // prove that the plan failed and is polled again until the deadline. A
+    // newer version is proof.
     ctl_exit read_back()
     {
         auto const deadline = context_.clock.now() + options_.timeout;
@@ -84,26 +86,27 @@
         {
             auto const found = read_configuration();
             if (found && found->digest == plan_.digest)
-                return in_force(found->version, " (read back)");
+                return report_in_force(found->version, " (read back)");
             if (found && found->version > plan_.base.value())
-                return replaced(found->version);
+                return report_other_version(found->version);
             if (context_.clock.now() >= deadline)
-                return unknown();
+                return report_unknown();
             context_.err << "not yet in force; asking again\n";
             context_.clock.sleep_until(context_.clock.now() +
                                        read_back_interval);
         }
     }
 
-    std::optional<confirmed> read_configuration()
+    std::optional<confirmed_configuration> read_configuration()
     {
         try
         {
             Json::Value const result = context_.client.call(
                 "configuration", Json::Value(Json::objectValue),
                 resend::allowed);
-            return confirmed{result["version"].asUInt64(),
-                             digest_of(result["declaration"].asString())};
+            return confirmed_configuration{
+                result["version"].asUInt64(),
+                digest_of(result["declaration"].asString())};
         }
         catch (operator_call_failure const& failure)
         {
@@ -112,7 +115,7 @@
         }
     }
 
-    ctl_exit in_force(std::uint64_t version, std::string_view how)
+    ctl_exit report_in_force(std::uint64_t version, std::string_view suffix)
     {
         if (options_.json)
         {
@@ -122,43 +125,43 @@
         }
         else
             context_.out << fmt::format("version {} is in force{}\n", version,
-                                        how);
+                                        suffix);
         return ctl_exit::ok;
     }
 
-    // The plan's confirm takes effect only on its base, so the next version
-    // being another's means that it never will. Later ones tell nothing: the
-    // plan may have been in force in between.
-    ctl_exit replaced(std::uint64_t version)
+    // A confirm takes effect only on the plan's base version, so if the next
+    // version is another operator's, this plan never takes effect. A later
+    // version proves nothing: the plan may have been in force before it.
+    ctl_exit report_other_version(std::uint64_t version)
     {
         if (version == plan_.base.value() + 1)
-            return failed(
+            return report_failure(
                 fmt::format("refused: another operator's version {} came "
                             "first; plan again",
                             version),
                 outdated_plan, "no", ctl_exit::refused);
-        return failed(
+        return report_failure(
             fmt::format("version {} is in force, which is not this plan; "
-                        "whether the plan was in force before cannot be told. "
+                        "whether the plan was in force before is not known. "
                         "Plan again.",
                         version),
             unknown_outcome, "unknown", ctl_exit::outcome_unknown);
     }
 
-    ctl_exit unknown()
+    ctl_exit report_unknown()
     {
-        return failed(
-            fmt::format("outcome unknown: version {} is still in force as far "
-                        "as can be seen, but the change may yet take effect. "
-                        "Look with `mulberryctl configuration` before you plan "
+        return report_failure(
+            fmt::format("outcome unknown: version {} was still in force when "
+                        "last read, but the change may yet take effect. Check "
+                        "with `mulberryctl configuration` before you plan "
                         "again.",
                         plan_.base.value()),
             unknown_outcome, "unknown", ctl_exit::outcome_unknown);
     }
 
-    /// What reading back showed, in the form of an error of the system.
-    ctl_exit failed(std::string const& message, char const* kind,
-                    char const* ran, ctl_exit result)
+    /// Reports the result of reading back in the form of a VM's error.
+    ctl_exit report_failure(std::string const& message, char const* kind,
+                            char const* ran, ctl_exit result)
     {
         context_.err << message << "\n";
         if (options_.json)
--- a/src/daemon.cpp
+++ b/src/daemon.cpp
@@ -25,10 +25,10 @@
 namespace
 {
 
-constexpr timespec signal_poll{0, 50'000'000};
+constexpr timespec signal_poll_interval{0, 50'000'000};
 
-/// Blocks the signals that end the process in this thread and all started
-/// after, so that one place waits for them.
+/// Blocks SIGTERM and SIGINT in this thread and in all threads started later,
+/// so that only wait_for_end() receives these signals. Ignores SIGPIPE.
 sigset_t block_signals()
 {
     sigset_t set;
@@ -40,8 +40,9 @@
     return set;
 }
 
-/// Ids must differ between two lives of a VM that both count from 1.
-std::string life_prefix(vm_id const& vm)
+/// Returns a random prefix for ids. Each incarnation of a VM numbers its ids
+/// from 1, so the prefix keeps the ids of two incarnations apart.
+std::string incarnation_prefix(vm_id const& vm)
 {
     std::random_device random;
     char text[20];
@@ -49,7 +50,7 @@
     return vm.str() + "-" + text;
 }
 
-core_settings core_of(settings const& value)
+core_settings make_core_settings(settings const& value)
 {
     core_settings core;
     core.ownership.vm = value.vm;
@@ -58,8 +59,8 @@
     core.ownership.heartbeat = value.heartbeat;
     core.ownership.seed = value.seed;
     core.configuration.vm = value.vm;
-    core.configuration.poll = value.configuration_poll;
-    core.configuration.bound = value.configuration_bound;
+    core.configuration.poll_interval = value.configuration_poll;
+    core.configuration.staleness_bound = value.configuration_bound;
     core.configuration.seed = value.seed;
     core.services.vm = value.vm;
     core.services.seed = value.seed;
@@ -76,8 +77,8 @@
     return core;
 }
 
-http_server_options server_of(settings const& value,
-                              listen_address const& listener)
+http_server_options make_server_options(settings const& value,
+                                        listen_address const& listener)
 {
     http_server_options options;
     options.address = listener.address;
@@ -94,10 +95,10 @@
     explicit process(settings const& value)
         : clock_(&shell_clock::wall_ms),
           timeline_(clock_, value.timeline_capacity),
-          prefix_(life_prefix(value.vm))
+          prefix_(incarnation_prefix(value.vm))
     {
-        // The peers' listener comes first, since its port is part of what the
-        // VM registers under.
+        // The peer listener starts first because its port is part of the
+        // address under which the VM registers.
         add_peer_listener(value);
         add_decisions(value);
         add_operator_listener(value);
@@ -123,23 +124,23 @@
     void add_decisions(settings const& value)
     {
         loop_settings loop;
-        loop.core = core_of(value);
+        loop.core = make_core_settings(value);
         loop.own_address = [](kernel const& parts)
         { return parts.find<peer_listener>("peers").address(); };
         loop.ring_capacity = value.ring_capacity;
         loop.load_report_interval = value.load_report_interval;
         auto ports = [this, value](event_sink& sink)
         {
-            loop_ports made;
-            made.engines = std::make_unique<http_engine_port>(sink);
-            made.services = std::make_unique<http_service_port>(sink);
-            made.platform = std::make_unique<http_platform_port>(
+            loop_ports created;
+            created.engines = std::make_unique<http_engine_port>(sink);
+            created.services = std::make_unique<http_service_port>(sink);
+            created.platform = std::make_unique<http_platform_port>(
                 platform_urls{value.table_url, value.objects_url,
                               value.vms_url},
                 prefix_, sink);
-            made.peers = std::make_unique<http_peer_port>(
+            created.peers = std::make_unique<http_peer_port>(
                 value.vm, value.peers_key, clock_, sink);
-            return made;
+            return created;
         };
         parts_.add("decisions", std::make_unique<decision_loop>(
                                     loop, ports, answers_, timeline_));
@@ -147,8 +148,8 @@
 
     void add_peer_listener(settings const& value)
     {
-        // The forwarded requests of all other VMs come in here.
-        http_server_options peers = server_of(value, value.peers);
+        // This listener receives the forwarded requests of all other VMs.
+        http_server_options peers = make_server_options(value, value.peers);
         peers.max_body_bytes = 2 * value.max_body_bytes;
         parts_.add("peers",
                    std::make_unique<peer_listener>(
@@ -158,9 +159,10 @@
 
     void add_operator_listener(settings const& value)
     {
-        operators_settings operators{value.vm, value.deployment,
-                                     server_of(value, value.operators),
-                                     value.operators_key, value.peers_key};
+        operators_settings operators{
+            value.vm, value.deployment,
+            make_server_options(value, value.operators), value.operators_key,
+            value.peers_key};
         operators.server.max_body_bytes = 64UL * 1024 * 1024;
         parts_.add("operators", std::make_unique<operator_listener>(operators));
     }
@@ -169,7 +171,7 @@
     {
         callers_settings callers;
         callers.vm = value.vm;
-        callers.server = server_of(value, value.callers);
+        callers.server = make_server_options(value, value.callers);
         callers.server.threads = value.caller_threads;
         callers.limits.default_deadline = value.default_deadline;
         callers.limits.max_deadline = value.max_deadline;
@@ -185,19 +187,19 @@
     kernel parts_;
 };
 
-/// Waits for the end; the first signal starts leaving, the second ends at
-/// once.
+/// Waits until the VM has left and returns the exit status. The first signal
+/// makes the VM leave; the second returns 1 at once.
 int wait_for_end(process& running, sigset_t const& signals)
 {
     auto const ended = running.decisions().ended();
-    bool asked = false;
+    bool signal_received = false;
     while (ended.wait_for(std::chrono::seconds(0)) != std::future_status::ready)
     {
-        if (sigtimedwait(&signals, nullptr, &signal_poll) <= 0)
+        if (sigtimedwait(&signals, nullptr, &signal_poll_interval) <= 0)
             continue;
-        if (std::exchange(asked, true))
+        if (std::exchange(signal_received, true))
             return 1;
-        running.decisions().post(leave_asked{"a signal came"});
+        running.decisions().post(leave_requested{"a signal came"});
     }
     return 0;
 }
@@ -216,7 +218,7 @@
     int const status = wait_for_end(running, signals);
     log(log_level::info, "daemon",
         status == 0 ? "left: nothing is in progress"
-                    : "ended by a second signal");
+                    : "stopped by a second signal");
     running.stop();
     stop_logging();
     return status;
--- a/src/http_peer_port.hpp
+++ b/src/http_peer_port.hpp
@@ -1,5 +1,5 @@
-/// Other VMs over HTTP: forwarded requests as streams of events, messages as
-/// JSON-RPC.
+/// Communicates with other VMs over HTTP: forwarded requests are answered as
+/// event streams, messages are sent as JSON-RPC.
 #ifndef MULBERRY_HTTP_PEER_PORT_HPP
 #define MULBERRY_HTTP_PEER_PORT_HPP
 
@@ -28,16 +28,17 @@
     void forward(forward_request const& what,
                  std::string const& address) override;
     void cancel(attempt_id attempt) override;
-    void tell(tell_peer const& what, std::string const& address) override;
+    void send_message(send_peer_message const& what,
+                      std::string const& address) override;
 
 private:
-    struct messages_under_way;
+    struct in_flight_counter;
 
     vm_id self_;
     std::string key_;
     causal_clock* clock_;
     event_sink* sink_;
-    std::shared_ptr<messages_under_way> under_way_;
+    std::shared_ptr<in_flight_counter> in_flight_;
     call_registry calls_;
     http_client message_client_;
 };
--- a/src/http_platform_port.cpp
+++ b/src/http_platform_port.cpp
@@ -36,9 +36,10 @@
     return rows;
 }
 
-/// What an answer of the table service means. No answer, or one that cannot be
-/// understood, leaves the outcome open.
-table_reply reply_to(operation_id operation, collected_response const& response)
+/// Converts an answer of the table service. A missing or invalid answer gives
+/// `unreachable`: the operation may have taken effect.
+table_reply to_table_reply(operation_id operation,
+                           collected_response const& response)
 {
     table_reply reply{operation, table_outcome::unreachable, {}};
     if (response.status == 429)
@@ -84,7 +85,7 @@
     return to_text(body);
 }
 
-object_reply object_reply_to(operation_id operation,
+object_reply to_object_reply(operation_id operation,
                              collected_response response)
 {
     object_reply reply{operation, object_outcome::unreachable, {}};
@@ -130,14 +131,15 @@
                                  token_prefix_ + "-" +
                                      std::to_string(what.operation.value()));
     call.deadline = shell_clock::to_steady(what.deadline);
-    // A read may be made again by the client; a write may not, since only the
-    // core can tell from the rows whether it took effect.
+    // The client may retry a read. It must not retry a write: only the core can
+    // determine from the rows whether the first attempt took effect.
     call.repeatable = what.transaction.writes.empty();
     table_client_.start(std::move(call),
                         std::make_shared<response_observer>(
                             [operation = what.operation,
-                             sink = sink_](collected_response const& response)
-                            { sink->post(reply_to(operation, response)); }));
+                             sink = sink_](collected_response const& response) {
+                                sink->post(to_table_reply(operation, response));
+                            }));
 }
 
 void http_platform_port::read(operation_id operation, std::string url,
@@ -151,7 +153,7 @@
         std::move(call),
         std::make_shared<response_observer>(
             [operation, sink = sink_](collected_response const& response)
-            { sink->post(reply_to(operation, response)); }));
+            { sink->post(to_table_reply(operation, response)); }));
 }
 
 void http_platform_port::run(read_row const& what)
@@ -178,7 +180,7 @@
         std::make_shared<response_observer>(
             [operation = what.operation,
              sink = sink_](collected_response response)
-            { sink->post(object_reply_to(operation, std::move(response))); }));
+            { sink->post(to_object_reply(operation, std::move(response))); }));
 }
 
 void http_platform_port::run(store_object const& what)
@@ -188,17 +190,17 @@
     call.url = urls_.objects + "/" + what.key;
     call.body = *what.bytes;
     call.deadline = shell_clock::to_steady(what.deadline);
-    // Objects are named by their content, so writing one twice does no harm.
+    // Objects are named by their content, so a write is idempotent.
     call.repeatable = true;
     object_client_.start(
         std::move(call),
         std::make_shared<response_observer>(
             [operation = what.operation,
              sink = sink_](collected_response response)
-            { sink->post(object_reply_to(operation, std::move(response))); }));
+            { sink->post(to_object_reply(operation, std::move(response))); }));
 }
 
-void http_platform_port::ask_vms()
+void http_platform_port::request_vm_list()
 {
     http_call call;
     call.url = urls_.vms;
@@ -208,12 +210,12 @@
                        std::make_shared<response_observer>(
                            [sink = sink_](collected_response const& response)
                            {
-                               // An empty list is what a list service that
-                               // has just restarted answers; believed, it
-                               // would declare every VM gone at once.
+                               // A list service that has just
+                               // restarted returns an empty list. Using
+                               // it would report every VM as gone.
                                auto vms = parse_vms(response.body);
                                if (response.status == 200 && !vms.empty())
-                                   sink->post(vms_listed{std::move(vms)});
+                                   sink->post(vm_list_received{std::move(vms)});
                            }));
 }
 
--- a/src/http_server.cpp
+++ b/src/http_server.cpp
@@ -25,14 +25,14 @@
 constexpr std::size_t read_buffer_bytes = 16UL * 1024;
 constexpr std::size_t max_header_count = 100;
 constexpr std::size_t max_header_name_bytes = 256;
-/// The request in progress and one more, which keeps a read pending: without
-/// it a caller that goes away is not noticed before the next write.
+/// The request in progress and one more, which keeps a read pending: without a
+/// pending read a disconnect is not noticed before the next write.
 constexpr std::size_t requests_per_connection = 2;
-/// The deadlines of requests are the handler's; this is the last resort.
+/// An upper bound only: the handler enforces the deadlines of requests.
 constexpr std::chrono::hours handling_timeout{1};
 constexpr std::chrono::milliseconds accept_retry_delay{100};
-/// How long the destructor waits for answers already given to go out.
-constexpr std::chrono::seconds farewell{1};
+/// Limit for the destructor to send complete answers and close connections.
+constexpr std::chrono::seconds shutdown_timeout{1};
 
 using connection_settings =
     restinio::impl::connection_settings_t<server_traits>;
@@ -64,21 +64,21 @@
     return header.method() == restinio::http_method_head();
 }
 
-answer_form form_of(restinio::http_request_header_t const& header)
+response_format format_of(restinio::http_request_header_t const& header)
 {
-    answer_form form;
-    form.keep_alive = header.should_keep_alive();
-    form.head = is_head(header);
-    form.chunks = header.http_minor() >= 1;
-    return form;
+    response_format format;
+    format.keep_alive = header.should_keep_alive();
+    format.head = is_head(header);
+    format.chunks = header.http_minor() >= 1;
+    return format;
 }
 
 /// The status to refuse a request with before the handler sees it, or 0.
-int refusal_of(restinio::http_request_header_t const& header)
+int rejection_status(restinio::http_request_header_t const& header)
 {
     if (auto const status = refused_status(header))
         return *status;
-    // Neither an absolute URL nor CONNECT: this is no proxy.
+    // Absolute URLs and CONNECT are refused: this server is not a proxy.
     return header.request_target().starts_with('/') ? 0 : bad_request;
 }
 
@@ -103,14 +103,14 @@
     std::shared_ptr<connection_settings> make_settings();
     std::shared_ptr<connection_factory> make_factory();
     void accept_next();
-    void accepted(asio::error_code const& failure, tcp::socket socket);
+    void on_accept(asio::error_code const& failure, tcp::socket socket);
     void retry_accept();
-    void room_made();
+    void on_connection_removed();
     void open_connection(tcp::socket socket);
-    std::string last_word(int status) const;
-    void prepare_last_words(caller_state& state, connection_number number);
+    std::string closing_error_response(int status) const;
+    void set_closing_responses(caller_state& state, connection_number number);
     restinio::request_handling_status_t
-    take(restinio::request_handle_t const& received);
+    handle_request(restinio::request_handle_t const& received);
     void refuse(restinio::request_handle_t const& received, int status);
     void close_connections();
     void close(restinio::impl::connection_handle_t const& connection);
@@ -122,7 +122,7 @@
     asio::strand<asio::io_context::executor_type> accept_strand_;
     tcp::acceptor acceptor_;
     asio::steady_timer accept_timer_;
-    std::atomic<bool> waits_for_room_{false};
+    std::atomic<bool> accept_paused_{false};
     std::uint16_t port_ = 0;
     std::shared_ptr<connection_table> table_;
     std::shared_ptr<connection_factory> factory_;
@@ -138,8 +138,8 @@
       io_(own_io_ ? *own_io_ : *options_.shared_io), work_(io_.get_executor()),
       accept_strand_(io_.get_executor()), acceptor_(accept_strand_),
       accept_timer_(accept_strand_),
-      table_(std::make_shared<connection_table>(std::move(handler),
-                                                [this] { room_made(); })),
+      table_(std::make_shared<connection_table>(std::move(handler), [this]
+                                                { on_connection_removed(); })),
       factory_(make_factory())
 {
     listen();
@@ -153,9 +153,8 @@
 http_server::implementation::~implementation()
 {
     stop_accepting();
-    // With a shared io_context nothing runs any more: there is nothing to wait
-    // for.
-    auto const deadline = std::chrono::steady_clock::now() + farewell;
+    // No thread runs a shared io_context any more, so waiting would not help.
+    auto const deadline = std::chrono::steady_clock::now() + shutdown_timeout;
     if (own_io_)
         table_->wait_until_sent(deadline);
     close_connections();
@@ -166,7 +165,8 @@
     }
     for (std::thread& thread : threads_)
         thread.join();
-    // The answers let go of their connections, which end with the io_context.
+    // The answers release their connections, which must not outlive the
+    // io_context.
     for (auto const& connection : table_->open_connections())
         table_->remove(connection->connection_id());
 }
@@ -178,7 +178,7 @@
         tcp::endpoint const endpoint(asio::ip::make_address(options_.address),
                                      options_.port);
         acceptor_.open(endpoint.protocol());
-        // A restarted process takes its port back while connections of its
+        // A restarted process can bind its port while connections of its
         // predecessor are still in TIME_WAIT.
         acceptor_.set_option(tcp::acceptor::reuse_address(true));
         acceptor_.bind(endpoint);
@@ -212,17 +212,18 @@
         .connection_state_listener(
             std::make_shared<connection_listener>(table_))
         .request_handler([this](restinio::request_handle_t const& received)
-                         { return take(received); });
+                         { return handle_request(received); });
     auto timers = std::make_shared<restinio::asio_timer_manager_t>(
         io_, timer_period(options_.read_timeout));
     return std::make_shared<connection_settings>(
         settings, limiting_parser_settings(), std::move(timers));
 }
 
-// RESTinio's connections are used, its acceptor is not. After one failed
-// accept (the process is out of file descriptors) that acceptor never accepts
-// again: callers time out while the process looks healthy. And its connections
-// refer to it after it is destroyed. The loop below tries again after a while.
+// RESTinio's connections are used, but not its acceptor. After one failed
+// accept (the process is out of file descriptors) RESTinio's acceptor never
+// accepts again: callers time out while the process looks healthy. RESTinio's
+// connections also refer to their acceptor after its destruction. The accept
+// loop below retries after accept_retry_delay.
 std::shared_ptr<connection_factory> http_server::implementation::make_factory()
 {
     auto set_options = std::make_unique<restinio::socket_options_setter_t>(
@@ -240,18 +241,18 @@
 {
     if (!acceptor_.is_open())
         return;
-    waits_for_room_ = true;
+    accept_paused_ = true;
     if (table_->size() >= options_.max_connections)
         return;
-    if (!waits_for_room_.exchange(false))
+    if (!accept_paused_.exchange(false))
         return;
     acceptor_.async_accept(
         io_, [this](asio::error_code const& failure, tcp::socket socket)
-        { accepted(failure, std::move(socket)); });
+        { on_accept(failure, std::move(socket)); });
 }
 
-void http_server::implementation::accepted(asio::error_code const& failure,
-                                           tcp::socket socket)
+void http_server::implementation::on_accept(asio::error_code const& failure,
+                                            tcp::socket socket)
 {
     if (failure == asio::error::operation_aborted)
         return;
@@ -275,9 +276,9 @@
         });
 }
 
-void http_server::implementation::room_made()
+void http_server::implementation::on_connection_removed()
 {
-    if (waits_for_room_.exchange(false))
+    if (accept_paused_.exchange(false))
         asio::post(accept_strand_, [this] { accept_next(); });
 }
 
@@ -291,57 +292,63 @@
     auto const connection = factory_->create_new_connection(
         caller_socket(std::move(socket), state), remote,
         server_connection::lifetime_monitor_t{nullptr});
-    prepare_last_words(*state, connection->connection_id());
+    set_closing_responses(*state, connection->connection_id());
     table_->add(connection, state);
     asio::post(connection->get_executor(),
                [connection] { connection->init(); });
 }
 
-/// A status line alone would not tell "cut off" from an answer of the handler.
-std::string http_server::implementation::last_word(int status) const
+/// Empty without error_page: a status line alone could not be told from an
+/// answer of the handler.
+std::string
+http_server::implementation::closing_error_response(int status) const
 {
     if (!options_.error_page || table_->closing())
         return {};
-    return closing_text(options_.error_page(status));
+    return closing_response_text(options_.error_page(status));
 }
 
-// Both run on the connection's strand, so never after the destructor.
-void http_server::implementation::prepare_last_words(caller_state& state,
-                                                     connection_number number)
+// Both callbacks run on the connection's strand, so never after the destructor.
+void http_server::implementation::set_closing_responses(
+    caller_state& state, connection_number number)
 {
-    state.too_slow = [this] { return last_word(request_timeout); };
-    state.half_closed = [this, number] {
-        return table_->given_up(number) ? last_word(bad_gateway)
-                                        : std::string();
+    state.timeout_response = [this]
+    { return closing_error_response(request_timeout); };
+    state.half_close_response = [this, number]
+    {
+        return table_->on_half_close(number)
+                   ? closing_error_response(bad_gateway)
+                   : std::string();
     };
 }
 
-restinio::request_handling_status_t
-http_server::implementation::take(restinio::request_handle_t const& received)
+restinio::request_handling_status_t http_server::implementation::handle_request(
+    restinio::request_handle_t const& received)
 {
     auto const state = table_->state_of(received->connection_id());
     if (!state)
         return restinio::request_accepted();
-    state->arriving = false;
-    if (int const status = refusal_of(received->header()))
+    state->receiving = false;
+    if (int const status = rejection_status(received->header()))
     {
-        state->ending = true;
+        state->closing = true;
         refuse(received, status);
         return restinio::request_accepted();
     }
     auto connection = std::static_pointer_cast<server_connection>(
         restinio::impl::access_req_connection(*received));
     connection_number const number = connection->connection_id();
-    ++state->unanswered;
-    auto answer = std::make_shared<server_answer>(table_, std::move(connection),
-                                                  state, received->request_id(),
-                                                  form_of(received->header()));
-    table_->take(number, {to_request(*received), std::move(answer)});
+    ++state->unanswered_requests;
+    auto answer = std::make_shared<server_answer>(
+        table_, std::move(connection), state, received->request_id(),
+        format_of(received->header()));
+    table_->handle_in_order(number, {to_request(*received), std::move(answer)});
     return restinio::request_accepted();
 }
 
-/// Runs on the connection's strand, so that RESTinio knows before it reads on
-/// that the connection ends: what follows is the rest of an unread body.
+/// Runs on the connection's strand, so that RESTinio knows that the connection
+/// closes before it reads on: the bytes that follow are the rest of an unread
+/// body.
 void http_server::implementation::refuse(
     restinio::request_handle_t const& received, int status)
 {
@@ -375,8 +382,8 @@
         close(connection);
 }
 
-/// RESTinio closes a connection that is handed the answer to a request it does
-/// not know; it has no other call for that.
+/// RESTinio has no call to close a connection, but closes one that receives an
+/// answer with an unknown request id.
 void http_server::implementation::close(
     restinio::impl::connection_handle_t const& connection)
 {
--- a/src/http_transfer.hpp
+++ b/src/http_transfer.hpp
@@ -1,5 +1,5 @@
 /// One call of the HTTP client on one libcurl handle. Private to the client:
-/// it includes libcurl.
+/// this header includes libcurl.
 #ifndef MULBERRY_HTTP_TRANSFER_HPP
 #define MULBERRY_HTTP_TRANSFER_HPP
 
@@ -19,10 +19,10 @@
 namespace mulberry
 {
 
-/// Set once, by any thread, when the observer is to hear nothing more.
+/// Set once, by any thread, to stop all further callbacks to the observer.
 using cancellation = std::shared_ptr<std::atomic<bool>>;
 
-/// Used by the client's thread only.
+/// Thread safety: used by the client's thread only.
 class http_transfer
 {
 public:
@@ -34,15 +34,17 @@
     http_transfer& operator=(http_transfer const&) = delete;
 
     CURL* handle() const { return handle_.get(); }
-    /// Why the call can't be made at all, if so.
-    std::optional<std::string> refusal(clock::time_point now) const;
-    /// When overdue() is to be asked next; may lie before the real time.
+    /// The reason why the call cannot be started, if there is one.
+    std::optional<std::string> start_error(clock::time_point now) const;
+    /// When to call timeout_reason() next; may be before the call times out.
     clock::time_point next_check() const;
-    /// Why the call is to be given up by now, if so.
-    std::optional<std::string> overdue(clock::time_point now);
-    /// libcurl is done with the call: reports its end or its failure.
+    /// The reason why the call has timed out, if it has.
+    std::optional<std::string> timeout_reason(clock::time_point now);
+    /// Reports the end or the failure of the call to the observer, after
+    /// libcurl has finished the transfer with `code`.
     void done(CURLcode code);
-    /// Reports a failure. Last call, as is done().
+    /// Reports a failure to the observer. No member may be called after fail()
+    /// or done().
     void fail(std::string const& text);
 
 private:
@@ -60,7 +62,7 @@
     void set_headers();
     void set_connection();
     void set_callbacks();
-    void add_line(std::string const& line);
+    void add_header_line(std::string const& line);
 
     static int before_request(void* self, char* remote, char* local, int port,
                               int local_port);
@@ -69,10 +71,10 @@
     static std::size_t on_body(char* data, std::size_t size, std::size_t count,
                                void* self);
 
-    void take_header_line(std::string_view line);
+    void parse_header_line(std::string_view line);
     void headers_complete();
     bool cancelled() const { return *cancelled_; }
-    bool has_proper_end() const;
+    bool has_message_framing() const;
     call_stage stage() const;
     std::string failure_text(CURLcode code) const;
 
@@ -80,11 +82,11 @@
     std::shared_ptr<http_call_observer> const observer_;
     cancellation const cancelled_;
     std::unique_ptr<CURL, easy_deleter> const handle_;
-    std::unique_ptr<curl_slist, list_deleter> lines_;
+    std::unique_ptr<curl_slist, list_deleter> header_lines_;
     std::array<char, CURL_ERROR_SIZE> error_text_{};
     http_headers headers_;
     int status_ = 0;
-    curl_off_t uploaded_ = 0;
+    curl_off_t uploaded_bytes_ = 0;
     clock::time_point last_byte_;
     bool bad_header_ = false;
     bool request_begun_ = false;
--- a/src/mulberryd.cpp
+++ b/src/mulberryd.cpp
@@ -1,4 +1,4 @@
-/// mulberryd: the serving layer's daemon, one on each entry VM.
+/// mulberryd: the serving layer's daemon. One instance runs on each entry VM.
 #include "daemon.hpp"
 #include "metadata_store.hpp"
 #include "relay_daemon.hpp"
@@ -36,10 +36,10 @@
     return text.str();
 }
 
-/// The settings, or nothing after their faults were printed.
+/// Returns the parsed settings, or prints their errors and returns nothing.
 template <class Settings>
-std::optional<Settings>
-checked(std::variant<Settings, std::vector<mulberry::text_fault>> parsed)
+std::optional<Settings> value_or_print_faults(
+    std::variant<Settings, std::vector<mulberry::text_fault>> parsed)
 {
     if (auto const* faults =
             std::get_if<std::vector<mulberry::text_fault>>(&parsed))
@@ -53,7 +53,8 @@
 
 std::optional<mulberry::relay_settings> read_relay(std::string const& path)
 {
-    return checked(mulberry::parse_relay_settings(read_file(path), path));
+    return value_or_print_faults(
+        mulberry::parse_relay_settings(read_file(path), path));
 }
 
 int run_relay(std::string const& path)
@@ -85,19 +86,22 @@
     {
         bool const good =
             relay ? read_relay(path).has_value()
-                  : checked(mulberry::parse_settings(read_file(path), path))
+                  : value_or_print_faults(
+                        mulberry::parse_settings(read_file(path), path))
                         .has_value();
         if (good)
-            std::cout << path << ": the settings are good\n";
+            std::cout << path << ": the settings are valid\n";
         return good ? 0 : exit_bad_settings;
     }
     if (relay)
         return run_relay(path);
-    auto const value = checked(mulberry::parse_settings(read_file(path), path));
+    auto const value =
+        value_or_print_faults(mulberry::parse_settings(read_file(path), path));
     return value ? mulberry::run_daemon(*value) : exit_bad_settings;
 }
 
-/// Empty when neither option names a file.
+/// Returns the path from --settings or --settings-variable; empty if neither
+/// gives one.
 std::string settings_path(po::variables_map const& given)
 {
     if (given.count("settings") != 0)
@@ -126,7 +130,7 @@
         "settings-variable", po::value<std::string>(),
         "the environment variable that holds the path of the settings")(
         "relay", "relay on a platform (docs/PLATFORM.md)")(
-        "check", "read the settings, say what is wrong, and end");
+        "check", "check the settings, print errors, and exit");
     try
     {
         po::variables_map given;
@@ -140,7 +144,8 @@
         std::string const path = settings_path(given);
         if (path.empty())
         {
-            std::cerr << "mulberryd: --settings FILE is needed (--help)\n";
+            std::cerr
+                << "mulberryd: --settings FILE is required (see --help)\n";
             return exit_bad_usage;
         }
         return run(path, given.count("relay") != 0, given.count("check") != 0);
--- a/src/operator_client.cpp
+++ b/src/operator_client.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-operator_call_failure::kind reason_of(rpc_failure const& failure)
+operator_call_failure::kind kind_of(rpc_failure const& failure)
 {
     switch (failure.code())
     {
@@ -22,14 +22,14 @@
     }
 }
 
-/// A failed call as the commands see it.
-operator_call_failure converted(rpc_failure const& failure,
-                                std::string const& address)
+/// Adds the VM's address to the message and converts the error code.
+operator_call_failure to_call_failure(rpc_failure const& failure,
+                                      std::string const& address)
 {
     std::string text = fmt::format("{}: {}", address, failure.what());
     if (failure.code() == rpc_refused)
         text += "; is the key right?";
-    return {reason_of(failure), text, failure.data()};
+    return {kind_of(failure), text, failure.data()};
 }
 
 } // namespace
@@ -55,12 +55,12 @@
                           client, "http://" + address + "/rpc", key)});
 }
 
-// A call that no VM saw may always go to the next one. One whose answer was
-// lost may have run: sending it again could do it twice, so only calls that
-// allow it are.
+// A call that was not received can always be sent to the next VM. A call whose
+// answer was lost may have run, and sending it again could run it twice, so it
+// is sent again only if the caller allows that.
 Json::Value rpc_operator_client::call(std::string const& method,
                                       Json::Value const& parameters,
-                                      resend lost)
+                                      resend on_lost_answer)
 {
     std::string failures;
     bool may_have_run = false;
@@ -73,17 +73,17 @@
         }
         catch (rpc_failure const& failure)
         {
-            operator_call_failure const seen =
-                converted(failure, client.address);
-            if (seen.reason() == operator_call_failure::kind::refused)
-                throw seen;
-            bool const unseen =
-                seen.reason() == operator_call_failure::kind::unreachable;
-            if (!unseen && lost == resend::never)
-                throw seen;
-            may_have_run = may_have_run || !unseen;
-            failures +=
-                (failures.empty() ? "" : "; ") + std::string(seen.what());
+            operator_call_failure const call_failure =
+                to_call_failure(failure, client.address);
+            if (call_failure.reason() == operator_call_failure::kind::refused)
+                throw call_failure;
+            bool const not_sent = call_failure.reason() ==
+                                  operator_call_failure::kind::unreachable;
+            if (!not_sent && on_lost_answer == resend::never)
+                throw call_failure;
+            may_have_run = may_have_run || !not_sent;
+            failures += (failures.empty() ? "" : "; ") +
+                        std::string(call_failure.what());
         }
     }
     throw operator_call_failure(
--- a/src/ownership_runner.cpp
+++ b/src/ownership_runner.cpp
@@ -14,10 +14,11 @@
 namespace
 {
 
-/// How often the keeper is given the time; its own deadlines are hundreds of
-/// milliseconds apart.
+/// Interval of calls to ownership_keeper::tick(); the keeper's deadlines are
+/// hundreds of milliseconds apart.
 constexpr std::chrono::milliseconds tick_interval{100};
-/// For so many heartbeats after it registered a VM reads the rows itself.
+/// For this many heartbeat intervals after it registered, a VM reads its rows
+/// from the store, not from a reader.
 constexpr int strict_heartbeats = 2;
 
 table_outcome outcome_of(store_outcome outcome)
@@ -56,23 +57,23 @@
 
 void ownership_runner::start()
 {
-    begins_by_ = boot_clock::now() + options_.start_wait;
+    keeper_start_deadline_ = boot_clock::now() + options_.start_wait;
     tick();
 }
 
-void ownership_runner::begin(time_point now)
+void ownership_runner::start_keeper(time_point now)
 {
-    if (std::exchange(begun_, true))
+    if (std::exchange(keeper_started_, true))
         return;
     action_list actions;
-    if (mirror_.read(row_set::own))
+    if (mirror_.has_read(row_set::own))
     {
         std::vector<table_row> known;
         for (stored_row const& row : mirror_.rows(row_set::own))
             if (row.key.starts_with(vm_prefix) ||
                 row.key.starts_with(worker_prefix))
                 known.push_back(to_table_row(row));
-        keeper_.learn(known, actions);
+        keeper_.set_initial_rows(known, actions);
     }
     keeper_.start(now, actions);
     after_change(actions);
@@ -88,7 +89,7 @@
         domains.emplace(each.id, each.domain);
     }
     time_point const now = boot_clock::now();
-    if (listed != declared_ || !begun_)
+    if (listed != declared_ || !keeper_started_)
     {
         declared_ = listed;
         action_list actions;
@@ -97,13 +98,13 @@
         after_change(actions);
     }
     workers_known_ = true;
-    if (informed())
-        begin(now);
+    if (has_initial_rows())
+        start_keeper(now);
 }
 
-bool ownership_runner::informed() const
+bool ownership_runner::has_initial_rows() const
 {
-    return workers_known_ && mirror_.read(row_set::own);
+    return workers_known_ && mirror_.has_read(row_set::own);
 }
 
 bool ownership_runner::may_order(worker_id const& worker) const
@@ -117,8 +118,8 @@
 void ownership_runner::tick()
 {
     time_point const now = boot_clock::now();
-    if (informed() || now >= begins_by_)
-        begin(now);
+    if (has_initial_rows() || now >= keeper_start_deadline_)
+        start_keeper(now);
     action_list actions;
     keeper_.tick(now, actions);
     after_change(actions);
@@ -134,8 +135,8 @@
 void ownership_runner::after_change(action_list const& actions)
 {
     observe_owners();
-    take_events();
-    carry_out(actions);
+    handle_events();
+    execute(actions);
 }
 
 void ownership_runner::observe_owners()
@@ -144,49 +145,52 @@
     {
         fencing_number const fence = keeper_.fence_of(worker);
         if (!fence.none())
-            seen_owners_[worker].try_emplace(
-                fence, seen_owner{keeper_.named_owner_of(worker),
-                                  keeper_.version_of(worker)});
+            recorded_owners_[worker].try_emplace(
+                fence, recorded_owner{keeper_.recorded_owner_of(worker),
+                                      keeper_.version_of(worker)});
     }
-    std::erase_if(seen_owners_, [this](auto const& each)
+    std::erase_if(recorded_owners_, [this](auto const& each)
                   { return declared_.count(each.first) == 0; });
 }
 
-/// Failure: two VMs order one worker in turn within a short time, the one that
-/// just lost it and the one that just got it; a late order of the first is
-/// carried out among those of the second. The first gave its last order before
-/// its row changed, so the second waits for the gap from then on. No gap is
-/// needed where there was no owner, where the last owner's lease lapsed, since
-/// it stopped giving orders a gap before that, or where this VM itself was the
-/// last owner, before a restart. But either may have been given the worker a
-/// moment before, even as a life that was over already: then the VM that gave
-/// it ordered last. So the row that names it must have stood for a gap.
+/// Returns when this VM may begin to issue orders to a worker that it owns
+/// under `fence`. Failure: the previous and the new owner of a worker issue
+/// orders within a short time, and a late order of the previous owner is
+/// executed among those of the new owner. The previous owner issued its last
+/// order before the worker's row changed, so the new owner waits for the order
+/// gap from then on. No gap is needed if the worker had no owner, if the last
+/// owner's lease lapsed (it stopped issuing orders a gap before that), or if
+/// this VM itself was the last owner, before a restart. In the latter two
+/// cases, however, the last owner may have been handed the worker just before,
+/// even as an incarnation that had already ended; then the VM that handed the
+/// worker over issued the last order. So the row that names the last owner must
+/// be at least a gap old.
 time_point ownership_runner::orders_from(worker_id const& worker,
                                          fencing_number fence,
                                          time_point now) const
 {
     time_point const after_gap = now + options_.order_gap;
-    auto const seen = seen_owners_.find(worker);
+    auto const recorded = recorded_owners_.find(worker);
     for (std::uint64_t before = fence.value() - 1; before > 0; --before)
     {
-        if (seen == seen_owners_.end())
+        if (recorded == recorded_owners_.end())
             return after_gap;
-        auto const owner = seen->second.find(fencing_number(before));
-        if (owner == seen->second.end())
+        auto const owner = recorded->second.find(fencing_number(before));
+        if (owner == recorded->second.end())
             return after_gap;
         vm_id const& vm = owner->second.vm;
         if (vm.empty())
             continue;
         bool const orders_no_more =
             vm == options_.keeper.vm || keeper_.member(vm) == nullptr;
-        bool const stood =
+        bool const settled =
             owner->second.version <= keeper_.settled_version(now);
-        return orders_no_more && stood ? now : after_gap;
+        return orders_no_more && settled ? now : after_gap;
     }
     return now;
 }
 
-void ownership_runner::take_events()
+void ownership_runner::handle_events()
 {
     time_point const now = boot_clock::now();
     bool changed = false;
@@ -195,7 +199,7 @@
     {
         if (auto const* gained = std::get_if<worker_gained>(&event))
         {
-            order_grant const grant{
+            owned_worker const grant{
                 gained->grant.fence,
                 orders_from(gained->worker, gained->grant.fence, now)};
             grants_[gained->worker] = grant;
@@ -226,24 +230,25 @@
                      now);
     }
     if (changed)
-        tell_grants(holds);
-    tell_members(now);
-    carry_out(actions);
+        publish_grants(holds);
+    publish_members(now);
+    execute(actions);
 }
 
-/// Failure: a VM that is cut from the store loses its lease, and its workers'
-/// adapters stand idle until another VM takes over, though requests need no
-/// orders. So it keeps the workers that nobody else has, without orders.
-void ownership_runner::tell_grants(bool lease_holds)
+/// Failure: a VM that is partitioned from the store loses its lease, and its
+/// workers' adapters are unused until another VM takes over, although requests
+/// need no orders. So the VM keeps the workers that no other VM owns, without
+/// the permission to issue orders.
+void ownership_runner::publish_grants(bool lease_holds)
 {
-    std::map<worker_id, order_grant> grants = grants_;
+    std::map<worker_id, owned_worker> grants = grants_;
     if (!lease_holds)
         for (auto& [worker, grant] : grants)
             grant.orders_from = never;
     listener_.on_grants(std::move(grants));
 }
 
-void ownership_runner::tell_members(time_point now)
+void ownership_runner::publish_members(time_point now)
 {
     std::vector<member_view> members = keeper_.members();
     if (members != members_)
@@ -259,14 +264,14 @@
         if (vm_id const owner = keeper_.owner_of(worker);
             owner != options_.keeper.vm && keeper_.member(owner) != nullptr)
             others.emplace(worker, owner);
-    if (others != others_)
+    if (others != other_owners_)
     {
-        others_ = others;
+        other_owners_ = others;
         listener_.on_owners(std::move(others));
     }
 }
 
-void ownership_runner::carry_out(action_list const& actions)
+void ownership_runner::execute(action_list const& actions)
 {
     std::vector<scan_rows> scans;
     for (action const& each : actions)
@@ -277,7 +282,7 @@
             run(*read);
         else if (auto const* scan = std::get_if<scan_rows>(&each))
             scans.push_back(*scan);
-        else if (auto const* told = std::get_if<note_event>(&each))
+        else if (auto const* told = std::get_if<publish_event>(&each))
             log_.notable(told->kind, log_fields().add("about", told->text),
                          boot_clock::now());
     }
@@ -290,12 +295,13 @@
     store_.transact(
         what.transaction, what.deadline - boot_clock::now(),
         [this, what](store_reply const& reply)
-        { asio::post(io_, [this, what, reply] { written(what, reply); }); });
+        { asio::post(io_, [this, what, reply] { on_written(what, reply); }); });
 }
 
-/// The store answers a write with the version that all its rows have now, and
-/// a conflict with those rows of the conditions that exist.
-void ownership_runner::written(transact const& what, store_reply const& reply)
+/// The store answers a successful write with the version that all written rows
+/// now have, and a conflict with those rows of the conditions that exist.
+void ownership_runner::on_written(transact const& what,
+                                  store_reply const& reply)
 {
     table_reply made{what.operation, outcome_of(reply.outcome), {}};
     if (reply.outcome == store_outcome::done)
@@ -326,14 +332,15 @@
             std::erase_if(reply.rows, [&key](stored_row const& row)
                           { return row.key != key; });
             asio::post(io_, [this, operation, reply = std::move(reply)]
-                       { answered(operation, reply); });
+                       { on_row_read(operation, reply); });
         });
 }
 
-/// Failure: rows that were read before this VM registered show too few members
-/// and it takes workers that are not its share, so for a while after it
-/// registered only rows as of the scan will do. One that owns none takes none.
-bool ownership_runner::needs_newest(time_point now)
+/// Failure: rows that were read before this VM registered show too few members,
+/// so this VM acquires workers beyond its share. So for a while after
+/// registration, a scan needs rows as of the scan itself. A VM to which no
+/// workers are assigned acquires none and needs no such rows.
+bool ownership_runner::requires_current_rows(time_point now)
 {
     if (!keeper_.registered())
     {
@@ -345,17 +352,17 @@
            now < registered_at_ + options_.keeper.heartbeat * strict_heartbeats;
 }
 
-/// Scans that are asked for together are answered from one reading.
+/// Scans that are requested together are answered from one refresh.
 void ownership_runner::run(std::vector<scan_rows> scans)
 {
-    bool const strict = needs_newest(boot_clock::now());
+    bool const strict = requires_current_rows(boot_clock::now());
     mirror_.refresh_own(
         strict, [this, scans = std::move(scans)](bool current, time_point as_of)
-        { scanned(scans, current, as_of); });
+        { on_scanned(scans, current, as_of); });
 }
 
-void ownership_runner::scanned(std::vector<scan_rows> const& scans,
-                               bool current, time_point as_of)
+void ownership_runner::on_scanned(std::vector<scan_rows> const& scans,
+                                  bool current, time_point as_of)
 {
     std::vector<stored_row> const rows = mirror_.rows(row_set::own);
     for (scan_rows const& scan : scans)
@@ -373,8 +380,8 @@
     }
 }
 
-void ownership_runner::answered(operation_id operation,
-                                store_reply const& reply)
+void ownership_runner::on_row_read(operation_id operation,
+                                   store_reply const& reply)
 {
     table_reply made{operation, outcome_of(reply.outcome), {}};
     for (stored_row const& row : reply.rows)
--- a/src/ownership_runner.hpp
+++ b/src/ownership_runner.hpp
@@ -1,4 +1,5 @@
-/// Runs membership and ownership against the metadata store.
+/// Runs the ownership_keeper, which decides on membership and ownership,
+/// against the metadata store.
 #ifndef MULBERRY_OWNERSHIP_RUNNER_HPP
 #define MULBERRY_OWNERSHIP_RUNNER_HPP
 
@@ -24,21 +25,21 @@
 struct ownership_run_options
 {
     ownership_settings keeper;
-    /// The least time between orders of two owners to one worker: an engine
-    /// that does not check fencing tokens carries out whatever arrives, so the
-    /// owners keep apart in time.
+    /// Minimum time between the orders of two owners to one worker: an engine
+    /// that does not check fencing tokens executes every order that arrives, so
+    /// the orders of two owners are kept apart in time.
     duration order_gap = std::chrono::milliseconds(3000);
     /// This VM registers once the workers and all own rows are known, so that
-    /// one write does, or that long after its start.
+    /// one write is enough, but at the latest this long after its start.
     duration start_wait{};
 };
 
-/// Told about what changed. Called on the runner's thread.
+/// Callbacks for changes. Called on the runner's thread.
 struct ownership_listener
 {
-    std::function<void(std::map<worker_id, order_grant>)> on_grants;
+    std::function<void(std::map<worker_id, owned_worker>)> on_grants;
     std::function<void(std::vector<member_view>)> on_members;
-    /// Of the workers that other VMs own.
+    /// The owners of the workers that other VMs own.
     std::function<void(std::map<worker_id, vm_id>)> on_owners;
 };
 
@@ -52,9 +53,11 @@
                      ownership_listener listener);
 
     void start();
-    /// The workers that take orders, as listed.
+    /// Sets the workers that accept orders, as listed in the registry.
     void set_workers(std::vector<backend_entry> const& workers);
-    /// Whether this VM may give the worker orders at this moment.
+    /// Whether this VM may issue orders to the worker now: this VM owns the
+    /// worker, holds its lease and has waited for the order gap where one is
+    /// needed.
     bool may_order(worker_id const& worker) const;
     bool registered() const { return keeper_.registered(); }
     /// See ownership_keeper::stands_by().
@@ -62,22 +65,22 @@
 
 private:
     void tick();
-    void begin(time_point now);
-    bool informed() const;
-    void carry_out(action_list const& actions);
+    void start_keeper(time_point now);
+    bool has_initial_rows() const;
+    void execute(action_list const& actions);
     void run(transact const& what);
     void run(read_row const& what);
     void run(std::vector<scan_rows> scans);
-    void scanned(std::vector<scan_rows> const& scans, bool current,
-                 time_point as_of);
-    bool needs_newest(time_point now);
-    void written(transact const& what, store_reply const& reply);
-    void answered(operation_id operation, store_reply const& reply);
+    void on_scanned(std::vector<scan_rows> const& scans, bool current,
+                    time_point as_of);
+    bool requires_current_rows(time_point now);
+    void on_written(transact const& what, store_reply const& reply);
+    void on_row_read(operation_id operation, store_reply const& reply);
     void deliver(table_reply const& reply);
     void after_change(action_list const& actions);
-    void take_events();
-    void tell_grants(bool lease_holds);
-    void tell_members(time_point now);
+    void handle_events();
+    void publish_grants(bool lease_holds);
+    void publish_members(time_point now);
     void observe_owners();
     time_point orders_from(worker_id const& worker, fencing_number fence,
                            time_point now) const;
@@ -93,23 +96,24 @@
     ownership_keeper keeper_;
     asio::steady_timer timer_;
     std::set<worker_id> declared_;
-    /// What a worker's row said. Value.
-    struct seen_owner
+    /// The owner that a worker's row named, and the row's version. Value.
+    struct recorded_owner
     {
-        /// Empty for nobody.
+        /// Empty if the worker had no owner.
         vm_id vm;
         row_version version;
     };
-    /// By fencing number.
-    std::map<worker_id, std::map<fencing_number, seen_owner>> seen_owners_;
-    std::map<worker_id, order_grant> grants_;
+    /// For each worker, by fencing number.
+    std::map<worker_id, std::map<fencing_number, recorded_owner>>
+        recorded_owners_;
+    std::map<worker_id, owned_worker> grants_;
     std::vector<member_view> members_;
-    std::map<worker_id, vm_id> others_;
-    bool begun_ = false;
+    std::map<worker_id, vm_id> other_owners_;
+    bool keeper_started_ = false;
     bool workers_known_ = false;
-    time_point begins_by_ = never;
+    time_point keeper_start_deadline_ = never;
     bool held_lease_ = false;
-    /// When this VM was seen to have registered.
+    /// When this VM first noticed that it is registered.
     time_point registered_at_ = never;
 };
 
--- a/src/peer_rows.cpp
+++ b/src/peer_rows.cpp
@@ -11,10 +11,10 @@
 namespace
 {
 
-constexpr std::uint64_t longest_wait_ms = 60'000;
-/// An hour: older is as good as never.
-constexpr std::uint64_t longest_age_ms = 3'600'000;
-constexpr Json::Int64 longest_proof_ms = longest_age_ms;
+constexpr std::uint64_t max_wait_ms = 60'000;
+/// One hour; rows older than this are useless anyway.
+constexpr std::uint64_t max_age_ms = 3'600'000;
+constexpr Json::Int64 max_proof_age_ms = max_age_ms;
 constexpr Json::ArrayIndex row_fields = 4;
 
 Json::Value row_json(stored_row const& row)
@@ -57,70 +57,69 @@
                       json[3].isNull()};
 }
 
-Json::Value news_json(rows_news const& news)
+Json::Value news_json(row_set_changes const& changes)
 {
     Json::Value json;
-    json["read"] = news.read;
-    json["version"] = Json::UInt64(news.version.value());
+    json["read"] = changes.read;
+    json["version"] = Json::UInt64(changes.version.value());
     json["age_ms"] = Json::Int64(
-        std::chrono::ceil<std::chrono::milliseconds>(news.age).count());
-    if (news.proven_before)
+        std::chrono::ceil<std::chrono::milliseconds>(changes.age).count());
+    if (changes.proven_before)
         json["proven_before_ms"] = Json::Int64(
-            std::chrono::ceil<std::chrono::milliseconds>(*news.proven_before)
+            std::chrono::ceil<std::chrono::milliseconds>(*changes.proven_before)
                 .count());
-    json["whole"] = news.whole;
-    json["incomplete"] = news.incomplete;
+    json["whole"] = changes.is_snapshot;
+    json["incomplete"] = changes.incomplete;
     json["rows"] = Json::arrayValue;
-    for (stored_row const& row : news.rows)
+    for (stored_row const& row : changes.rows)
         json["rows"].append(row_json(row));
     return json;
 }
 
-std::optional<rows_news> parse_news(Json::Value const& json)
+std::optional<row_set_changes> parse_news(Json::Value const& json)
 {
     if (!json.isObject() || !json["read"].isBool() ||
         !json["version"].isUInt64() || !json["age_ms"].isUInt64() ||
         !json["whole"].isBool() || !json["rows"].isArray())
         return std::nullopt;
-    rows_news news;
-    news.read = json["read"].asBool();
-    news.version = row_version(json["version"].asUInt64());
-    news.age = std::chrono::milliseconds(
-        std::min(json["age_ms"].asUInt64(), longest_age_ms));
+    row_set_changes changes;
+    changes.read = json["read"].asBool();
+    changes.version = row_version(json["version"].asUInt64());
+    changes.age = std::chrono::milliseconds(
+        std::min(json["age_ms"].asUInt64(), max_age_ms));
     if (json["proven_before_ms"].isInt64())
-        news.proven_before = std::chrono::milliseconds(
-            std::clamp(json["proven_before_ms"].asInt64(), -longest_proof_ms,
-                       longest_proof_ms));
-    news.whole = json["whole"].asBool();
-    news.incomplete = json.get("incomplete", false) == true;
+        changes.proven_before = std::chrono::milliseconds(
+            std::clamp(json["proven_before_ms"].asInt64(), -max_proof_age_ms,
+                       max_proof_age_ms));
+    changes.is_snapshot = json["whole"].asBool();
+    changes.incomplete = json.get("incomplete", false) == true;
     for (Json::Value const& each : json["rows"])
     {
         auto row = parse_row(each);
         if (!row)
             return std::nullopt;
-        news.rows.push_back(std::move(*row));
+        changes.rows.push_back(std::move(*row));
     }
-    return news;
+    return changes;
 }
 
 } // namespace
 
-std::string encode_rows_question(rows_question const& question,
-                                 std::string const& host)
+std::string encode_rows_query(rows_query const& query, std::string const& host)
 {
     Json::Value json;
-    for (row_version const after : question.after)
+    for (row_version const after : query.after)
         json["after"].append(Json::UInt64(after.value()));
     json["wait_ms"] = Json::Int64(
-        std::chrono::floor<std::chrono::milliseconds>(question.wait).count());
-    json["large_rows"] = question.large_rows;
+        std::chrono::floor<std::chrono::milliseconds>(query.wait).count());
+    json["large_rows"] = query.large_rows;
     std::string const body = to_text(json);
     return fmt::format("POST {} HTTP/1.1\r\nHost: {}\r\n"
                        "Content-Length: {}\r\n\r\n{}",
                        rows_path, host, body.size(), body);
 }
 
-std::optional<rows_question> decode_rows_question(std::string const& body)
+std::optional<rows_query> decode_rows_query(std::string const& body)
 {
     auto const json = from_text(body);
     if (!json || !json->isObject())
@@ -129,25 +128,26 @@
     if (!after.isArray() || after.size() != all_row_sets.size() ||
         !(*json)["wait_ms"].isUInt64())
         return std::nullopt;
-    rows_question question;
-    // A VM that runs an earlier release does not know of rows left out.
-    question.large_rows = json->get("large_rows", true) != false;
+    rows_query query;
+    // A VM of an earlier release does not send the field and cannot handle
+    // answers that leave rows out.
+    query.large_rows = json->get("large_rows", true) != false;
     for (Json::ArrayIndex index = 0; index < after.size(); ++index)
     {
         if (!after[index].isUInt64())
             return std::nullopt;
-        question.after.at(index) = row_version(after[index].asUInt64());
+        query.after.at(index) = row_version(after[index].asUInt64());
     }
-    question.wait = std::chrono::milliseconds(
-        std::min((*json)["wait_ms"].asUInt64(), longest_wait_ms));
-    return question;
+    query.wait = std::chrono::milliseconds(
+        std::min((*json)["wait_ms"].asUInt64(), max_wait_ms));
+    return query;
 }
 
 std::string encode_rows_answer(rows_answer const& answer)
 {
     Json::Value json;
-    for (rows_news const& news : answer)
-        json["sets"].append(news_json(news));
+    for (row_set_changes const& changes : answer)
+        json["sets"].append(news_json(changes));
     return to_text(json);
 }
 
@@ -162,10 +162,10 @@
     rows_answer answer;
     for (Json::ArrayIndex index = 0; index < sets.size(); ++index)
     {
-        auto news = parse_news(sets[index]);
-        if (!news)
+        auto changes = parse_news(sets[index]);
+        if (!changes)
             return std::nullopt;
-        answer.at(index) = std::move(*news);
+        answer.at(index) = std::move(*changes);
     }
     return answer;
 }
--- a/src/relay_daemon.cpp
+++ b/src/relay_daemon.cpp
@@ -10,7 +10,7 @@
 #include "relay.hpp"
 #include "row_mirror.hpp"
 #include "store_meter.hpp"
-#include "worker_essence.hpp"
+#include "worker_row_projection.hpp"
 
 #include <asio/io_context.hpp>
 #include <asio/post.hpp>
@@ -31,49 +31,53 @@
 
 using std::chrono::milliseconds;
 
-/// The balancer asks once a second and drops a VM after two misses: until then
-/// it sends new connections, which must be accepted.
-constexpr milliseconds balancer_notice{2500};
-constexpr milliseconds stop_review{50};
-/// Kept back from the stop bound, so that the process ends by itself.
+/// The load balancer polls readiness once a second and removes a VM after two
+/// failures. Until then it sends new connections, which must be accepted.
+constexpr milliseconds balancer_detection_time{2500};
+constexpr milliseconds stop_check_interval{50};
+/// Subtracted from the stop bound, so that the process exits before it is
+/// killed.
 constexpr milliseconds stop_margin{700};
-/// The lease in multiples of the gap between two owners' orders: the holder
-/// stops a gap before others may take over, and rides out two gaps without the
-/// store before that, which is longer than most cuts. With three, a VM whose
-/// writes are all left unanswered never holds it; with five, the workers of a
-/// VM that is gone for good are without orders for three seconds more.
-constexpr int lease_gaps = 4;
-/// The share of the gap by which it is kept longer than asked: an order is on
-/// its way for some time.
-constexpr int gap_slack = 15;
-/// Five renewals fit into what a holder may count on; each costs the store two
-/// calls.
+/// Lease duration in multiples of the order gap. The owner stops sending orders
+/// one gap before others may take over, and before that it survives two gaps
+/// without the store, which is longer than most outages. With three, a VM whose
+/// writes are all left unanswered never holds the lease; with five, the workers
+/// of a VM that is gone for good are without orders for three seconds longer.
+constexpr int lease_order_gaps = 4;
+/// The order gap is extended by this fraction (1/15), since an order takes some
+/// time to arrive.
+constexpr int order_gap_extension_divisor = 15;
+/// Five renewals fit into the time for which an owner may rely on its lease;
+/// each renewal costs two calls of the store.
 constexpr double heartbeats_per_gap = 1.5;
-/// Owners of a failure domain at least: when one is lost, three quarters of the
-/// domain's workers keep theirs, and there are four to read the store for the
-/// others. An owner answers a question for each request at its workers, some
-/// ten a second each, beside its own callers, on an eighth of a core where the
-/// domain has no larger VMs to spare: four workers each, as many as the least
-/// number of owners has in a domain of sixteen.
+/// Minimum number of owners in a failure domain: when one is lost, three
+/// quarters of the domain's workers keep their owners, and four VMs can read
+/// the store for the others. An owner answers a grant request for each request
+/// at its workers (some ten a second per worker) beside its own callers, on an
+/// eighth of a core where the domain has no larger VMs. Hence four workers per
+/// owner, which is what the minimum number of owners has in a domain of sixteen
+/// workers.
 constexpr owner_limits relay_owners{4, 4};
 constexpr double millicores_per_core = 1000;
-/// What a VM needs before its workers have an owner is tried so many times as
-/// often as its heartbeat: each tenth of a second or two.
-constexpr int first_retries = 10;
-/// A call of the store that takes longer is as good as lost, and VMs that
-/// start together have registered within the same time: of the gap.
-constexpr int gap_shares = 3;
-/// An older version may be used for that part of the bound on a new one's being
-/// in force. Failure: a request that was sent to an old copy after half of the
-/// bound waited 2.7 s at its worker and began too late. Four fifths are left
-/// for hearing of the version, a second at most, and for such a wait; the new
-/// copy is there after a quarter of a second.
-constexpr int grace_share = 5;
-/// By so many quarters of that bound a request has begun that was sent to an
-/// older version; what is left is for hearing of the new one.
-constexpr int begin_quarters = 3;
-/// Callers keep connections as long as the operator's limits say; nothing is
-/// gained by closing sooner.
+/// Until its workers have an owner, a VM retries this many times per heartbeat,
+/// that is every one or two tenths of a second.
+constexpr int first_retry_divisor = 10;
+/// A call of the store that takes longer than this fraction (1/3) of the order
+/// gap is treated as lost. VMs that start together have registered within the
+/// same time.
+constexpr int order_gap_divisor = 3;
+/// An older version may be used for this fraction (1/5) of the bound within
+/// which a new version takes effect. Failure: a request that was sent to an old
+/// copy after half of the bound waited 2.7 s at its worker and began too late.
+/// Four fifths remain for learning of the version, which takes a second at
+/// most, and for such a wait; the new copy is loaded after a quarter of a
+/// second.
+constexpr int release_grace_divisor = 5;
+/// A request that was sent to an older version must begin within three quarters
+/// of that bound; the rest is for learning of the new version.
+constexpr int release_begin_quarters = 3;
+/// Callers keep connections open as long as the operator's limits allow;
+/// closing them sooner has no benefit.
 constexpr std::chrono::seconds idle_timeout{60};
 
 std::uint64_t random_seed()
@@ -82,12 +86,12 @@
     return (std::uint64_t{source()} << 32) ^ source();
 }
 
-std::string bound_text(listen_address const& at, http_server const& server)
+std::string bound_address(listen_address const& at, http_server const& server)
 {
     return at.address + ":" + std::to_string(server.port());
 }
 
-duration heartbeat_of(relay_settings const& value)
+duration heartbeat_interval(relay_settings const& value)
 {
     return std::chrono::duration_cast<duration>(value.order_gap /
                                                 heartbeats_per_gap);
@@ -101,18 +105,20 @@
     options.keeper.vm = value.vm;
     options.keeper.domain = value.domain;
     options.keeper.address = peers_address;
-    options.keeper.lease = value.order_gap * lease_gaps;
-    duration const gap = value.order_gap + value.order_gap / gap_slack;
+    options.keeper.lease = value.order_gap * lease_order_gaps;
+    duration const gap =
+        value.order_gap + value.order_gap / order_gap_extension_divisor;
     options.keeper.lease_margin = gap;
-    options.keeper.heartbeat = heartbeat_of(value);
-    options.keeper.table_timeout = value.order_gap / gap_shares;
-    options.keeper.settle = value.order_gap / gap_shares;
-    // A worker that changes hands takes no orders for the gap: one at a time.
+    options.keeper.heartbeat = heartbeat_interval(value);
+    options.keeper.table_timeout = value.order_gap / order_gap_divisor;
+    options.keeper.settle = value.order_gap / order_gap_divisor;
+    // A worker whose owner changes takes no orders for one gap, so workers are
+    // handed over one at a time.
     options.keeper.handover_interval = gap;
     options.keeper.seed = seed;
     options.keeper.order_gap = gap;
     options.keeper.owners = relay_owners;
-    options.keeper.first_retry = options.keeper.heartbeat / first_retries;
+    options.keeper.first_retry = options.keeper.heartbeat / first_retry_divisor;
     options.keeper.millicores = static_cast<unsigned>(
         std::lround(value.processor_share * millicores_per_core));
     options.order_gap = gap;
@@ -128,18 +134,18 @@
     options.domain = value.domain;
     options.declaration_wait = value.configuration_bound;
     if (value.keys.revocation > duration(0))
-        options.oldest_declarations = value.keys.revocation * 3 / 4;
-    options.answer_time = value.configuration_bound * 3 / 10;
+        options.max_declaration_age = value.keys.revocation * 3 / 4;
+    options.answer_timeout = value.configuration_bound * 3 / 10;
     options.worker_interval = value.drain_bound / 2;
-    options.own_interval = heartbeat_of(value);
-    options.worker_essence = [&codec](stored_row const& row)
-    { return worker_essence(codec, row); };
+    options.own_interval = heartbeat_interval(value);
+    options.project_worker_row = [&codec](stored_row const& row)
+    { return project_worker_row(codec, row); };
     return options;
 }
 
-/// Workers of engines take orders; plain services do not.
-std::vector<backend_entry> engines_among(std::vector<backend_entry> entries,
-                                         routing_config const& config)
+/// Returns the workers of engines, which take orders; plain services do not.
+std::vector<backend_entry> engine_workers(std::vector<backend_entry> entries,
+                                          routing_config const& config)
 {
     std::erase_if(entries,
                   [&config](backend_entry const& each)
@@ -151,13 +157,13 @@
     return entries;
 }
 
-/// The parts share one thread and its io_context: each answer that a worker
-/// gives then costs one change of state and no change of threads.
+/// All components share one thread and its io_context, so that a worker's
+/// answer is handled without a switch of threads.
 class relay_process
 {
 public:
     relay_process(relay_settings const& value, relay_codec const& codec,
-                  row_store& store, settings_reader const& read_again);
+                  row_store& store, settings_reader const& reload_settings);
 
     int run();
 
@@ -169,21 +175,21 @@
     void on_signal(int number);
     void reload();
     void begin_stop();
-    void review_stop();
+    void check_stop();
     bool ready() const;
     bool registry_known() const;
-    registry_moment registry_as_of() const;
+    registry_timestamps registry_as_of() const;
     void write_rows(table_transaction const& transaction,
                     std::function<void(bool)> const& done);
     void on_rows(row_set set, std::vector<stored_row> const& rows);
-    void share_workers();
+    void update_ownership_workers();
     void start_ownership();
-    void tell_addresses() const;
+    void print_addresses() const;
 
     relay_settings const settings_;
     relay_codec const& codec_;
     store_meter store_;
-    settings_reader const& read_again_;
+    settings_reader const& reload_settings_;
     std::uint64_t const seed_;
     asio::io_context io_{1};
     asio::signal_set signals_;
@@ -206,11 +212,12 @@
     time_point exit_at_ = never;
 };
 
-relay_options options_of(relay_settings const& value, std::uint64_t seed,
-                         std::function<bool(worker_id const&)> may_order,
-                         std::function<registry_moment()> registry_as_of,
-                         std::function<declarations_known()> declarations_as_of,
-                         crash_row_writer write_rows)
+relay_options
+make_relay_options(relay_settings const& value, std::uint64_t seed,
+                   std::function<bool(worker_id const&)> may_order,
+                   std::function<registry_timestamps()> registry_as_of,
+                   std::function<declarations_known()> declarations_as_of,
+                   crash_row_writer write_rows)
 {
     relay_options options;
     options.crashes.write_rows = std::move(write_rows);
@@ -223,8 +230,8 @@
     options.vm = value.vm;
     options.domain = value.domain;
     options.retries = value.retries;
-    options.release_grace = value.release_bound / grace_share;
-    options.release_begin = value.release_bound / 4 * begin_quarters;
+    options.release_grace = value.release_bound / release_grace_divisor;
+    options.release_begin = value.release_bound / 4 * release_begin_quarters;
     options.may_order = std::move(may_order);
     options.seed = seed;
     return options;
@@ -232,17 +239,17 @@
 
 relay_process::relay_process(relay_settings const& value,
                              relay_codec const& codec, row_store& store,
-                             settings_reader const& read_again)
-    : settings_(value), codec_(codec), store_(store), read_again_(read_again),
-      seed_(random_seed()), signals_(io_, SIGTERM, SIGINT, SIGHUP),
-      stop_timer_(io_),
+                             settings_reader const& reload_settings)
+    : settings_(value), codec_(codec), store_(store),
+      reload_settings_(reload_settings), seed_(random_seed()),
+      signals_(io_, SIGTERM, SIGINT, SIGHUP), stop_timer_(io_),
       log_("relay", value.log_lines_per_second,
            [](log_level level, std::string_view part, std::string_view event,
               std::string const& fields)
            { log_event(level, part, event, fields); }),
       relay_(
           io_, codec,
-          options_of(
+          make_relay_options(
               value, seed_,
               [this](worker_id const& worker)
               { return ownership_ && ownership_->may_order(worker); },
@@ -262,7 +269,7 @@
                  {
                      config_ = config;
                      relay_.set_config(std::move(config));
-                     share_workers();
+                     update_ownership_workers();
                  },
                  [this](adapter_release const& release)
                  { relay_.on_release(release); },
@@ -270,7 +277,7 @@
                  {
                      backends_ = std::move(entries);
                      relay_.set_backends(backends_);
-                     share_workers();
+                     update_ownership_workers();
                  }}),
       mirror_(io_, store_, relay_.pool(), mirror_options(value, codec), log_,
               {[this](row_set set, std::vector<stored_row> const& rows)
@@ -280,17 +287,17 @@
 
 bool relay_process::registry_known() const
 {
-    return mirror_.read(row_set::declarations) &&
-           mirror_.read(row_set::workers);
+    return mirror_.has_read(row_set::declarations) &&
+           mirror_.has_read(row_set::workers);
 }
 
-registry_moment relay_process::registry_as_of() const
+registry_timestamps relay_process::registry_as_of() const
 {
     time_point const now = boot_clock::now();
-    // Just after the store's return entries may tell of lives that ended while
-    // it was away, and that could not be written anew.
+    // Right after the store has returned, entries may be of worker incarnations
+    // that ended during the outage and whose rows could not be updated.
     bool const entries_renewed =
-        !mirror_.lost() && now >= mirror_.returned_at() + lapse_grace;
+        !mirror_.is_store_lost() && now >= mirror_.returned_at() + lapse_grace;
     return {mirror_.as_of(row_set::declarations, now),
             entries_renewed ? mirror_.as_of(row_set::workers, now)
                             : time_point()};
@@ -299,7 +306,7 @@
 void relay_process::write_rows(table_transaction const& transaction,
                                std::function<void(bool)> const& done)
 {
-    store_.transact(transaction, settings_.order_gap / gap_shares,
+    store_.transact(transaction, settings_.order_gap / order_gap_divisor,
                     [this, done](store_reply const& reply)
                     {
                         bool const written =
@@ -313,15 +320,15 @@
     if (set == row_set::own)
         relay_.on_own_rows(rows);
     time_point const now = boot_clock::now();
-    bool const away = mirror_.lost();
+    bool const store_lost = mirror_.is_store_lost();
     registry_.on_rows(set, rows, now,
-                      (away ? now : mirror_.returned_at()) + lapse_grace);
+                      (store_lost ? now : mirror_.returned_at()) + lapse_grace);
 }
 
-void relay_process::share_workers()
+void relay_process::update_ownership_workers()
 {
     if (config_ && registry_known())
-        ownership_->set_workers(engines_among(backends_, *config_));
+        ownership_->set_workers(engine_workers(backends_, *config_));
 }
 
 http_server_options relay_process::server_options(listen_address const& at)
@@ -343,7 +350,7 @@
 void relay_process::answer_readiness(http_request const& request,
                                      http_answer& answer)
 {
-    if (!codec_.is_ready_question(request))
+    if (!codec_.is_readiness_query(request))
         return answer.respond({404, {}, {}});
     bool const now_ready = ready();
     if (now_ready != was_ready_)
@@ -387,11 +394,11 @@
         begin_stop();
 }
 
-/// What a running process can take over from changed settings: nothing yet
-/// but the knowledge that they are sound; the rest holds from its next start.
+/// A running process applies no changed settings: it only checks and logs
+/// whether they are valid. Changes take effect at the next start.
 void relay_process::reload()
 {
-    auto const read = read_again_();
+    auto const read = reload_settings_();
     log_.notable("reload",
                  log_fields().add("outcome", !read                ? "faulty"
                                              : *read == settings_ ? "unchanged"
@@ -399,17 +406,17 @@
                  boot_clock::now());
 }
 
-/// Failure: the balancer goes on sending connections for up to two seconds
-/// after the VM says that it is leaving; a VM that closes its listener at once
-/// refuses them, and the callers lose a second each. So it serves on until
-/// then, closes each connection after its answer, and ends when nothing is in
-/// progress.
+/// Failure: the load balancer sends connections for up to two seconds after the
+/// VM reports that it is not ready; a VM that closes its listener at once
+/// refuses them, and each caller loses a second. Therefore the VM accepts
+/// connections until then, closes each connection after its answer, and exits
+/// when no request is in progress.
 void relay_process::begin_stop()
 {
     time_point const now = boot_clock::now();
     stopping_ = true;
-    stop_accepting_at_ =
-        now + std::min<duration>(balancer_notice, settings_.stop_bound / 2);
+    stop_accepting_at_ = now + std::min<duration>(balancer_detection_time,
+                                                  settings_.stop_bound / 2);
     exit_at_ = now + std::max<duration>(settings_.stop_bound - stop_margin,
                                         settings_.stop_bound / 2);
     callers_->close_after_answers();
@@ -417,24 +424,25 @@
         "stopping",
         log_fields().add("in_progress", std::uint64_t{relay_.in_progress()}),
         now);
-    review_stop();
+    check_stop();
 }
 
-void relay_process::review_stop()
+void relay_process::check_stop()
 {
     time_point const now = boot_clock::now();
-    // Failure: a connection that was taken before brings its request after the
-    // balancer has long turned away; it is passed on, and cut with the process
-    // in the middle of its answer. So it is rejected, and its caller comes back
-    // elsewhere.
+    // Failure: a connection accepted earlier sends its request long after the
+    // load balancer has removed this VM; the request would be relayed, and cut
+    // off in the middle of its answer when the process exits. Therefore the
+    // request is rejected, and its caller retries at another VM.
     if (now >= stop_accepting_at_)
     {
-        relay_.refuse_new();
+        relay_.reject_new_requests();
         callers_->stop_accepting();
         callers_->close_idle();
         bool const idle = relay_.in_progress() == 0 && !callers_->has_unsent();
-        // The last answers are handed to the connections in a later turn of
-        // the loop than the one that ends their requests: idle twice in a row.
+        // The last answers are handed to the connections in a later turn of the
+        // event loop than the one that ends their requests, so the process must
+        // be idle twice in a row.
         if ((idle && was_idle_) || now >= exit_at_)
         {
             log_.notable("stopped",
@@ -445,25 +453,25 @@
         }
         was_idle_ = idle;
     }
-    stop_timer_.expires_after(stop_review);
+    stop_timer_.expires_after(stop_check_interval);
     stop_timer_.async_wait(
         [this](asio::error_code const& cancelled)
         {
             if (!cancelled)
-                review_stop();
+                check_stop();
         });
 }
 
-/// Other VMs are told the peers' address with the port that was bound.
+/// The address published to other VMs contains the port that was bound.
 void relay_process::start_ownership()
 {
     ownership_.emplace(
         io_, store_, mirror_,
-        ownership_options(settings_, bound_text(settings_.peers, *peers_),
+        ownership_options(settings_, bound_address(settings_.peers, *peers_),
                           seed_),
         log_,
-        ownership_listener{[this](std::map<worker_id, order_grant> grants)
-                           { relay_.set_grants(std::move(grants)); },
+        ownership_listener{[this](std::map<worker_id, owned_worker> grants)
+                           { relay_.set_owned_workers(std::move(grants)); },
                            [this](std::vector<member_view> members)
                            {
                                mirror_.set_members(members);
@@ -475,15 +483,16 @@
     ownership_->start();
 }
 
-/// One line for whoever started the process, with the ports that were bound.
-void relay_process::tell_addresses() const
+/// Prints one line with the bound addresses for the process that started this
+/// one.
+void relay_process::print_addresses() const
 {
     std::string line =
-        "listening callers " + bound_text(settings_.callers, *callers_) +
-        " readiness " + bound_text(settings_.readiness, *readiness_) +
-        " peers " + bound_text(settings_.peers, *peers_);
+        "listening callers " + bound_address(settings_.callers, *callers_) +
+        " readiness " + bound_address(settings_.readiness, *readiness_) +
+        " peers " + bound_address(settings_.peers, *peers_);
     if (metrics_)
-        line += " metrics " + bound_text(settings_.metrics, *metrics_);
+        line += " metrics " + bound_address(settings_.metrics, *metrics_);
     write_line(line);
 }
 
@@ -513,7 +522,7 @@
             server_options(settings_.metrics),
             [this](http_request request, std::shared_ptr<http_answer> answer)
             { answer_metrics(request, *answer); });
-    tell_addresses();
+    print_addresses();
     log_.notable("started", log_fields().add("domain", settings_.domain.str()),
                  boot_clock::now());
     start_ownership();
@@ -525,12 +534,13 @@
 } // namespace
 
 int run_relay(relay_settings const& value, relay_codec const& codec,
-              row_store& store, settings_reader const& read_again)
+              row_store& store, settings_reader const& reload_settings)
 {
     start_logging(value.vm.str(), value.log_level, value.log_format);
-    relay_process process(value, codec, store, read_again);
+    relay_process process(value, codec, store, reload_settings);
     int const status = process.run();
-    // Its answers are posted to the process's io_context.
+    // The store posts its answers to the process's io_context, so it is closed
+    // first.
     store.close();
     stop_logging();
     return status;
--- a/src/relay_metrics.cpp
+++ b/src/relay_metrics.cpp
@@ -1,4 +1,4 @@
-// The relay's metrics in the Prometheus text form.
+// The relay's metrics in the Prometheus text format.
 #include "relay.hpp"
 
 #include <fmt/format.h>
@@ -26,35 +26,36 @@
     };
     rejected("key_missing", counts_.key_missing);
     rejected("key_unknown", counts_.key_unknown);
-    rejected("key_in_doubt", counts_.key_in_doubt);
+    rejected("key_in_doubt", counts_.key_unverified);
     rejected("over_allotment", counts_.over_allotment);
     rejected("allotment_unknown", counts_.allotment_unknown);
     add("retries_total", "", counts_.retries);
-    add("sent_to_replaced_version_total", "", counts_.sent_to_replaced);
-    add("workers_leaving_heard_total", "", counts_.leaving_heard);
-    add("worker_rests_total", "", counts_.rests);
+    add("sent_to_replaced_version_total", "", counts_.sent_to_superseded);
+    add("workers_leaving_heard_total", "", counts_.leaving_reported);
+    add("worker_rests_total", "", counts_.backoffs);
 
     add("orders_total", "", counts_.orders);
     add("orders_unknown_total", "", counts_.orders_unknown);
     add("orders_conflict_total", "", counts_.orders_conflict);
     add("worker_reports_total", "", counts_.reports);
     add("connections_opened_total", "", pool_.connections_opened());
-    add("log_lines_left_out_total", "", log_.left_out());
+    add("log_lines_left_out_total", "", log_.lines_left_out());
     add("config_version", "", version().value());
     add("members", "", members_);
     add("requests_in_progress", "", exchanges_.size());
-    auto const spans = [&](std::string const& name, latency_meter const& meter)
+    auto const add_latency =
+        [&](std::string const& name, latency_meter const& meter)
     {
-        latency_summary const seen = meter.summary();
-        add(name, "{quantile=\"0.5\"}", seen.median);
-        add(name, "{quantile=\"0.95\"}", seen.p95);
-        add(name, "{quantile=\"0.99\"}", seen.p99);
-        add(name + "_count", "", seen.count);
-        add(name + "_sum", "", seen.sum);
+        latency_summary const latency = meter.summary();
+        add(name, "{quantile=\"0.5\"}", latency.median);
+        add(name, "{quantile=\"0.95\"}", latency.p95);
+        add(name, "{quantile=\"0.99\"}", latency.p99);
+        add(name + "_count", "", latency.count);
+        add(name + "_sum", "", latency.sum);
     };
-    spans("first_byte_seconds", first_byte_);
-    spans("waited_seconds", waits_);
-    spans("stream_gap_seconds", stream_gaps_);
+    add_latency("first_byte_seconds", first_byte_latency_);
+    add_latency("waited_seconds", queueing_delays_);
+    add_latency("stream_gap_seconds", stream_gaps_);
     for (auto const& [name, service] : services_)
     {
         scheduler_counts const counts = service.scheduler.counts();
@@ -70,7 +71,7 @@
         add("cold_loads_total", label, counts.cold_loads);
         add("warm_loads_total", label, counts.warm_loads);
         add("evictions_total", label, counts.evictions);
-        for (copy_verdict const verdict : all_copy_verdicts)
+        for (copy_decision const verdict : all_copy_decisions)
             add("prompt_copies_total",
                 fmt::format("{{service=\"{}\",verdict=\"{}\"}}", name.str(),
                             to_string(verdict)),
--- a/src/relay_orders.cpp
+++ b/src/relay_orders.cpp
@@ -1,4 +1,4 @@
-// Orders and questions to workers.
+// Orders and report requests to workers.
 #include "collected_exchange.hpp"
 #include "relay.hpp"
 
@@ -14,9 +14,9 @@
 using std::chrono::milliseconds;
 
 constexpr int status_ok = 200;
-/// A worker answers an order within some ten milliseconds. One that leaves it
-/// unanswered is asked again at once: the same order under the same number
-/// takes effect once.
+/// A worker answers an order within some ten milliseconds. After a timeout the
+/// order is sent again at once: orders are idempotent, since one with the same
+/// number takes effect only once.
 constexpr milliseconds order_timeout{80};
 constexpr milliseconds report_timeout{400};
 
@@ -26,7 +26,7 @@
     {
     case order_outcome::accepted:
         return "accepted";
-    case order_outcome::holds:
+    case order_outcome::already_applied:
         return "holds";
     case order_outcome::conflict:
         return "conflict";
@@ -49,19 +49,19 @@
     call.to = {worker.address, worker.port};
     call.bytes = std::move(bytes);
     call.options.connect_timeout = timeout;
-    call.ends_at = [ends = std::chrono::steady_clock::now() + timeout]
-    { return ends; };
+    call.current_deadline = [deadline = std::chrono::steady_clock::now() +
+                                        timeout] { return deadline; };
     return call;
 }
 
 } // namespace
 
-void relay::send_order(give_order const& order)
+void relay::send_order(issue_order const& order)
 {
     service_id const service = order.entry.service;
     if (options_.may_order && !options_.may_order(order.order.worker))
     {
-        // The lease lapsed between the decision and now.
+        // The lease has expired since the decision.
         asio::post(io_, [this, service, order = order.order]
                    { on_order(service, order, order_outcome::unknown); });
         return;
@@ -75,7 +75,7 @@
     start_collected(io_, pool_, std::move(call));
 }
 
-void relay::send_report(ask_report const& question)
+void relay::send_report_request(request_report const& question)
 {
     ++counts_.reports;
     collected_call call =
@@ -95,8 +95,8 @@
 {
     counts_.orders_unknown += outcome == order_outcome::unknown;
     counts_.orders_conflict += outcome == order_outcome::conflict;
-    bool const notable =
-        outcome != order_outcome::accepted && outcome != order_outcome::holds;
+    bool const is_failure = outcome != order_outcome::accepted &&
+                            outcome != order_outcome::already_applied;
     auto const fields = [&]
     {
         return log_fields()
@@ -111,11 +111,11 @@
     service_state* const known = find(service);
     bool const changed =
         known != nullptr && known->scheduler.on_order(order, outcome, now());
-    if (notable)
+    if (is_failure)
         log_.notable("order answered", fields(), now());
     else if (changed)
         log_.routine("order answered", fields(), now());
-    run_soon();
+    schedule_run();
 }
 
 void relay::on_report(service_id const& service, worker_id const& worker,
@@ -130,7 +130,7 @@
         now());
     if (service_state* const known = find(service))
         known->scheduler.on_report(worker, report, now());
-    run_soon();
+    schedule_run();
 }
 
 } // namespace mulberry
--- a/src/relay_settings.cpp
+++ b/src/relay_settings.cpp
@@ -13,9 +13,9 @@
 using enum presence;
 
 constexpr std::uint64_t max_port = 65535;
-constexpr milliseconds longest_bound{60'000};
+constexpr milliseconds max_bound{60'000};
 
-/// IP:PORT, as one text.
+/// Reads an address written as IP:PORT.
 void read_address(json_object& root, char const* key, listen_address& into,
                   presence need)
 {
@@ -38,16 +38,15 @@
 
 void read_bounds(json_object& root, relay_settings& value)
 {
-    auto const read = [&](char const* key, duration& into)
-    {
-        root.read_milliseconds(key, into, {milliseconds(1), longest_bound},
+    auto const read = [&](char const* key, duration& into) {
+        root.read_milliseconds(key, into, {milliseconds(1), max_bound},
                                optional);
     };
     read("order_gap_ms", value.order_gap);
     read("release_bound_ms", value.release_bound);
     read("drain_bound_ms", value.drain_bound);
     read("configuration_bound_ms", value.configuration_bound);
-    value.keys.doubt = value.configuration_bound / 2;
+    value.keys.unknown_key_max_age = value.configuration_bound / 2;
     read("revocation_bound_ms", value.keys.revocation);
     double stop_seconds =
         std::chrono::duration<double>(value.stop_bound).count();
@@ -72,18 +71,21 @@
     root.read_number("allotment_window_s", window, {0.1, 600.0}, optional);
     value.window = std::chrono::duration_cast<duration>(
         std::chrono::duration<double>(window));
-    root.read_number("allotment_over", value.over, {0.001, 1.0}, optional);
-    root.read_number("allotment_slack", value.slack, {0.0, 1e12}, optional);
+    root.read_number("allotment_over", value.overshoot_ratio, {0.001, 1.0},
+                     optional);
+    root.read_number("allotment_slack", value.overshoot_units, {0.0, 1e12},
+                     optional);
 }
 
 void read_crashes(json_object& root, crash_limits& value)
 {
     root.read_count("crash_limit", value.crashes, {1, 100}, optional);
-    double memory = std::chrono::duration<double>(value.memory).count();
+    double memory = std::chrono::duration<double>(value.retention).count();
     root.read_number("crash_memory_s", memory, {1.0, 86'400.0}, optional);
-    value.memory = std::chrono::duration_cast<duration>(
+    value.retention = std::chrono::duration_cast<duration>(
         std::chrono::duration<double>(memory));
-    root.read_count("crash_records", value.most, {16, 1'000'000}, optional);
+    root.read_count("crash_records", value.max_entries, {16, 1'000'000},
+                    optional);
 }
 
 } // namespace
--- a/src/relay_teams.cpp
+++ b/src/relay_teams.cpp
@@ -1,4 +1,4 @@
-// Whose requests are, and what they count against teams' allotments.
+// Checks callers' keys and charges requests to teams' allotments.
 #include "boot_clock.hpp"
 #include "collected_exchange.hpp"
 #include "peer_allotment.hpp"
@@ -18,23 +18,23 @@
 
 constexpr int status_ok = 200;
 constexpr int status_bad_request = 400;
-/// A pool answers from memory.
-constexpr milliseconds question_timeout{300};
-constexpr milliseconds question_connect_timeout{150};
-constexpr milliseconds question_idle{3000};
+/// Short, since a pool answers from memory.
+constexpr milliseconds pool_request_timeout{300};
+constexpr milliseconds pool_connect_timeout{150};
+constexpr milliseconds pool_connection_max_idle{3000};
 
-std::uint64_t& count_of(relay_counts& counts, relay_request const& request,
-                        error_kind kind)
+std::uint64_t& refusal_counter(relay_counts& counts,
+                               relay_request const& request, error_kind kind)
 {
     if (kind == error_kind::configuration_stale)
-        return counts.key_in_doubt;
+        return counts.key_unverified;
     return request.key ? counts.key_unknown : counts.key_missing;
 }
 
 } // namespace
 
-access_decision relay::access_to(relay_request const& request,
-                                 route const& matched)
+access_decision relay::check_access(relay_request const& request,
+                                    route const& matched)
 {
     time_point const at = now();
     declarations_known const known = options_.declarations_as_of
@@ -45,7 +45,7 @@
     auto const* refused = std::get_if<error>(&decision);
     if (refused == nullptr)
         return decision;
-    ++count_of(counts_, request, refused->kind());
+    ++refusal_counter(counts_, request, refused->kind());
     log_.notable("key refused",
                  log_fields()
                      .add("request", request.id.str())
@@ -58,22 +58,23 @@
     return decision;
 }
 
-std::optional<error> relay::refused_for_key(relay_exchange const& exchange)
+std::optional<error> relay::check_key(relay_exchange const& exchange)
 {
     auto const& team = exchange.terms().team;
     if (!team || team->empty())
         return std::nullopt;
     auto const access =
-        access_to(exchange.request(), *exchange.terms().matched);
+        check_access(exchange.request(), *exchange.terms().matched);
     if (auto const* refused = std::get_if<error>(&access))
         return *refused;
     auto const* const holder = std::get<access_granted>(access).holder;
     if (holder != nullptr && holder->name == *team)
         return std::nullopt;
-    return error(error_kind::unauthorized, "the key is another team's now");
+    return error(error_kind::unauthorized,
+                 "the key now belongs to another team");
 }
 
-void relay::share_teams()
+void relay::update_teams()
 {
     teams_ = std::make_unique<team_directory>(config_);
     std::map<team_id, allotment> limits;
@@ -81,45 +82,45 @@
         if (each.limit)
             limits.emplace(each.name, *each.limit);
     allotments_->set_teams(limits, now());
-    run_soon();
+    schedule_run();
 }
 
-void relay::start_metered(std::shared_ptr<relay_exchange> const& exchange,
-                          team const* holder)
+void relay::acquire_allotment(std::shared_ptr<relay_exchange> const& exchange,
+                              team const* holder)
 {
     if (holder == nullptr || !holder->limit)
         return exchange->start();
     exchange_terms const& terms = exchange->terms();
     double const units = allotment_cost(exchange->request(), *holder->limit);
-    metered_[terms.ticket] = {holder->name, units};
+    metered_requests_[terms.ticket] = {holder->name, units};
     allotments_->request(terms.ticket, holder->name, units, terms.give_up_at,
                          now());
     run_allotments();
-    run_soon();
+    schedule_run();
 }
 
 void relay::run_allotments()
 {
     for (allotment_action const& action : allotments_->run(now()))
-        if (auto const* ask = std::get_if<ask_pool>(&action))
-            send_question(*ask);
+        if (auto const* ask = std::get_if<query_pool>(&action))
+            send_allotment_query(*ask);
         else
-            on_allotment(std::get<allotment_settled>(action));
+            on_allotment_decision(std::get<allotment_decision>(action));
 }
 
-void relay::on_allotment(allotment_settled const& settled)
+void relay::on_allotment_decision(allotment_decision const& decision)
 {
-    auto const found = exchanges_.find(settled.ticket);
-    auto const metered = metered_.find(settled.ticket);
-    if (found == exchanges_.end() || metered == metered_.end())
+    auto const found = exchanges_.find(decision.ticket);
+    auto const metered = metered_requests_.find(decision.ticket);
+    if (found == exchanges_.end() || metered == metered_requests_.end())
         return;
     auto const exchange = found->second;
-    if (!settled.refused)
+    if (!decision.refused)
     {
-        metered->second.waits = false;
+        metered->second.pending = false;
         return exchange->start();
     }
-    error const& why = *settled.refused;
+    error const& why = *decision.refused;
     ++(why.kind() == error_kind::over_allotment ? counts_.over_allotment
                                                 : counts_.allotment_unknown);
     time_point const at = now();
@@ -134,52 +135,53 @@
                  at);
     exchange->on_refused(
         error(why.kind(), why.text(), why.request_ran(),
-              spread(why.retry_after().value_or(duration(0)))));
+              add_jitter(why.retry_after().value_or(duration(0)))));
 }
 
-/// A question to this VM's own pool takes the same way, without the network.
-void relay::send_question(ask_pool const& ask)
+/// A query to this VM's own pool is answered asynchronously too, but without
+/// the network.
+void relay::send_allotment_query(query_pool const& ask)
 {
-    auto const told =
+    auto const on_reply =
         [this, number = ask.number](std::optional<allotment_reply> const& reply)
     {
         allotments_->on_reply(number, reply, now());
         run_allotments();
-        run_soon();
+        schedule_run();
     };
     auto const peer = peers_.find(ask.pool);
     if (ask.pool == options_.vm || peer == peers_.end())
         return asio::post(io_,
-                          [this, told, ask]
+                          [this, on_reply, ask]
                           {
-                              told(ask.pool == options_.vm
-                                       ? std::optional(allotments_->answer(
-                                             ask.question, now()))
-                                       : std::nullopt);
+                              on_reply(ask.pool == options_.vm
+                                           ? std::optional(allotments_->answer(
+                                                 ask.query, now()))
+                                           : std::nullopt);
                           });
     collected_call call;
     call.to = peer->second.address;
-    call.bytes = encode_allotment_question(ask.question, call.to.ip);
-    call.options.connect_timeout = question_connect_timeout;
-    call.options.max_idle = question_idle;
-    call.ends_at = [ends = std::chrono::steady_clock::now() + question_timeout]
-    { return ends; };
-    call.on_end = [told](collected_answer const& answer)
+    call.bytes = encode_allotment_query(ask.query, call.to.ip);
+    call.options.connect_timeout = pool_connect_timeout;
+    call.options.max_idle = pool_connection_max_idle;
+    call.current_deadline = [ends = std::chrono::steady_clock::now() +
+                                    pool_request_timeout] { return ends; };
+    call.on_end = [on_reply](collected_answer const& answer)
     {
-        told(answer.status == status_ok ? decode_allotment_reply(answer.body)
-                                        : std::nullopt);
+        on_reply(answer.status == status_ok
+                     ? decode_allotment_reply(answer.body)
+                     : std::nullopt);
     };
     start_collected(io_, pool_, std::move(call));
 }
 
 void relay::handle_allotment(http_request const& received, http_answer& answer)
 {
-    auto const question = decode_allotment_question(received.body);
-    if (!question)
+    auto const query = decode_allotment_query(received.body);
+    if (!query)
         return answer.respond({status_bad_request, {}, {}});
     answer.respond(json_response(
-        status_ok,
-        encode_allotment_reply(allotments_->answer(*question, now()))));
+        status_ok, encode_allotment_reply(allotments_->answer(*query, now()))));
 }
 
 } // namespace mulberry
--- /dev/null
+++ b/src/row_replica.cpp
@@ -0,0 +1,128 @@
+#include "row_replica.hpp"
+
+#include <algorithm>
+#include <set>
+#include <utility>
+
+namespace mulberry
+{
+namespace
+{
+
+/// Maximum number of deleted rows that are remembered (tombstones), so that
+/// followers learn of deletions from the changes. They cover some minutes of
+/// restarts; a follower that asks for older changes gets all rows.
+constexpr std::size_t max_tombstones = 1000;
+
+} // namespace
+
+row_replica::row_replica(projection project) : project_(std::move(project)) {}
+
+std::vector<stored_row>
+row_replica::apply_snapshot(std::vector<stored_row> rows, row_version version)
+{
+    std::set<std::string> present;
+    for (stored_row const& row : rows)
+        present.insert(row.key);
+    // The version at which a missing row was deleted is unknown; the snapshot's
+    // version is the first at which the row is certain to be missing.
+    for (auto const& [key, known] : entries_)
+        if (!known.row.deleted && present.count(key) == 0)
+            rows.push_back({known.row.kind, key, version, {}, true});
+    if (!is_loaded_)
+        complete_since_ = version;
+    is_loaded_ = true;
+    return apply(std::move(rows), version);
+}
+
+std::vector<stored_row> row_replica::apply(std::vector<stored_row> rows,
+                                           row_version version)
+{
+    std::vector<stored_row> newer;
+    for (stored_row& row : rows)
+    {
+        stored_row copy = row;
+        if (apply_row(std::move(row)))
+            newer.push_back(std::move(copy));
+    }
+    version_ = std::max(version_, version);
+    prune_tombstones();
+    return newer;
+}
+
+/// Failure: answers overtake each other, and a row read earlier replaces the
+/// one read later; a draining worker looks healthy again. A row is therefore
+/// never replaced by an older version of itself.
+bool row_replica::apply_row(stored_row row)
+{
+    auto const known = entries_.find(row.key);
+    if (known == entries_.end() && row.deleted)
+        return false;
+    if (known != entries_.end() && row.version <= known->second.row.version)
+        return false;
+    std::string projected = row.deleted ? std::string()
+                            : project_  ? project_(row)
+                                        : std::to_string(row.version.value());
+    if (known == entries_.end())
+    {
+        changed_at_ = std::max(changed_at_, row.version);
+        std::string const key = row.key;
+        row_version const version = row.version;
+        entries_.emplace(key,
+                         entry{std::move(row), std::move(projected), version});
+        return true;
+    }
+    entry& old = known->second;
+    bool const same =
+        old.row.deleted == row.deleted && old.projection == projected;
+    if (!same)
+    {
+        old.changed_at = row.version;
+        changed_at_ = std::max(changed_at_, row.version);
+        tombstones_ += row.deleted && !old.row.deleted;
+        tombstones_ -= old.row.deleted && !row.deleted;
+    }
+    old.projection = std::move(projected);
+    old.row = std::move(row);
+    return true;
+}
+
+void row_replica::prune_tombstones()
+{
+    if (tombstones_ <= max_tombstones)
+        return;
+    std::erase_if(entries_,
+                  [this](auto const& each)
+                  {
+                      if (each.second.row.deleted)
+                          complete_since_ =
+                              std::max(complete_since_, each.second.changed_at);
+                      return each.second.row.deleted;
+                  });
+    tombstones_ = 0;
+}
+
+std::optional<std::vector<stored_row>>
+row_replica::changes_since(row_version after) const
+{
+    if (!is_loaded_ || after < complete_since_)
+        return std::nullopt;
+    std::vector<stored_row> changed;
+    if (changed_at_ <= after)
+        return changed;
+    for (auto const& [key, known] : entries_)
+        if (known.changed_at > after)
+            changed.push_back(known.row);
+    return changed;
+}
+
+std::vector<stored_row> row_replica::rows() const
+{
+    std::vector<stored_row> all;
+    for (auto const& [key, known] : entries_)
+        if (!known.row.deleted)
+            all.push_back(known.row);
+    return all;
+}
+
+} // namespace mulberry
