--- a/src/service_estimate.cpp
+++ b/src/service_estimate.cpp
@@ -1,5 +1,5 @@
-// What is known of workers, and when a request would begin at one; see
-// service_scheduler.hpp.
+// Assumed state of workers, and estimates of when a request would start at a
+// worker; see service_scheduler.hpp.
 #include "service_scheduler.hpp"
 
 #include <algorithm>
@@ -11,113 +11,124 @@
 
 using std::chrono::milliseconds;
 
-/// A worker is chosen by the time until a request would begin there: the
-/// prompts that it has yet to read, and this for a batch in use as a whole,
-/// whose steps take longer.
+/// Added to the prefill backlog in the queueing delay, in proportion to the use
+/// of the batch: this much for a full batch, whose steps take longer.
 constexpr milliseconds full_batch_delay{100};
-/// Bytes between failure domains cost time and money, so a worker elsewhere is
-/// used when those here are later by as much.
+/// Traffic between failure domains costs time and money. A worker in another
+/// domain is used only if local workers would start the request later by more
+/// than this.
 constexpr milliseconds other_domain_penalty{40};
-/// A request begins after what is ahead of it was read, at the latest after so
-/// many times as long: other VMs' prompts are known from a while ago.
-constexpr int begin_slack = 2;
-/// A worker fails too much when it does so for so much more of its answers
-/// than the average worker of the service, and for so many times as many. A
-/// fault of the service as a whole is no reason to leave any worker: adapters
-/// would be fetched anew elsewhere, for nothing.
-constexpr double sick_margin = 0.2;
-constexpr double sick_multiple = 2;
-/// The share of a batch that a VM may fill at a worker that another VM fills.
-constexpr std::size_t foreign_share = 4;
-/// A worker is crowded when it has so many times as many requests as the
-/// average one, and more than a few: prompts are read one after the other, so
-/// that a first token waits for all of those before it long before the batch
-/// is full. Then other homes are used and second copies loaded.
-constexpr double crowded_multiple = 1.5;
-constexpr double few_requests = 4;
-/// A worker with so much to read is crowded too: a fetch elsewhere takes less.
-constexpr milliseconds longest_queue{300};
-/// What a fetch takes from other requests: a place among those that are sent
-/// at full speed, and an adapter slot.
+/// Upper bound of the time until a request starts, as a multiple of the known
+/// prefill backlog. The backlog from other VMs is known from stale data only.
+constexpr int prefill_time_factor = 2;
+/// A worker is an outlier if its failure share exceeds the service's average by
+/// this margin and by this factor. Comparing with the average keeps all workers
+/// in use when the service fails as a whole; avoiding some would only fetch
+/// adapters again elsewhere.
+constexpr double outlier_failure_margin = 0.2;
+constexpr double outlier_failure_factor = 2;
+/// A VM that does not own a worker may use one part in this many of the
+/// worker's batch.
+constexpr std::size_t non_owner_batch_divisor = 4;
+/// A worker is overloaded if it has this many times the average number of
+/// requests and more than a few. Prefill runs one prompt at a time, so that the
+/// first token waits for all earlier prompts long before the batch is full.
+/// Second copies of adapters are loaded elsewhere then.
+constexpr double overload_factor = 1.5;
+constexpr double overload_min_requests = 4;
+/// A worker with a larger prefill backlog is overloaded too: a fetch elsewhere
+/// takes less time.
+constexpr milliseconds overload_prefill_time{300};
+/// Cost of a fetch to other requests: one of the fetches that run at full speed
+/// and an adapter slot.
 constexpr milliseconds fetch_cost{100};
-/// An answer that begins after its objective is worth a third to its caller; a
-/// fetch that saves it from that is worth its cost.
+/// Penalty for an answer that starts after its service-level objective. Such an
+/// answer is worth only a third to the caller, so a fetch that avoids the delay
+/// is worth its cost.
 constexpr milliseconds lateness_cost{500};
-/// Of the time that a shared beginning takes to be read, this part is saved by
-/// its holder on average: it may have made way since. Counting all of it
-/// gathers requests at busy holders (mean worth 0.470 for 0.479, 20 days).
-constexpr int prefix_divisor = 2;
-/// Whatever the average, a batch that is so full is crowded. This alone counts
-/// for an adapter that is seldom asked for: it adds little to the crowd, and a
-/// second home costs a fetch.
-constexpr double crowded_share = 0.75;
-/// An adapter that is asked for so often a second is worth a second copy when
-/// the first is busy: at one in three seconds the copy is used before it has to
-/// make way.
-constexpr double hot_rate = 0.3;
+/// The holder of a shared prefix saves on average one part in this many of its
+/// prefill time, since the prefix may have been evicted from the cache. A
+/// divisor of 1 concentrates requests on busy holders and lowered the mean
+/// worth of answers from 0.479 to 0.470 over 20 days.
+constexpr int prefix_saving_divisor = 2;
+/// A worker whose batch is used to this share is overloaded whatever the
+/// average. Only this criterion counts for an adapter that is rarely requested:
+/// it adds little load, and a second copy costs a fetch.
+constexpr double overload_batch_share = 0.75;
+/// An adapter with this request rate is worth a second copy when the worker of
+/// the first is busy: at one request in three seconds the copy is used before
+/// it is evicted.
+constexpr double hot_requests_per_second = 0.3;
 
 } // namespace
 
-std::size_t service_scheduler::limit_of(worker_state const& worker) const
+std::size_t service_scheduler::request_limit(worker_state const& worker) const
 {
     std::size_t const slots = worker.entry.slots;
     if (!config_.engine || worker.owned)
         return slots;
-    return std::max<std::size_t>(1, slots / foreign_share);
+    return std::max<std::size_t>(1, slots / non_owner_batch_divisor);
 }
 
-std::size_t service_scheduler::taken(worker_state const& worker) const
+std::size_t
+service_scheduler::outstanding_requests(worker_state const& worker) const
 {
     return worker.health.outstanding() + worker.granted;
 }
 
-double service_scheduler::load_of(worker_state const& worker) const
+double service_scheduler::batch_utilization(worker_state const& worker) const
 {
-    return double(taken(worker)) / double(worker.entry.slots);
+    return double(outstanding_requests(worker)) / double(worker.entry.slots);
 }
 
-duration service_scheduler::queue_delay(worker_state const& worker,
-                                        time_point now) const
+duration service_scheduler::queueing_delay(worker_state const& worker,
+                                           time_point now) const
 {
-    return worker.reading.ahead(now) +
+    return worker.backlog.ahead(now) +
            duration(static_cast<duration::rep>(
-               load_of(worker) * double(duration(full_batch_delay).count())));
+               batch_utilization(worker) *
+               double(duration(full_batch_delay).count())));
 }
 
-duration service_scheduler::domain_delay(worker_state const& worker) const
+duration
+service_scheduler::cross_domain_penalty(worker_state const& worker) const
 {
     return worker.entry.domain == settings_.domain
                ? duration(0)
                : duration(other_domain_penalty);
 }
 
-bool service_scheduler::usable(worker_state const& worker,
-                               work_item const& item, time_point now) const
+bool service_scheduler::accepts_request(worker_state const& worker,
+                                        work_item const& item,
+                                        time_point now) const
 {
     if (worker.entry.draining || item.excluded.count(worker.entry.id) > 0 ||
-        rests_for(worker, item, now) || worker.health.full(now) ||
-        taken(worker) >= limit_of(worker))
+        in_backoff_for(worker, item, now) || worker.health.is_full(now) ||
+        outstanding_requests(worker) >= request_limit(worker))
         return false;
-    return !worker.health.avoided(now) || worker.health.may_probe(now);
+    return !worker.health.is_avoided(now) || worker.health.may_probe(now);
 }
 
-bool service_scheduler::ready_at(worker_state const& worker,
-                                 work_item const& item, time_point now) const
+bool service_scheduler::can_run_now(worker_state const& worker,
+                                    work_item const& item, time_point now) const
 {
-    return worker.owned && usable(worker, item, now) && !sick(worker, now) &&
-           holds(worker, *item.target, now);
+    return worker.owned && accepts_request(worker, item, now) &&
+           !is_failure_outlier(worker, now) &&
+           has_usable_copy(worker, *item.target, now);
 }
 
-bool service_scheduler::sick(worker_state const& worker, time_point now) const
+bool service_scheduler::is_failure_outlier(worker_state const& worker,
+                                           time_point now) const
 {
     double const share = worker.health.failure_share(now);
-    if (share <= sick_margin)
+    if (share <= outlier_failure_margin)
         return false;
     double sum = 0;
     for (auto const& [id, each] : workers_)
         sum += each->health.failure_share(now);
     double const average = sum / double(workers_.size());
-    return share > average + sick_margin && share > sick_multiple * average;
+    return share > average + outlier_failure_margin &&
+           share > outlier_failure_factor * average;
 }
 
 duration service_scheduler::weights_load_time(base_model_id const& model) const
@@ -141,7 +152,7 @@
                        });
 }
 
-double service_scheduler::average_taken() const
+double service_scheduler::mean_outstanding_requests() const
 {
     double sum = 0;
     double known = 0;
@@ -149,42 +160,45 @@
     {
         if (worker->entry.draining || !worker->owned)
             continue;
-        sum += load_of(*worker) * double(worker->entry.slots);
+        sum += batch_utilization(*worker) * double(worker->entry.slots);
         known += 1;
     }
     return known == 0 ? 0 : sum / known;
 }
 
-bool service_scheduler::crowded(worker_state const& worker, bool asked_often,
-                                time_point now) const
+bool service_scheduler::is_overloaded(worker_state const& worker,
+                                      bool frequently_requested,
+                                      time_point now) const
 {
-    double const load = load_of(worker);
+    double const load = batch_utilization(worker);
     double const requests = load * double(worker.entry.slots);
-    if (load >= crowded_share)
+    if (load >= overload_batch_share)
         return true;
-    if (worker.reading.ahead(now) > longest_queue)
-        return asked_often;
-    return asked_often && requests > few_requests &&
-           requests > crowded_multiple * average_taken() + 1;
+    if (worker.backlog.ahead(now) > overload_prefill_time)
+        return frequently_requested;
+    return frequently_requested && requests > overload_min_requests &&
+           requests > overload_factor * mean_outstanding_requests() + 1;
 }
 
-/// Failure: a version is declared while a copy of the one before is in use; a
-/// request that begins on the old copy after the bound gets an answer of the
-/// wrong version. An old copy is used for the grace only, and only while the
-/// new one is being loaded; the grace has to last until the request begins,
-/// after the prompts that are ahead of it.
-bool service_scheduler::holds(worker_state const& worker,
-                              model_target const& target, time_point now) const
+/// Whether the worker has the model or a copy of the adapter that a request may
+/// use. A superseded copy is usable only during the grace period, while the new
+/// version is loaded. The grace period must last until the request starts,
+/// after the prefill of earlier prompts; otherwise the request would get an
+/// answer of the wrong version after the bound.
+bool service_scheduler::has_usable_copy(worker_state const& worker,
+                                        model_target const& target,
+                                        time_point now) const
 {
-    if (worker.owned && worker.adapters.known())
+    if (worker.owned && worker.adapters.is_state_known())
     {
         if (target.adapter.empty())
             return worker.adapters.has_model(target.model);
         if (worker.adapters.stage(target) != adapter_stage::resident)
             return false;
         return worker.adapters.version(target) >=
-               releases_.oldest_allowed(
-                   target, now + worker.reading.ahead(now) * begin_slack);
+               version_history_.oldest_allowed(target,
+                                               now + worker.backlog.ahead(now) *
+                                                         prefill_time_factor);
     }
     for (held_model const& held : worker.entry.models)
     {
@@ -193,36 +207,39 @@
         if (target.adapter.empty())
             return true;
         auto const copy = held.adapters.find(target.adapter);
-        return copy != held.adapters.end() && copy->second >= newest_of(target);
+        return copy != held.adapters.end() &&
+               copy->second >= newest_version(target);
     }
     return false;
 }
 
-/// Load it answers: more adapters in use at once than their homes have slots
-/// for. Some are loaded away from home then; asked for at home again, each
-/// would be fetched once more and take a second slot.
-bool service_scheduler::known_at(worker_state const& worker,
-                                 model_target const& target,
-                                 time_point now) const
+/// Whether the adapter is resident or being loaded at the worker. Recent
+/// locations on other VMs' workers count too: when more adapters are in use
+/// than their homes have slots, some are loaded away from home, and a second
+/// request at the home would fetch the adapter again and use a second slot.
+bool service_scheduler::has_or_loads_adapter(worker_state const& worker,
+                                             model_target const& target,
+                                             time_point now) const
 {
-    if (worker.owned && worker.adapters.known())
+    if (worker.owned && worker.adapters.is_state_known())
         return worker.adapters.stage(target).has_value();
-    if (sightings_.at(target, worker.entry.id, now))
+    if (adapter_locations_.is_at(target, worker.entry.id, now))
         return true;
-    return holds(worker, target, now);
+    return has_usable_copy(worker, target, now);
 }
 
-/// Each slot is free again after the rest of a request: on average one of them
-/// after a mean request's time over their number.
+/// On average a slot becomes free after the mean service time divided by the
+/// number of slots.
 duration service_scheduler::slot_wait(std::size_t ahead,
                                       std::size_t slots) const
 {
-    return mean_service_ * ahead / std::max<std::size_t>(slots, 1);
+    return mean_service_time_ * ahead / std::max<std::size_t>(slots, 1);
 }
 
 duration service_scheduler::slot_delay(worker_state const& worker) const
 {
-    if (!worker.owned || !config_.engine || worker.adapters.has_room())
+    if (!worker.owned || !config_.engine ||
+        worker.adapters.has_available_slot())
         return duration(0);
     return slot_wait(worker.queued + 1, config_.engine->adapter_slots);
 }
@@ -233,44 +250,46 @@
     return slot_delay(worker) + worker.adapters.load_time(target);
 }
 
-/// A load that is overdue is taken to need as long again as it is late: while
-/// many are fetched at once nothing is known of when it ends.
-duration service_scheduler::load_left(worker_state const& worker,
-                                      model_target const& target,
-                                      time_point now) const
+/// An overdue load is assumed to need as much more time as it is late, since
+/// its end cannot be predicted while many adapters are fetched at once.
+duration service_scheduler::remaining_load_time(worker_state const& worker,
+                                                model_target const& target,
+                                                time_point now) const
 {
-    time_point const due = worker.adapters.due(target);
+    time_point const due = worker.adapters.load_expected_at(target);
     return due > now ? due - now : now - due;
 }
 
-duration service_scheduler::begin_delay(worker_state const& worker,
-                                        work_item const& item,
-                                        worker_state const* prefix_home,
-                                        time_point now) const
+duration service_scheduler::placement_cost(worker_state const& worker,
+                                           work_item const& item,
+                                           worker_state const* prefix_home,
+                                           time_point now) const
 {
     model_target const& target = *item.target;
-    duration delay = queue_delay(worker, now);
+    duration delay = queueing_delay(worker, now);
     duration cost{};
-    if (!known_at(worker, target, now))
+    if (!has_or_loads_adapter(worker, target, now))
     {
         delay = std::max(delay, load_delay(worker, target));
-        if (!worker.adapters.was_here_lately(target))
+        if (!worker.adapters.was_recently_resident(target))
             cost += fetch_cost;
     }
-    else if (worker.owned && worker.adapters.due(target) != never)
-        delay = std::max(delay, load_left(worker, target, now));
-    if (now + delay + pace_.time_for(item.prompt_tokens) > item.objective_at)
+    else if (worker.owned && worker.adapters.load_expected_at(target) != never)
+        delay = std::max(delay, remaining_load_time(worker, target, now));
+    if (now + delay + prefill_rate_.prefill_time(item.prompt_tokens) >
+        item.objective_at)
         cost += lateness_cost;
     delay += cost;
-    delay += domain_delay(worker);
+    delay += cross_domain_penalty(worker);
     if (&worker == prefix_home)
-        delay -= pace_.time_for(item.prefix.tokens) / prefix_divisor;
+        delay -= prefill_rate_.prefill_time(item.prefix.tokens) /
+                 prefix_saving_divisor;
     return delay;
 }
 
-bool service_scheduler::hot(model_target const& target, time_point now) const
+bool service_scheduler::is_hot(model_target const& target, time_point now) const
 {
-    return demand_.rate(demand_key(target), now) >= hot_rate;
+    return demand_.rate(demand_key(target), now) >= hot_requests_per_second;
 }
 
 bool service_scheduler::has_reachable_owner(worker_state const& worker,
@@ -280,19 +299,19 @@
     if (owner == owners_.end())
         return false;
     auto const peer = peers_.find(owner->second);
-    return peer == peers_.end() || !peer->second.avoided(now) ||
+    return peer == peers_.end() || !peer->second.is_avoided(now) ||
            peer->second.may_probe(now);
 }
 
-bool service_scheduler::refused_by(worker_id const& worker,
-                                   waiting_item const& waiting,
-                                   time_point now) const
+bool service_scheduler::owner_refused(worker_id const& worker,
+                                      waiting_item const& waiting,
+                                      time_point now) const
 {
     auto const owner = owners_.find(worker);
     if (owner == owners_.end())
         return false;
-    auto const refusal = waiting.said_no.find(owner->second);
-    return refusal != waiting.said_no.end() && now < refusal->second;
+    auto const refusal = waiting.refused_until.find(owner->second);
+    return refusal != waiting.refused_until.end() && now < refusal->second;
 }
 
 } // namespace mulberry
--- a/src/stream_observer.hpp
+++ b/src/stream_observer.hpp
@@ -1,4 +1,4 @@
-/// Reads a stream of events, from an engine or a peer, into attempt events.
+/// Converts a server-sent event stream of an engine or peer to attempt events.
 #ifndef MULBERRY_STREAM_OBSERVER_HPP
 #define MULBERRY_STREAM_OBSERVER_HPP
 
@@ -13,12 +13,14 @@
 namespace mulberry
 {
 
-/// How far a failed call may have had an effect, from the stage the client
-/// reports.
+/// Converts the stage at which the HTTP client reports a failed call. The
+/// result says whether the call may have had an effect.
 failure_stage to_failure_stage(call_stage stage);
 
-/// Posts attempt_chunk for each event, then attempt_end after `[DONE]` or
-/// attempt_failure. Used on the client's thread only.
+/// Posts an attempt_chunk for each event, and finally an attempt_end after
+/// `[DONE]` or an attempt_failure.
+///
+/// Thread safety: used on the HTTP client's thread only.
 class stream_observer : public http_call_observer
 {
 public:
@@ -30,7 +32,7 @@
     void on_failure(call_stage stage, std::string const& text) override;
 
 private:
-    void take(sse_event const& event);
+    void handle_event(sse_event const& event);
     void fail(attempt_failure failure);
     void fail_with_status();
 
@@ -40,8 +42,8 @@
     sse_parser parser_;
     int status_ = 0;
     std::string body_;
-    bool begun_ = false;
-    bool over_ = false;
+    bool event_seen_ = false;
+    bool finished_ = false;
 };
 
 } // namespace mulberry
--- a/src/vm_core.hpp
+++ b/src/vm_core.hpp
@@ -1,5 +1,6 @@
-/// The decision core of one entry VM: events with the time go in, actions come
-/// out. No I/O, clock, threads or global state; deterministic for one seed.
+/// The decision core of one entry VM: a state machine that takes events with
+/// their time and returns actions. No I/O, clock, threads or global state;
+/// deterministic for a given seed.
 #ifndef MULBERRY_VM_CORE_HPP
 #define MULBERRY_VM_CORE_HPP
 
@@ -26,63 +27,74 @@
 namespace mulberry
 {
 
+/// Settings of the core and its parts.
 struct core_settings
 {
     ownership_settings ownership;
     configuration_settings configuration;
     service_settings services;
-    /// Its VM is ownership.vm.
+    /// The core sets its `vm` to ownership.vm.
     quarter_settings quarter;
     entry_settings entry;
     dispatcher_limits dispatch;
+    /// Interval of ownership hints to the other VMs.
     duration hint_interval = std::chrono::milliseconds(200);
-    /// How long a leaving VM still passes new requests on, while the balancer
-    /// learns of it; after that it refuses them.
+    /// How long a leaving VM still accepts new requests and forwards them to
+    /// other VMs, while the load balancer learns that the VM leaves. After
+    /// this time the VM refuses new requests.
     duration drain_grace = std::chrono::seconds(2);
+    /// Name of the routing policy, see make_policy().
     std::string policy = "mulberry";
+    /// Name of the load budget, see make_load_budget().
     std::string load_budget = "exchanged_counts";
     std::uint64_t seed = 1;
 };
 
-/// How a confirm ended, for the operators' listener.
+/// Result of an operator's confirm, for the operators' listener.
 using confirm_result = confirm_settled;
 
-/// What the VM looks like from outside, at a moment. Value.
+/// Snapshot of the VM's state for status pages and metrics. Value.
 struct core_status
 {
     struct worker_status
     {
         worker_view view;
+        /// Fencing number of this VM's ownership.
         fencing_number fence;
         dispatch_counts counts;
     };
     vm_id vm;
-    incarnation life;
+    incarnation vm_incarnation;
     bool registered = false;
     bool leaving = false;
     bool takes_new_work = false;
     bool lease_holds = false;
+    /// Whether this VM serves while the table is unreachable, because a
+    /// majority of VMs promised to confirm no other configuration meanwhile.
     bool going_on_without_table = false;
     bool configuration_known = false;
     config_version configuration;
     std::shared_ptr<declaration const> declared;
+    /// Workers that this VM owns.
     std::vector<worker_status> workers;
     std::vector<member_view> members;
-    /// What is loaded anywhere, as far as this VM knows.
+    /// Adapters resident at any worker, as far as this VM knows.
     std::map<worker_id, std::vector<adapter_ref>> residents;
+    /// Requests in progress.
     std::size_t in_progress = 0;
     entry_counts entry;
-    latency_summary first_event;
-    latency_summary whole_answer;
+    latency_summary first_event_latency;
+    latency_summary answer_latency;
     service_counts services;
     /// Counts of workers that this VM no longer owns.
-    dispatch_counts past;
-    /// Of the whole deployment.
+    dispatch_counts retired_counts;
+    /// The current quarter, such as 2026-Q4.
     std::string quarter;
+    /// Standing of every target in this quarter, for the whole deployment.
     std::vector<target_standing> standings;
 };
 
-/// Thread safety: none; one thread feeds it.
+/// Thread safety: none; all calls come from one thread.
 class vm_core : private local_owner, private answer_counter
 {
 public:
@@ -94,24 +106,29 @@
 
     /// Registers the VM and reads the configuration.
     void start(time_point now, action_list& actions);
-    /// Takes one event. Precondition: `now` never falls.
+    /// Handles one event and appends the resulting actions. Precondition:
+    /// `now` is not before that of an earlier call.
     void handle(core_event const& event, time_point now, action_list& actions);
 
-    /// Confirms that ended since the last call.
+    /// Returns and clears the results of confirms that ended since the last
+    /// call.
     std::vector<confirm_result> take_confirms();
-    /// Whether the VM has left and its process may end.
-    bool may_end(time_point now) const;
+    /// Whether the VM has left and its process may exit.
+    bool can_exit(time_point now) const;
+    /// Whether new requests are accepted now.
     bool takes_new_work(time_point now) const;
     core_status status(time_point now) const;
-    /// The configuration in force; null before the first.
+    /// The configuration in force; null until one is known.
     std::shared_ptr<declaration const> declared() const { return declared_; }
-    /// The workers whose load reports the core needs: those it owns, and
-    /// those it gave up while something of its own is left there.
+    /// The workers whose load reports the core needs: workers that this VM
+    /// owns, and workers that it gave up while requests or orders of this VM
+    /// may still be in progress there.
     std::vector<worker_id> watched_workers() const;
-    /// IP:PORT of a VM's peers' listener; empty if it is not known.
+    /// IP:PORT of the peers' listener of a VM; empty if unknown.
     std::string address_of(vm_id const& vm) const;
 
 private:
+    /// The dispatcher of a worker that this VM no longer owns.
     struct retired_dispatcher
     {
         worker_id worker;
@@ -122,14 +139,18 @@
             action_list& actions);
     void on(service_request_arrived const& event, time_point now,
             action_list& actions);
-    void on(writer_gone const& event, time_point now, action_list& actions);
-    void on(request_forwarded const& event, time_point now,
+    void on(client_disconnected const& event, time_point now,
             action_list& actions);
-    void on(peer_said const& event, time_point now, action_list& actions);
-    void on(vms_listed const& event, time_point now, action_list& actions);
-    void on(confirm_asked const& event, time_point now, action_list& actions);
-    void on(leave_asked const& event, time_point now, action_list& actions);
-    void on(quarter_began const& event, time_point now, action_list& actions);
+    void on(forwarded_request_arrived const& event, time_point now,
+            action_list& actions);
+    void on(peer_message_received const& event, time_point now,
+            action_list& actions);
+    void on(vm_list_received const& event, time_point now,
+            action_list& actions);
+    void on(confirm_requested const& event, time_point now,
+            action_list& actions);
+    void on(leave_requested const& event, time_point now, action_list& actions);
+    void on(quarter_started const& event, time_point now, action_list& actions);
     void on(clock_ticked const& event, time_point now, action_list& actions);
     void on(attempt_chunk const& event, time_point now, action_list& actions);
     void on(attempt_end const& event, time_point now, action_list& actions);
@@ -145,46 +166,63 @@
                         time_point now, action_list& actions) override;
     void withdraw_locally(worker_id const& worker, request_id const& request,
                           time_point now, action_list& actions) override;
-    void count_whole(model_request const& request, duration took) override;
+    void count_completed(model_request const& request, duration took) override;
     void count_failed(model_request const& request, error_kind kind) override;
     void count_withdrawn(model_request const& request,
                          duration waited) override;
 
-    /// Passes on to `actions` what the shell has to do, feeds what concerns
-    /// the core's own parts back to them, and acts on what the keepers
-    /// reported, until nothing is left over.
-    void settle(action_list& raw, time_point now, action_list& actions);
-    /// Whether the action was for a part of the core itself.
-    bool keep_inside(action const& one, time_point now, action_list& raw);
-    bool settle_ownership(time_point now, action_list& actions);
-    bool settle_configuration(time_point now, action_list& actions);
-    void gain(worker_gained const& event, time_point now, action_list& actions);
-    void lose(worker_lost const& event, time_point now, action_list& actions);
-    void apply(configuration_in_force const& event, time_point now,
-               action_list& actions);
-    void hear_hint(vm_id const& from, ownership_hint const& hint,
-                   time_point now);
+    /// Moves the actions that the shell has to perform from `raw` to
+    /// `actions`, handles the other actions within the core, and handles the
+    /// events of the ownership and configuration keepers, until no action or
+    /// event is left.
+    void process_actions(action_list& raw, time_point now,
+                         action_list& actions);
+    /// Handles an action that is meant for a part of the core, and returns
+    /// whether it was one.
+    bool handle_internally(action const& one, time_point now, action_list& raw);
+    /// Handle the keeper's events; return whether there were any.
+    bool handle_ownership_events(time_point now, action_list& actions);
+    bool handle_configuration_events(time_point now, action_list& actions);
+    void on_worker_gained(worker_gained const& event, time_point now,
+                          action_list& actions);
+    void on_worker_lost(worker_lost const& event, time_point now,
+                        action_list& actions);
+    void apply_configuration(configuration_in_force const& event,
+                             time_point now, action_list& actions);
+    void on_ownership_hint(vm_id const& from, ownership_hint const& hint,
+                           time_point now);
     void send_hints(time_point now, action_list& actions);
+    /// Passes the VMs whose votes count to the configuration keeper.
     void refresh_voters(time_point now);
+    /// Updates the cluster view of the workers that this VM owns.
     void refresh_view(time_point now);
+    /// Updates the owners of the other workers in the cluster view.
     void refresh_owners(time_point now);
+    /// Removes retired dispatchers that have nothing in progress and signs off
+    /// from their workers.
     void release_retired(time_point now, action_list& actions);
-    void release_if_nothing_left(worker_id const& worker, time_point now,
-                                 action_list& actions);
+    /// Signs off from a worker unless another retired dispatcher still has
+    /// requests there.
+    void release_if_last_dispatcher(worker_id const& worker, time_point now,
+                                    action_list& actions);
+    /// On leaving: writes the last counts and closes this VM's row once no
+    /// request is in progress.
     void close_when_idle(time_point now, action_list& actions);
-    void keep_quarter(time_point now, action_list& actions);
+    void update_quarter(time_point now, action_list& actions);
     void count_usage(worker_dispatcher& dispatcher, time_point now);
-    /// Whether this VM is the one that folds the rows of lives that are over.
+    /// Whether this VM folds the rows of ended incarnations: the registered
+    /// VM with the lowest id does.
     bool folds_rows() const;
-    /// What new work is answered while takes_new_work() is false.
-    error refusal() const;
-    /// Whether this VM may admit work for the workers it owns.
-    bool serves_owned(time_point now) const;
+    /// The error for new requests while takes_new_work() is false.
+    error admission_error() const;
+    /// Whether this VM may admit requests for the workers that it owns.
+    bool may_serve_owned_workers(time_point now) const;
     std::size_t in_progress() const;
-    /// The dispatcher that knows an attempt, order or request; null if none.
+    /// The dispatcher, retired or not, that knows an attempt, order or
+    /// request; null if none.
     template <class Id>
     worker_dispatcher* dispatcher_of(Id const& id);
-    /// Every dispatcher, those of workers given up among them.
+    /// All dispatchers, including the retired ones.
     std::vector<worker_dispatcher*> all_dispatchers() const;
 
     core_settings settings_;
@@ -200,17 +238,18 @@
     model_entry entry_;
     std::shared_ptr<declaration const> declared_;
     std::map<worker_id, std::unique_ptr<worker_dispatcher>> dispatchers_;
-    /// Dispatchers of workers given up, while requests of theirs go on.
+    /// Dispatchers of workers that this VM gave up, while requests or orders
+    /// of theirs may be in progress.
     std::vector<retired_dispatcher> retired_;
     std::vector<confirm_result> confirms_;
-    /// The VMs whose promises count, as last told to configuration_.
+    /// The VMs whose promises count, as last passed to configuration_.
     std::vector<std::pair<vm_id, incarnation>> voters_;
-    dispatch_counts past_;
-    time_point next_hint_{};
-    time_point next_voters_{};
-    time_point next_usage_{};
+    dispatch_counts retired_counts_;
+    time_point next_hint_at_{};
+    time_point next_voter_refresh_at_{};
+    time_point next_usage_at_{};
     std::optional<time_point> leaving_since_;
-    time_point close_by_ = never;
+    time_point close_deadline_ = never;
 };
 
 } // namespace mulberry
--- a/src/vm_core_cluster.cpp
+++ b/src/vm_core_cluster.cpp
@@ -1,4 +1,5 @@
-// What a VM's core knows of the other VMs and their workers, and tells them.
+// The core's knowledge of other VMs and their workers, and the ownership hints
+// that VMs exchange.
 #include "vm_core.hpp"
 
 #include <algorithm>
@@ -43,17 +44,18 @@
 
 void vm_core::refresh_voters(time_point now)
 {
-    if (now < next_voters_)
+    if (now < next_voter_refresh_at_)
         return;
-    next_voters_ = now + voters_interval;
-    // VMs that lost the table lapse and are no members any more, while a
-    // majority of them rightly goes on without it. Counted by members alone,
-    // the few that still see the table would be a majority of their own and
-    // confirm a configuration that the others do not learn of.
+    next_voter_refresh_at_ = now + voters_interval;
+    // The lease of a VM that cannot reach the table lapses and the VM is no
+    // longer a member, although a majority of such VMs may continue to serve.
+    // If only members had votes, the few VMs that still reach the table would
+    // form their own majority and confirm a configuration that the others do
+    // not learn of.
     auto voters = ownership_.possibly_alive();
     if (voters == voters_)
         return;
-    configuration_.set_members(voters, ownership_.life(), now);
+    configuration_.set_members(voters, ownership_.incarnation_number(), now);
     voters_ = std::move(voters);
 }
 
@@ -63,40 +65,40 @@
     {
         worker_view fresh = dispatcher->view(now);
         fresh.owner = settings_.ownership.vm;
-        fresh.usable = fresh.usable && serves_owned(now);
-        fresh.evicts = ownership_.lease_holds(now);
+        fresh.usable = fresh.usable && may_serve_owned_workers(now);
+        fresh.can_evict = ownership_.lease_holds(now);
         if (worker_view const* known = view_.find(id))
             fresh.cached_prefixes = known->cached_prefixes;
         view_.put(std::move(fresh));
     }
 }
 
-void vm_core::hear_hint(vm_id const& from, ownership_hint const& hint,
-                        time_point now)
+void vm_core::on_ownership_hint(vm_id const& from, ownership_hint const& hint,
+                                time_point now)
 {
-    budget_->hear(from, hint.loads, now);
+    budget_->update_peer_counts(from, hint.loads, now);
     if (!declared_)
         return;
-    for (worker_view const& heard : hint.workers)
+    for (worker_view const& reported : hint.workers)
     {
-        auto const declared = declared_->workers.find(heard.id);
+        auto const declared = declared_->workers.find(reported.id);
         if (declared == declared_->workers.end() ||
-            dispatchers_.count(heard.id) != 0)
+            dispatchers_.count(reported.id) != 0)
             continue;
-        // Hints cross with changes of owner; only the owner of the rows last
-        // read speaks for a worker, so a late hint cannot bring back a VM that
-        // has given it up.
-        if (ownership_.owner_of(heard.id) != from)
+        // A hint may arrive after a change of owner. Only hints of the owner
+        // in the rows last read count, so that a late hint cannot restore a
+        // VM that has given up the worker.
+        if (ownership_.owner_of(reported.id) != from)
             continue;
-        worker_view fresh = heard;
+        worker_view fresh = reported;
         fresh.base_model = declared->second.base_model;
         fresh.domain = declared->second.domain;
         fresh.batch_slots = declared->second.batch_slots;
         fresh.adapter_slots = declared->second.adapter_slots;
         fresh.owner = from;
-        fresh.usable = heard.usable && hint.takes_work;
+        fresh.usable = reported.usable && hint.takes_work;
         fresh.as_of = now;
-        if (worker_view const* known = view_.find(heard.id))
+        if (worker_view const* known = view_.find(reported.id))
             fresh.cached_prefixes = known->cached_prefixes;
         view_.put(std::move(fresh));
     }
@@ -104,11 +106,11 @@
 
 void vm_core::send_hints(time_point now, action_list& actions)
 {
-    if (now < next_hint_ || !ownership_.registered())
+    if (now < next_hint_at_ || !ownership_.registered())
         return;
-    next_hint_ = now + settings_.hint_interval;
+    next_hint_at_ = now + settings_.hint_interval;
     ownership_hint hint;
-    hint.life = ownership_.life();
+    hint.life = ownership_.incarnation_number();
     hint.configuration = configuration_.version();
     hint.takes_work = !leaving_since_ && takes_new_work(now);
     hint.loads = budget_->counts();
@@ -117,7 +119,7 @@
             hint.workers.push_back(*own);
     for (member_view const& member : ownership_.members())
         if (member.vm != settings_.ownership.vm)
-            actions.push_back(tell_peer{member.vm, hint});
+            actions.push_back(send_peer_message{member.vm, hint});
 }
 
 std::vector<worker_id> vm_core::watched_workers() const
--- a/src/vm_core_counts.cpp
+++ b/src/vm_core_counts.cpp
@@ -1,4 +1,4 @@
-// What a VM's core counts, and how it looks from outside.
+// The core's counts for the quarter's targets, and its status.
 #include "vm_core.hpp"
 
 #include <algorithm>
@@ -12,12 +12,12 @@
 
 } // namespace
 
-void vm_core::on(quarter_began const& event, time_point now, action_list&)
+void vm_core::on(quarter_started const& event, time_point now, action_list&)
 {
     quarter_.set_quarter(event.name, event.ends, now);
 }
 
-void vm_core::count_whole(model_request const& request, duration took)
+void vm_core::count_completed(model_request const& request, duration took)
 {
     quarter_.count_answer(request.application, took);
 }
@@ -33,14 +33,14 @@
     quarter_.count_withdrawn(request.application, waited);
 }
 
-void vm_core::keep_quarter(time_point now, action_list& actions)
+void vm_core::update_quarter(time_point now, action_list& actions)
 {
-    if (now >= next_usage_)
+    if (now >= next_usage_at_)
     {
-        next_usage_ = now + usage_interval;
+        next_usage_at_ = now + usage_interval;
         for (worker_dispatcher* one : all_dispatchers())
             count_usage(*one, now);
-        quarter_.set_folds(folds_rows());
+        quarter_.set_folding_enabled(folds_rows());
     }
     quarter_.tick(now, actions);
 }
@@ -69,22 +69,22 @@
 {
     core_status result;
     result.vm = settings_.ownership.vm;
-    result.life = ownership_.life();
+    result.vm_incarnation = ownership_.incarnation_number();
     result.registered = ownership_.registered();
     result.leaving = leaving_since_.has_value();
     result.takes_new_work = takes_new_work(now);
     result.lease_holds = ownership_.lease_holds(now);
     result.going_on_without_table = configuration_.going_on_without_table(now);
-    result.configuration_known = configuration_.known(now);
+    result.configuration_known = configuration_.is_known(now);
     result.configuration = configuration_.version();
     result.declared = declared_;
     result.members = ownership_.members();
     result.in_progress = in_progress();
     result.entry = entry_.counts();
-    result.first_event = entry_.first_event();
-    result.whole_answer = entry_.whole_answer();
+    result.first_event_latency = entry_.first_event_latency();
+    result.answer_latency = entry_.answer_latency();
     result.services = services_.counts();
-    result.past = past_;
+    result.retired_counts = retired_counts_;
     result.quarter = quarter_.quarter();
     result.standings = quarter_.standings(now);
     for (auto const& [id, dispatcher] : dispatchers_)
--- a/standins/completion_text.cpp
+++ b/standins/completion_text.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-/// Tokens are made up, so any fixed ratio will do.
-constexpr std::size_t bytes_of_prompt_token = 4;
+/// The stand-in has no tokenizer; any fixed ratio serves for the usage counts.
+constexpr std::size_t bytes_per_prompt_token = 4;
 
 } // namespace
 
@@ -22,7 +22,7 @@
                                  std::string_view prompt, std::size_t tokens)
     : kind_(kind), text_(without_fence(model), prompt), tokens_(tokens),
       prompt_tokens_(
-          std::max<std::size_t>(1, prompt.size() / bytes_of_prompt_token)),
+          std::max<std::size_t>(1, prompt.size() / bytes_per_prompt_token)),
       names_(fmt::format(R"("id":{},"model":{})", quoted(id), quoted(model)))
 {
 }
@@ -43,7 +43,8 @@
     fmt::format_to(std::back_inserter(out),
                    R"(data: {{{},"offset":{},"choices":[{{"index":0,)", names_,
                    offset);
-    // A token is of letters, digits, colon and space: it needs no escapes.
+    // Tokens consist of letters, digits, colon and space, which need no JSON
+    // escapes.
     out += kind_ == completion_kind::chat ? R"("delta":{"content":")"
                                           : R"("text":")";
     out += text_.token(offset);
--- a/standins/link_relay.hpp
+++ b/standins/link_relay.hpp
@@ -15,19 +15,21 @@
 namespace mulberry::standins
 {
 
-/// Only on the loop's thread, once the loop has started.
+/// Relays TCP connections from a local port to a target and injects network
+/// faults. Only on the loop's thread, after the loop has started.
 class link_relay
 {
 public:
     link_relay(standin_loop& loop, asio::ip::tcp::endpoint target);
     std::uint16_t port() const { return address_.port(); }
+    /// Applies the link faults named in a control request.
     void control(Json::Value const& order);
 
 private:
     void listen();
     void bind();
     void accept();
-    void forget_closed();
+    void remove_closed();
     void refuse(bool refused);
 
     asio::ip::tcp::endpoint target_;
--- a/standins/platform_service.cpp
+++ b/standins/platform_service.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// The table's limits hold over any second but for this share of one.
+/// Burst of the table's rate limits, in seconds at the full rate.
 constexpr double burst_seconds = 0.25;
 
 constexpr std::string_view objects_path = "/objects/";
@@ -40,7 +40,7 @@
 std::string text_member(Json::Value const& object, char const* name)
 {
     if (!object[name].isString())
-        throw bad_request(std::string("needs a text: ") + name);
+        throw bad_request(std::string("missing or not a string: ") + name);
     return object[name].asString();
 }
 
@@ -102,10 +102,10 @@
     if (order.isMember("down"))
         set_down(order);
     if (order.isMember("weights_down"))
-        down_[static_cast<std::size_t>(part::weights)] =
+        part_is_down_[static_cast<std::size_t>(part::weights)] =
             order["weights_down"].asBool();
     faults_.set(order);
-    set_duration(order, "slow_ms", slow_);
+    set_duration(order, "slow_ms", response_delay_);
     set_duration(order, "read_lag_ms", read_lag_);
     set_duration(order, "list_lag_ms", list_lag_);
     set_duration(order, "delay_writes_ms", write_delay_);
@@ -128,17 +128,17 @@
         return part::weights;
     if (name == "list")
         return part::list;
-    throw bad_request("no such part");
+    throw bad_request("unknown part of the platform");
 }
 
 void platform_service::set_down(Json::Value const& order)
 {
     bool const down = order["down"].asBool();
     if (order.isMember("part"))
-        down_[static_cast<std::size_t>(part_named(order["part"].asString()))] =
-            down;
+        part_is_down_[static_cast<std::size_t>(
+            part_named(order["part"].asString()))] = down;
     else
-        down_.fill(down);
+        part_is_down_.fill(down);
 }
 
 http_response platform_service::stats() const
@@ -161,11 +161,11 @@
         std::string const state =
             text_member(parse_object(request.http.body), "state");
         if (state != "live" && state != "leaving")
-            throw bad_request("no such state");
+            throw bad_request("unknown VM state");
         change.value = state;
     }
     else if (request.http.method != "DELETE")
-        throw bad_request("PUT or DELETE");
+        throw bad_request("the method must be PUT or DELETE");
     vms_.transact({}, {change}, now());
     request.answer->respond(json_response(200, "{}"));
 }
@@ -238,7 +238,7 @@
 {
     std::optional<std::string> const key = request.http.parameter("key");
     if (!key)
-        throw bad_request("needs a key");
+        throw bad_request("a key is required");
     if (!admit_read())
         return answer(part::table, request.answer,
                       error_reply(429, "too_many_requests"));
@@ -353,7 +353,7 @@
 
 bool platform_service::is_down(part where) const
 {
-    return down_[static_cast<std::size_t>(where)];
+    return part_is_down_[static_cast<std::size_t>(where)];
 }
 
 void platform_service::answer(part where, answer_ptr const& answer,
@@ -361,9 +361,9 @@
 {
     if (is_down(where))
         return answer->abort();
-    if (slow_.count() == 0)
+    if (response_delay_.count() == 0)
         return answer->respond(std::move(response));
-    loop_.after(slow_,
+    loop_.after(response_delay_,
                 [this, where, answer, response = std::move(response)]
                 {
                     if (is_down(where))
--- a/standins/platform_service.hpp
+++ b/standins/platform_service.hpp
@@ -1,4 +1,5 @@
-/// The platform's parts over HTTP: table, objects, weights, list of VMs.
+/// Serves the platform's table, object store, weight store and list of VMs over
+/// HTTP.
 #ifndef MULBERRY_PLATFORM_SERVICE_HPP
 #define MULBERRY_PLATFORM_SERVICE_HPP
 
@@ -15,6 +16,7 @@
 namespace mulberry::standins
 {
 
+/// Rate limits; requests above a limit are answered with 429.
 struct platform_limits
 {
     double writes_per_second = 600;
@@ -22,6 +24,7 @@
     weight_limits weights;
 };
 
+/// Only on the loop's thread.
 class platform_service : public standin_service
 {
 public:
@@ -85,9 +88,9 @@
     loop_timer weights_timer_;
     std::map<load_id, answer_ptr> loads_;
     statistics statistics_;
-    std::array<bool, 4> down_{};
+    std::array<bool, 4> part_is_down_{};
     fault_counts faults_{"lose_answers"};
-    std::chrono::milliseconds slow_{0};
+    std::chrono::milliseconds response_delay_{0};
     std::chrono::milliseconds read_lag_{0};
     std::chrono::milliseconds list_lag_{0};
     std::chrono::milliseconds write_delay_{0};
--- a/standins/relay_connection.hpp
+++ b/standins/relay_connection.hpp
@@ -15,7 +15,7 @@
 namespace mulberry::standins
 {
 
-/// What a link does to all its connections.
+/// Network faults that apply to all connections of a link.
 struct link_state
 {
     bool blocked = false;
@@ -28,20 +28,20 @@
 public:
     relay_connection(asio::ip::tcp::socket near,
                      std::shared_ptr<link_state const> state);
-    /// Connects onwards and begins to pass bytes.
+    /// Connects to the target and starts to relay bytes.
     void start(asio::ip::tcp::endpoint const& target);
-    /// Passes nothing more, though both ends keep their connections.
-    void silence();
+    /// Drops all further bytes while both ends stay connected.
+    void blackhole();
     void close();
-    bool is_open() const { return near_.is_open(); }
-    /// Goes on after the link's block has ended.
+    bool is_open() const { return client_socket_.is_open(); }
+    /// Resumes relaying after `link_state::blocked` was reset.
     void unblock();
 
 private:
     struct chunk
     {
         std::chrono::steady_clock::time_point due;
-        /// Empty for the end of the stream.
+        /// Empty at the end of the stream.
         std::string bytes;
     };
     struct direction
@@ -57,19 +57,19 @@
         bool ended = false;
     };
 
-    void read(direction& way);
-    void take(direction& way, std::error_code error, std::size_t size);
-    void pump(direction& way);
-    void write(direction& way);
-    void wrote(direction& way, std::error_code error);
-    void end(direction& way, std::error_code error);
+    void read(direction& dir);
+    void on_read(direction& dir, std::error_code error, std::size_t size);
+    void pump(direction& dir);
+    void write(direction& dir);
+    void on_written(direction& dir, std::error_code error);
+    void end(direction& dir, std::error_code error);
     void close_if_done();
 
     std::shared_ptr<link_state const> state_;
-    asio::ip::tcp::socket near_;
-    asio::ip::tcp::socket far_;
-    direction outward_;
-    direction homeward_;
+    asio::ip::tcp::socket client_socket_;
+    asio::ip::tcp::socket target_socket_;
+    direction to_target_;
+    direction to_client_;
     bool connected_ = false;
     bool silent_ = false;
 };
--- a/tests/answer_relay_test.cpp
+++ b/tests/answer_relay_test.cpp
@@ -9,8 +9,7 @@
 using namespace std::chrono_literals;
 using verdict = answer_relay::verdict;
 
-TEST_CASE("whatever order events arrive in, what passes has no gap and no "
-          "repetition",
+TEST_CASE("passed events have no gaps or duplicates in any order of arrival",
           "[answer_relay]")
 {
     CHECK(rc::check(
@@ -23,40 +22,42 @@
             for (std::uint64_t const arrival : arrivals)
             {
                 std::uint64_t const offset = arrival % 8;
-                verdict const what =
+                verdict const result =
                     relay.on_event(offset, false, time_point());
-                RC_ASSERT((what == verdict::pass) == (offset == expected));
-                RC_ASSERT((what == verdict::gap) == (offset > expected));
-                expected += what == verdict::pass;
+                RC_ASSERT((result == verdict::pass) == (offset == expected));
+                RC_ASSERT((result == verdict::gap) == (offset > expected));
+                expected += result == verdict::pass;
                 RC_ASSERT(relay.next_offset() == expected);
             }
         }));
 }
 
-TEST_CASE("only events in their place put silence off", "[answer_relay]")
+TEST_CASE("only the next expected event extends the progress deadline",
+          "[answer_relay]")
 {
     safeguards const checks;
     answer_relay relay(checks, 2s, time_point());
     CHECK_FALSE(relay.begun());
-    CHECK(relay.silent_at() == time_point(2s));
+    CHECK(relay.progress_deadline() == time_point(2s));
     CHECK(relay.on_event(0, false, time_point(1s)) == verdict::pass);
     CHECK(relay.begun());
-    CHECK(relay.silent_at() == time_point(3s));
-    CHECK(relay.on_event(0, false, time_point(2s)) == verdict::repeated);
+    CHECK(relay.progress_deadline() == time_point(3s));
+    CHECK(relay.on_event(0, false, time_point(2s)) == verdict::duplicate);
     CHECK(relay.on_event(5, false, time_point(2s)) == verdict::gap);
-    CHECK(relay.silent_at() == time_point(3s));
-    relay.restarted(time_point(2s));
-    CHECK(relay.silent_at() == time_point(4s));
+    CHECK(relay.progress_deadline() == time_point(3s));
+    relay.on_reconnect(time_point(2s));
+    CHECK(relay.progress_deadline() == time_point(4s));
 }
 
-TEST_CASE("the end counts only when its event passed", "[answer_relay]")
+TEST_CASE("the end is seen only when the last event is passed on",
+          "[answer_relay]")
 {
     safeguards const checks;
     answer_relay relay(checks, 2s, time_point());
     CHECK(relay.on_event(1, true, time_point()) == verdict::gap);
-    CHECK_FALSE(relay.last_seen());
+    CHECK_FALSE(relay.end_seen());
     CHECK(relay.on_event(0, false, time_point()) == verdict::pass);
-    CHECK_FALSE(relay.last_seen());
+    CHECK_FALSE(relay.end_seen());
     CHECK(relay.on_event(1, true, time_point()) == verdict::pass);
-    CHECK(relay.last_seen());
+    CHECK(relay.end_seen());
 }
--- a/tests/backend_pool_test.cpp
+++ b/tests/backend_pool_test.cpp
@@ -19,56 +19,57 @@
 namespace
 {
 
-/// What an observer was told. Read once it is over.
-struct told
+/// The events that an observer received. Read after wait() has returned.
+struct observed_exchange
 {
     int status = 0;
     std::string body;
     bool ended = false;
     bool framed = false;
     std::optional<call_stage> failed;
-    std::promise<void> over;
+    std::promise<void> finished;
 
-    void wait() { over.get_future().get(); }
+    void wait() { finished.get_future().get(); }
 };
 
-class recorder final : public exchange_observer
+class exchange_recorder final : public exchange_observer
 {
 public:
-    explicit recorder(told& into) : into_(into) {}
+    explicit exchange_recorder(observed_exchange& into) : into_(into) {}
     void on_head(int status, http_headers) override { into_.status = status; }
     void on_body(std::string_view bytes) override { into_.body += bytes; }
     void on_end(bool framed) override
     {
         into_.ended = true;
         into_.framed = framed;
-        into_.over.set_value();
+        into_.finished.set_value();
     }
     void on_failure(call_stage at, std::string const&) override
     {
         into_.failed = at;
-        into_.over.set_value();
+        into_.finished.set_value();
     }
 
 private:
-    told& into_;
+    observed_exchange& into_;
 };
 
-/// A pool on a loop of its own, and a worker whose every byte the test writes.
-class pool_world
+/// A pool with its own event loop thread, and a listening socket on which the
+/// test plays the worker byte by byte.
+class pool_fixture
 {
 public:
-    pool_world() : work_(io.get_executor()), runner_([this] { io.run(); }) {}
-    ~pool_world()
+    pool_fixture() : work_(io.get_executor()), runner_([this] { io.run(); }) {}
+    ~pool_fixture()
     {
         work_.reset();
         io.stop();
         runner_.join();
     }
-    pool_world(pool_world const&) = delete;
-    pool_world& operator=(pool_world const&) = delete;
+    pool_fixture(pool_fixture const&) = delete;
+    pool_fixture& operator=(pool_fixture const&) = delete;
 
-    /// Runs something on the loop and waits for it.
+    /// Runs `what` on the event loop and waits until it has finished.
     void on_loop(std::function<void()> const& what)
     {
         std::promise<void> done;
@@ -81,7 +82,7 @@
         done.get_future().get();
     }
 
-    std::shared_ptr<backend_exchange> send(told& into)
+    std::shared_ptr<backend_exchange> send(observed_exchange& into)
     {
         exchange_options options;
         options.connect_timeout = 10s;
@@ -90,13 +91,13 @@
         on_loop(
             [&]
             {
-                running = pool.start({"127.0.0.1", port_},
-                                     "GET / HTTP/1.1\r\nHost: w\r\n\r\n",
-                                     options, std::make_shared<recorder>(into));
+                running = pool.start(
+                    {"127.0.0.1", port_}, "GET / HTTP/1.1\r\nHost: w\r\n\r\n",
+                    options, std::make_shared<exchange_recorder>(into));
             });
         return running;
     }
-    /// The connection of the first request, once it has arrived.
+    /// Accepts the connection and reads its first request.
     raw_socket accept()
     {
         raw_socket worker = listener.accepted();
@@ -120,76 +121,77 @@
     std::thread runner_;
 };
 
-char const* const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+char const* const ok_response =
+    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 } // namespace
 
-TEST_CASE("a connection is used again after a whole answer", "[backend_pool]")
+TEST_CASE("a connection is reused after a complete answer", "[backend_pool]")
 {
-    pool_world world;
-    told first;
+    pool_fixture world;
+    observed_exchange first;
     world.send(first);
     raw_socket worker = world.accept();
-    worker.send(good);
+    worker.send(ok_response);
     first.wait();
     CHECK(first.status == 200);
     CHECK(first.body == "ok");
     CHECK(first.framed);
-    told second;
+    observed_exchange second;
     world.send(second);
     worker.read_until(end_of_headers);
-    worker.send(good);
+    worker.send(ok_response);
     second.wait();
     CHECK(second.ended);
     CHECK(world.opened() == 1);
 }
 
-// A worker sends a second answer after the first. Handed to the next request
-// on the connection it would be another's answer; the connection is closed.
+// A worker sends a second answer after the first. The next request on the
+// connection would receive the wrong answer, so the connection is closed.
 TEST_CASE("bytes that belong to no request close their connection",
           "[backend_pool]")
 {
-    pool_world world;
-    told first;
+    pool_fixture world;
+    observed_exchange first;
     world.send(first);
     raw_socket worker = world.accept();
-    worker.send(std::string(good) + good);
+    worker.send(std::string(ok_response) + ok_response);
     first.wait();
     CHECK(first.body == "ok");
     CHECK(worker.read_some().empty());
-    told second;
+    observed_exchange second;
     world.send(second);
     CHECK(world.opened() == 2);
 }
 
-// The same, but the second answer comes while the connection is idle.
+// As above, but the second answer arrives while the connection is idle.
 TEST_CASE("a late answer on an idle connection closes it", "[backend_pool]")
 {
-    pool_world world;
-    told first;
+    pool_fixture world;
+    observed_exchange first;
     world.send(first);
     raw_socket worker = world.accept();
-    worker.send(good);
+    worker.send(ok_response);
     first.wait();
-    worker.send(good);
+    worker.send(ok_response);
     CHECK(worker.read_some().empty());
-    told second;
+    observed_exchange second;
     world.send(second);
     CHECK(world.opened() == 2);
 }
 
-// The worker drops a kept connection after it was sent a request. The request
-// may have run: it is reported as sent and is not sent again.
+// The worker closes a reused connection after a request was sent. The request
+// may have run, so it is reported as sent and is not retried.
 TEST_CASE("a request on a connection that breaks is not repeated",
           "[backend_pool]")
 {
-    pool_world world;
-    told first;
+    pool_fixture world;
+    observed_exchange first;
     world.send(first);
     raw_socket worker = world.accept();
-    worker.send(good);
+    worker.send(ok_response);
     first.wait();
-    told second;
+    observed_exchange second;
     world.send(second);
     worker.read_until(end_of_headers);
     worker.close();
@@ -198,20 +200,20 @@
     CHECK(world.opened() == 1);
 }
 
-TEST_CASE("a worker that cannot be reached was sent nothing", "[backend_pool]")
+TEST_CASE("a failed connect is reported as not sent", "[backend_pool]")
 {
-    pool_world world;
+    pool_fixture world;
     world.listener.close();
-    told only;
+    observed_exchange only;
     world.send(only);
     only.wait();
     CHECK(only.failed == call_stage::not_sent);
 }
 
-TEST_CASE("an answer that is cut is told as begun", "[backend_pool]")
+TEST_CASE("a truncated answer fails in stage answering", "[backend_pool]")
 {
-    pool_world world;
-    told only;
+    pool_fixture world;
+    observed_exchange only;
     world.send(only);
     raw_socket worker = world.accept();
     worker.send("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf");
@@ -224,8 +226,8 @@
 TEST_CASE("an answer without a length ends with its connection",
           "[backend_pool]")
 {
-    pool_world world;
-    told only;
+    pool_fixture world;
+    observed_exchange only;
     world.send(only);
     raw_socket worker = world.accept();
     worker.send("HTTP/1.1 200 OK\r\n\r\nwhole");
@@ -236,22 +238,23 @@
     CHECK(only.body == "whole");
 }
 
-TEST_CASE("an interim answer is passed over", "[backend_pool]")
+TEST_CASE("an interim answer is skipped", "[backend_pool]")
 {
-    pool_world world;
-    told only;
+    pool_fixture world;
+    observed_exchange only;
     world.send(only);
     raw_socket worker = world.accept();
-    worker.send(std::string("HTTP/1.1 102 Processing\r\n\r\n") + good);
+    worker.send(std::string("HTTP/1.1 102 Processing\r\n\r\n") + ok_response);
     only.wait();
     CHECK(only.status == 200);
     CHECK(only.body == "ok");
 }
 
-TEST_CASE("bytes that are no answer are told", "[backend_pool]")
+TEST_CASE("bytes that are not an HTTP answer fail the exchange",
+          "[backend_pool]")
 {
-    pool_world world;
-    told only;
+    pool_fixture world;
+    observed_exchange only;
     world.send(only);
     raw_socket worker = world.accept();
     worker.send("what is this\r\n\r\n");
@@ -259,10 +262,10 @@
     CHECK(only.failed == call_stage::sent);
 }
 
-TEST_CASE("a cancelled exchange tells nothing more", "[backend_pool]")
+TEST_CASE("a cancelled exchange reports no more events", "[backend_pool]")
 {
-    pool_world world;
-    told only;
+    pool_fixture world;
+    observed_exchange only;
     auto const running = world.send(only);
     raw_socket worker = world.accept();
     world.on_loop([&] { running->cancel(); });
@@ -271,11 +274,11 @@
     world.on_loop([&] { CHECK_FALSE(only.failed); });
 }
 
-// A worker takes a question and never answers. It is given up when its time is
-// over, and told so once.
-TEST_CASE("a collected call ends at its time", "[backend_pool]")
+// A worker accepts a request and never answers. The call ends at its deadline
+// and reports the timeout once.
+TEST_CASE("a collected call times out at its deadline", "[backend_pool]")
 {
-    pool_world world;
+    pool_fixture world;
     std::promise<collected_answer> promise;
     world.on_loop(
         [&]
@@ -283,8 +286,8 @@
             collected_call call;
             call.to = {"127.0.0.1", world.listener.port()};
             call.bytes = "GET / HTTP/1.1\r\nHost: w\r\n\r\n";
-            call.ends_at = [ends = std::chrono::steady_clock::now() + 30ms]
-            { return ends; };
+            call.current_deadline = [ends = std::chrono::steady_clock::now() +
+                                            30ms] { return ends; };
             call.on_end = [&promise](collected_answer answer)
             { promise.set_value(std::move(answer)); };
             start_collected(world.io, world.pool, std::move(call));
--- a/tests/completion_request_test.cpp
+++ b/tests/completion_request_test.cpp
@@ -27,7 +27,7 @@
     return parse_completion(request, endpoint, {}, now);
 }
 
-error_kind fault_of(std::string body)
+error_kind error_kind_of(std::string body)
 {
     auto const parsed = parse(post(std::move(body)));
     REQUIRE(std::holds_alternative<error>(parsed));
@@ -36,15 +36,15 @@
 
 } // namespace
 
-TEST_CASE("a completion is read, and what belongs to the layer taken out",
+TEST_CASE("parse_completion reads headers and removes the layer's members",
           "[completion_request]")
 {
-    http_request asked = post(R"({"model":"a@2","prompt":"p","stream":true,
+    http_request http = post(R"({"model":"a@2","prompt":"p","stream":true,
                                   "priority":1,"max_tokens":9,"top_p":0.5})");
-    asked.headers.add("x-deadline-ms", "1500");
-    asked.headers.add("X-Priority", "7");
-    asked.headers.add("X-Application", "tallies");
-    auto const parsed = parse(asked);
+    http.headers.add("x-deadline-ms", "1500");
+    http.headers.add("X-Priority", "7");
+    http.headers.add("X-Application", "tallies");
+    auto const parsed = parse(http);
     REQUIRE(std::holds_alternative<model_request>(parsed));
     auto const& request = std::get<model_request>(parsed);
     CHECK(request.adapter.str() == "a@2");
@@ -60,33 +60,36 @@
           std::vector<std::string>{"max_tokens", "prompt", "top_p"});
 }
 
-TEST_CASE("bad input gets the kind that says what is wrong",
+TEST_CASE("invalid input gives the error kind of its fault",
           "[completion_request]")
 {
-    CHECK(fault_of("") == error_kind::bad_request);
-    CHECK(fault_of("[]") == error_kind::bad_request);
-    CHECK(fault_of(R"({"prompt":"p"})") == error_kind::bad_request);
-    CHECK(fault_of(R"({"model":"a","prompt":"p"})") ==
+    CHECK(error_kind_of("") == error_kind::bad_request);
+    CHECK(error_kind_of("[]") == error_kind::bad_request);
+    CHECK(error_kind_of(R"({"prompt":"p"})") == error_kind::bad_request);
+    CHECK(error_kind_of(R"({"model":"a","prompt":"p"})") ==
           error_kind::unknown_model);
-    CHECK(fault_of(R"({"model":"a@0","prompt":"p"})") ==
+    CHECK(error_kind_of(R"({"model":"a@0","prompt":"p"})") ==
           error_kind::unknown_model);
-    CHECK(fault_of(R"({"model":"a@1","prompt":7})") == error_kind::bad_request);
-    CHECK(fault_of(R"({"model":"a@1","prompt":"p","max_tokens":0})") ==
+    CHECK(error_kind_of(R"({"model":"a@1","prompt":7})") ==
           error_kind::bad_request);
-    CHECK(fault_of(R"({"model":"a@1","prompt":"p","stream":"yes"})") ==
+    CHECK(error_kind_of(R"({"model":"a@1","prompt":"p","max_tokens":0})") ==
           error_kind::bad_request);
-    CHECK(fault_of(std::string(100'000, '[')) == error_kind::bad_request);
-    for (char const* absurd : {"0", "-5", "1e9", "99999999999999999999", ""})
+    CHECK(error_kind_of(R"({"model":"a@1","prompt":"p","stream":"yes"})") ==
+          error_kind::bad_request);
+    CHECK(error_kind_of(std::string(100'000, '[')) == error_kind::bad_request);
+    for (char const* invalid_deadline :
+         {"0", "-5", "1e9", "99999999999999999999", ""})
     {
-        http_request asked = post(R"({"model":"a@1","prompt":"p"})");
-        asked.headers.add("X-Deadline-Ms", absurd);
-        auto const parsed = parse(asked);
+        http_request http = post(R"({"model":"a@1","prompt":"p"})");
+        http.headers.add("X-Deadline-Ms", invalid_deadline);
+        auto const parsed = parse(http);
         REQUIRE(std::holds_alternative<error>(parsed));
         CHECK(std::get<error>(parsed).kind() == error_kind::bad_deadline);
     }
 }
 
-TEST_CASE("chat needs messages with a role and a text", "[completion_request]")
+TEST_CASE("chat messages need a role and a text content",
+          "[completion_request]")
 {
     auto const good = parse(post(R"({"model":"a@1","messages":[{"role":"user",
                        "content":"sum up"}]})"),
@@ -97,7 +100,7 @@
     CHECK(std::holds_alternative<error>(bad));
 }
 
-TEST_CASE("callers see neither the fencing number nor the try's id",
+TEST_CASE("caller_payload removes the fencing number and the attempt number",
           "[completion_answer]")
 {
     CHECK(caller_payload(R"({"id":"vm-1.3","model":"a@2#17","offset":0})",
@@ -108,7 +111,7 @@
                          request_id("vm-1")) == R"({"text":"a@2#17 vm-1.3"})");
 }
 
-TEST_CASE("an error page says when to come back only where that helps",
+TEST_CASE("error pages have Retry-After only if a retry may succeed",
           "[error_page]")
 {
     auto const full = error_page(
--- a/tests/configuration_cluster.hpp
+++ b/tests/configuration_cluster.hpp
@@ -1,6 +1,6 @@
-/// Configuration keepers of several VMs in virtual time, with small fakes of
-/// the table, the object store and the messages between them; and a checker
-/// over the history of what they said.
+/// Simulates the configuration keepers of several VMs in virtual time, with
+/// fakes of the table, the object store and the messages between VMs, and
+/// checks the history of their states and answers for violations.
 #ifndef MULBERRY_TESTS_CONFIGURATION_CLUSTER_HPP
 #define MULBERRY_TESTS_CONFIGURATION_CLUSTER_HPP
 
@@ -30,8 +30,8 @@
     isolate,
     slow_messages,
     lose_answers,
-    late_writes,
-    spoil_objects
+    delay_writes,
+    corrupt_objects
 };
 
 struct fault
@@ -42,12 +42,12 @@
     duration length;
 };
 
-/// What a run counted.
+/// Operations and results of a run.
 struct cluster_counts
 {
     std::size_t reads = 0;
     std::size_t messages = 0;
-    std::size_t told = 0;
+    std::size_t confirmed = 0;
     std::size_t refused = 0;
     std::size_t unknown = 0;
 };
@@ -61,31 +61,32 @@
 
     void add(fault const& planned);
     void run_until(time_point end);
-    /// Empty while nothing that must hold was broken.
+    /// Invariants violated so far, each listed once.
     std::vector<std::string> const& violations() const { return violations_; }
-    /// Adds what can be judged only when the run is over.
-    void judge_history();
-    /// Adds a violation for each VM that is not well some time after all
-    /// faults ended.
-    void judge_recovery();
+    /// Adds violations that can be detected only at the end of the run.
+    void check_history();
+    /// Adds violations by VMs that do not know the newest version. To be called
+    /// some time after all faults have ended.
+    void check_recovery();
 
     configuration_keeper& keeper(std::size_t vm) { return *vms_[vm].keeper; }
     time_point now() const { return now_; }
     cluster_counts const& counts() const { return counts_; }
-    /// What operators were answered, in order.
+    /// The results of confirms, in the order in which they were reported.
     std::vector<confirm_settled> const& answers() const { return answers_; }
     config_version written() const { return config_version(history_.size()); }
-    /// How many VMs know, and how many have a version in force.
-    std::size_t knowing();
-    std::size_t at_version(config_version version);
-    /// From now on no VM is told of a new version by another.
-    void lose_hints() { hints_lost_ = true; }
+    /// How many VMs know that their version is current.
+    std::size_t count_knowing();
+    /// How many VMs have this version in force.
+    std::size_t count_at_version(config_version version);
+    /// From now on no VM receives a configuration_hint.
+    void drop_hints() { drops_hints_ = true; }
 
 private:
     struct virtual_vm
     {
         vm_id id;
-        incarnation life;
+        incarnation incarnation_number;
         bool registered = false;
         std::unique_ptr<id_source> ids;
         std::unique_ptr<configuration_keeper> keeper;
@@ -93,9 +94,9 @@
         time_point table_cut_until{};
         time_point isolated_until{};
         time_point slow_until{};
-        time_point losing_until{};
-        time_point late_until{};
-        /// Over all its lives.
+        time_point losing_answers_until{};
+        time_point delaying_writes_until{};
+        /// Highest version in force, over all incarnations.
         config_version highest;
     };
     struct event
@@ -113,23 +114,24 @@
         row_version version;
         std::string value;
     };
-    /// A confirm that an operator asked for, and what became of it.
-    struct asked_confirm
+    /// A confirm that an operator requested, and its result.
+    struct requested_confirm
     {
         std::string digest;
-        incarnation life;
+        incarnation incarnation_number;
         std::size_t vm = 0;
-        time_point overdue;
+        time_point answer_deadline;
         bool settled = false;
         bool refused = false;
     };
-    using act = std::function<void(virtual_vm&, action_list&)>;
+    using vm_action = std::function<void(virtual_vm&, action_list&)>;
 
     void at(time_point when, std::function<void()> run);
-    void in_vm(std::size_t vm, incarnation life, act const& what);
+    void run_in_vm(std::size_t vm, incarnation incarnation_number,
+                   vm_action const& what);
     void start_vm(std::size_t vm);
-    void tick_vm(std::size_t vm, incarnation life);
-    void register_vm(std::size_t vm, incarnation life);
+    void tick_vm(std::size_t vm, incarnation incarnation_number);
+    void register_vm(std::size_t vm, incarnation incarnation_number);
     void begin_fault(fault const& what);
     void begin_confirm(std::size_t vm);
     void perform(std::size_t vm, action_list const& actions);
@@ -137,22 +139,22 @@
     void perform_read(std::size_t vm, read_row const& order);
     void perform_fetch(std::size_t vm, fetch_object const& order);
     void perform_store(std::size_t vm, store_object const& order);
-    void perform_tell(std::size_t vm, tell_peer const& order);
-    void answer(std::size_t vm, incarnation life, table_reply reply,
-                time_point when);
-    void answer(std::size_t vm, incarnation life, object_reply reply,
-                time_point when);
+    void perform_send(std::size_t vm, send_peer_message const& order);
+    void answer(std::size_t vm, incarnation incarnation_number,
+                table_reply reply, time_point when);
+    void answer(std::size_t vm, incarnation incarnation_number,
+                object_reply reply, time_point when);
     table_reply apply(transact const& order);
-    void settle(std::size_t vm, confirm_settled const& settled);
-    void observe(std::size_t vm);
-    void violate(std::string const& what);
+    void on_settled(std::size_t vm, confirm_settled const& settled);
+    void check_vm(std::size_t vm);
+    void add_violation(std::string const& what);
     bool chance(unsigned percent);
-    duration within(duration least, duration most);
+    duration random_duration(duration min, duration max);
     bool reaches_table(std::size_t vm) const;
 
     std::mt19937_64 random_;
     configuration_settings const settings_;
-    bool hints_lost_ = false;
+    bool drops_hints_ = false;
     promise_rules const& rules_;
     safeguards const& checks_;
     std::vector<virtual_vm> vms_;
@@ -163,14 +165,14 @@
     std::map<std::string, std::vector<std::pair<time_point, row_state>>> rows_;
     std::uint64_t last_row_version_ = 0;
     std::map<std::string, std::string> objects_;
-    time_point objects_spoilt_until_{};
+    time_point objects_corrupt_until_{};
     std::set<std::tuple<std::size_t, incarnation, operation_id>> answered_;
 
     /// Digests in the order of the versions written, from 1.
     std::vector<std::string> history_;
-    std::map<std::uint64_t, asked_confirm> confirms_;
+    std::map<std::uint64_t, requested_confirm> confirms_;
     std::uint64_t tickets_ = 0;
-    std::map<config_version, time_point> told_;
+    std::map<config_version, time_point> acknowledged_;
     std::vector<confirm_settled> answers_;
     std::vector<std::string> violations_;
     cluster_counts counts_;
--- a/tests/core_world.cpp
+++ b/tests/core_simulation.cpp
@@ -1,4 +1,4 @@
-#include "core_world.hpp"
+#include "core_simulation.hpp"
 
 #include "declaration_text.hpp"
 #include "worker_row.hpp"
@@ -18,11 +18,12 @@
 constexpr duration list_lag = 200ms;
 constexpr std::size_t workers = 3;
 constexpr std::size_t adapters = 8;
-/// A leaving VM's grace, and the few seconds at this scale.
+/// How long after a VM starts to leave it may still accept work: its drain
+/// grace and a few seconds more, at the simulation's time scale.
 constexpr duration leave_bound = 1000ms;
-/// How long after a confirm an older version may be in force.
+/// How long after a confirm an older version may stay in force.
 constexpr duration configuration_bound = 800ms;
-constexpr duration newcomer_after = 300ms;
+constexpr duration replacement_delay = 300ms;
 
 declaration first_declaration()
 {
@@ -62,9 +63,9 @@
 
 } // namespace
 
-// The product's settings at a fifth of their length, so that a schedule of
+// Durations are a fifth of the product's settings, so that a schedule of
 // several lease lengths is short.
-core_settings core_world::settings_of(std::size_t vm)
+core_settings core_simulation::make_settings(std::size_t vm)
 {
     core_settings made;
     vm_id const id("vm" + std::to_string(vm));
@@ -74,21 +75,21 @@
     made.ownership.lease = 600ms;
     made.ownership.heartbeat = 100ms;
     made.ownership.lease_margin = 100ms;
-    made.ownership.gone_after = 1000ms;
+    made.ownership.delisted_after = 1000ms;
     made.ownership.handover_interval = 100ms;
     made.ownership.table_timeout = 200ms;
     made.ownership.seed = random_();
     made.configuration.vm = id;
-    made.configuration.poll = 200ms;
-    made.configuration.bound = configuration_bound;
+    made.configuration.poll_interval = 200ms;
+    made.configuration.staleness_bound = configuration_bound;
     made.configuration.outage_after = 300ms;
-    made.configuration.promise = 600ms;
+    made.configuration.promise_duration = 600ms;
     made.configuration.table_timeout = 200ms;
     made.configuration.confirm_timeout = 2000ms;
     made.configuration.seed = random_();
     made.services.vm = id;
     made.services.table_timeout = 200ms;
-    made.services.silence = 300ms;
+    made.services.hedge_delay = 300ms;
     made.services.late_answer_wait = 1000ms;
     made.services.seed = random_();
     made.entry.vm = id;
@@ -103,40 +104,40 @@
     made.dispatch.intent_timeout = 400ms;
     made.dispatch.settle_time = 400ms;
     made.dispatch.load_backoff = 100ms;
-    made.dispatch.fair_wait = 400ms;
+    made.dispatch.starvation_timeout = 400ms;
     made.hint_interval = 40ms;
     made.drain_grace = 400ms;
-    // What must hold rests on no policy.
+    // The invariants must hold under every policy.
     made.policy = policy_names()[seed_ % policy_names().size()];
     made.seed = random_();
     return made;
 }
 
-core_world::core_world(std::size_t vms, std::uint64_t seed,
-                       safeguards const& checks)
+core_simulation::core_simulation(std::size_t vms, std::uint64_t seed,
+                                 safeguards const& checks)
     : seed_(seed), random_(seed),
-      checks_(checks), around_{time_, random_, promises_.seen,
-                               [this](core_link_ptr const& link,
-                                      core_event event)
-                               { send(link, std::move(event)); }},
+      checks_(checks), context_{time_, random_, invariants_.seen,
+                                [this](core_link_ptr const& link,
+                                       core_event event)
+                                { send(link, std::move(event)); }},
       table_(time_, seed), declared_(first_declaration())
 {
     for (auto const& [id, worker] : declared_.workers)
-        engines_.emplace(id, core_engine(around_, worker));
+        engines_.emplace(id, core_engine(context_, worker));
     for (std::size_t vm = 0; vm < vms; ++vm)
     {
         vms_.push_back(nullptr);
-        list(vm, true, false);
+        set_listed(vm, true, false);
         start(vm);
     }
 }
 
-void core_world::start(std::size_t vm)
+void core_simulation::start(std::size_t vm)
 {
     auto const process = std::make_shared<core_process>();
     process->vm = vm;
     process->id = vm_id("vm" + std::to_string(vm));
-    process->core = std::make_unique<vm_core>(settings_of(vm), checks_);
+    process->core = std::make_unique<vm_core>(make_settings(vm), checks_);
     process->woken_at = time_.now();
     vms_[vm] = process;
     action_list actions;
@@ -151,14 +152,14 @@
               for (worker_id const& worker : process->core->watched_workers())
                   if (!engines_.at(worker).faults.unreachable)
                       time_.after(
-                          around_.between(1, 60),
+                          context_.between(1, 60),
                           [this, process, shown = engines_.at(worker).report()]
                           { feed(process, shown); });
           });
 }
 
-void core_world::every(core_process_ptr const& process, duration wait,
-                       std::function<void()> what)
+void core_simulation::every(core_process_ptr const& process, duration wait,
+                            std::function<void()> what)
 {
     time_.after(wait,
                 [this, process, wait, what = std::move(what)]
@@ -171,7 +172,7 @@
                 });
 }
 
-void core_world::feed(core_process_ptr const& process, core_event event)
+void core_simulation::feed(core_process_ptr const& process, core_event event)
 {
     if (!process->running)
         return;
@@ -181,10 +182,10 @@
         handle(process, event);
 }
 
-void core_world::handle(core_process_ptr const& process,
-                        core_event const& event)
+void core_simulation::handle(core_process_ptr const& process,
+                             core_event const& event)
 {
-    note_arrival(process, event);
+    record_late_arrival(process, event);
     action_list actions;
     process->core->handle(event, time_.now(), actions);
     for (action& each : actions)
@@ -193,13 +194,14 @@
         if (auto const* version = std::get_if<config_version>(&each.result))
         {
             ++counts_.confirms;
-            promises_.confirmed(*version, time_.now());
+            invariants_.confirmed(*version, time_.now());
         }
     if (process->flush_due || process->outbox.empty())
         return;
-    // Between a decision and its deed a process may be paused or killed.
+    // Actions are performed later, so that a process can be paused or killed
+    // between a decision and its action.
     process->flush_due = true;
-    time_.after(around_.between(0, 1),
+    time_.after(context_.between(0, 1),
                 [this, process]
                 {
                     if (process->running && !process->paused)
@@ -207,12 +209,12 @@
                 });
 }
 
-void core_world::note_arrival(core_process_ptr const& process,
-                              core_event const& event)
+void core_simulation::record_late_arrival(core_process_ptr const& process,
+                                          core_event const& event)
 {
     time_point const now = time_.now();
-    bool noticed = std::holds_alternative<leave_asked>(event);
-    if (auto const* listed = std::get_if<vms_listed>(&event))
+    bool noticed = std::holds_alternative<leave_requested>(event);
+    if (auto const* listed = std::get_if<vm_list_received>(&event))
         for (listed_vm const& each : listed->vms)
             noticed = noticed || (each.vm == process->id && each.leaving);
     if (noticed && !process->left_at)
@@ -220,14 +222,15 @@
     if (!process->left_at || now <= *process->left_at + leave_bound)
         return;
     if (auto const* model = std::get_if<model_request_arrived>(&event))
-        process->late_work.insert(model->request.id.str());
+        process->late_requests.insert(model->request.id.str());
     else if (auto const* call = std::get_if<service_request_arrived>(&event))
-        process->late_work.insert(call->request.id.str());
-    else if (auto const* forwarded = std::get_if<request_forwarded>(&event))
-        process->late_work.insert(forwarded->request.id.str());
+        process->late_requests.insert(call->request.id.str());
+    else if (auto const* forwarded =
+                 std::get_if<forwarded_request_arrived>(&event))
+        process->late_requests.insert(forwarded->request.id.str());
 }
 
-void core_world::flush(core_process_ptr const& process)
+void core_simulation::flush(core_process_ptr const& process)
 {
     process->flush_due = false;
     while (process->running && !process->outbox.empty())
@@ -238,23 +241,23 @@
     }
 }
 
-void core_world::tick(core_process_ptr const& process)
+void core_simulation::tick(core_process_ptr const& process)
 {
     handle(process, clock_ticked{});
-    judge(process);
-    if (process->core->may_end(time_.now()))
+    check_admission(process);
+    if (process->core->can_exit(time_.now()))
         end_gracefully(process);
 }
 
-void core_world::judge(core_process_ptr const& process)
+void core_simulation::check_admission(core_process_ptr const& process)
 {
     if (process->core->takes_new_work(time_.now()) && process->core->declared())
-        promises_.would_take_work(
+        invariants_.check_admitted_version(
             process->id, process->core->status(time_.now()).configuration,
             time_.now(), configuration_bound);
 }
 
-void core_world::pause(std::size_t vm, duration span)
+void core_simulation::pause(std::size_t vm, duration span)
 {
     core_process_ptr const process = vms_[vm];
     if (!process->running || process->paused)
@@ -276,7 +279,7 @@
                 });
 }
 
-void core_world::kill(std::size_t vm)
+void core_simulation::kill(std::size_t vm)
 {
     core_process_ptr const process = vms_[vm];
     if (!process->running)
@@ -285,38 +288,38 @@
     process->core.reset();
     for (request_id const& each : process->unanswered)
     {
-        promises_.seen.withdrawn(each);
+        invariants_.seen.withdrawn(each);
         outcomes_[each] = "killed";
     }
     close_connections(process);
 }
 
-void core_world::close_connections(core_process_ptr const& process)
+void core_simulation::close_connections(core_process_ptr const& process)
 {
     for (auto const& [attempt, link] : std::exchange(process->open, {}))
-        hang_up(link);
+        close_link(link);
     for (auto const& [request, link] : std::exchange(process->writers, {}))
         break_link(link);
 }
 
-void core_world::end_gracefully(core_process_ptr const& process)
+void core_simulation::end_gracefully(core_process_ptr const& process)
 {
     flush(process);
     ++counts_.ended;
-    promises_.ended(process->id,
-                    process->unanswered.size() + process->writers.size());
+    invariants_.ended(process->id,
+                      process->unanswered.size() + process->writers.size());
     kill(process->vm);
-    list(process->vm, false, false);
-    time_.after(newcomer_after,
+    set_listed(process->vm, false, false);
+    time_.after(replacement_delay,
                 [this]
                 {
                     vms_.push_back(nullptr);
-                    list(vms_.size() - 1, true, false);
+                    set_listed(vms_.size() - 1, true, false);
                     start(vms_.size() - 1);
                 });
 }
 
-void core_world::confirm(std::size_t vm)
+void core_simulation::confirm(std::size_t vm)
 {
     core_process_ptr const process = process_for(vm);
     if (!process)
@@ -327,12 +330,12 @@
     next.adapters[added.id] = added;
     std::string const text = write_declaration(next);
     feed(process,
-         confirm_asked{++tickets_,
-                       process->core->status(time_.now()).configuration,
-                       digest_of(text), text});
+         confirm_requested{++tickets_,
+                           process->core->status(time_.now()).configuration,
+                           digest_of(text), text});
 }
 
-void core_world::list(std::size_t vm, bool present, bool leaving)
+void core_simulation::set_listed(std::size_t vm, bool present, bool leaving)
 {
     vm_id const id("vm" + std::to_string(vm));
     std::erase_if(listed_,
@@ -342,53 +345,54 @@
     lists_.push_back({time_.now(), listed_});
 }
 
-void core_world::read_list(core_process_ptr const& process)
+void core_simulation::read_list(core_process_ptr const& process)
 {
     std::vector<listed_vm> shown = lists_.front().vms;
     for (listed_state const& each : lists_)
         if (each.since + list_lag <= time_.now())
             shown = each.vms;
-    feed(process, vms_listed{shown});
+    feed(process, vm_list_received{shown});
 }
 
-/// With no order under way, an intent left in a row would keep its adapter's
-/// name from use for ever.
-void core_world::check_intents()
+/// Checks that no intent is left in a row while no order is in progress: the
+/// adapter's name could never be used again.
+void core_simulation::check_intents()
 {
     for (table_row const& each : table_.rows(worker_prefix))
     {
         auto const row = parse_worker_row(each.value);
         for (engine_name const& name : row->intents)
-            promises_.not_in_service(each.key + " keeps the intent to unload " +
-                                     name.str());
+            invariants_.report_service_failure(
+                each.key + " keeps the intent to unload " + name.str());
     }
 }
 
-core_status core_world::status(std::size_t vm) const
+core_status core_simulation::status(std::size_t vm) const
 {
     return vms_[vm]->core->status(time_.now());
 }
 
-void core_world::warm_up()
+void core_simulation::warm_up()
 {
     run_for(300ms);
     confirm(0);
     run_for(700ms);
 }
 
-std::vector<broken_promise> core_world::run(core_schedule const& what)
+std::vector<invariant_violation> core_simulation::run(core_schedule const& what)
 {
     warm_up();
     time_point const begun = time_.now();
-    time_point over = begun;
+    time_point faults_end = begun;
     for (core_step const& step : what.steps)
     {
         time_point const at = begun + std::chrono::milliseconds(step.at_ms);
-        time_.at(at, [this, step] { begin(step); });
-        over = std::max(over, at + std::chrono::milliseconds(step.span_ms));
+        time_.at(at, [this, step] { inject(step); });
+        faults_end =
+            std::max(faults_end, at + std::chrono::milliseconds(step.span_ms));
     }
-    traffic_until(over + 500ms);
-    // Longer than a lease, the list's lag, a request's deadline.
+    traffic_until(faults_end + 500ms);
+    // Longer than a lease, the lag of the VM list and a request's deadline.
     run_for(3500ms);
     check_service();
     run_for(2500ms);
--- a/tests/core_world.hpp
+++ b/tests/core_simulation.hpp
@@ -1,10 +1,10 @@
-/// Several whole decision cores in one process in virtual time, with small
-/// fakes at their interfaces, under a schedule of faults.
+/// Simulation of several decision cores in one process in virtual time, with
+/// fakes at their interfaces and a schedule of faults.
 #ifndef MULBERRY_TESTS_CORE_WORLD_HPP
 #define MULBERRY_TESTS_CORE_WORLD_HPP
 
 #include "core_engine.hpp"
-#include "core_promises.hpp"
+#include "core_invariants.hpp"
 #include "core_schedule.hpp"
 #include "fake_table.hpp"
 
@@ -17,7 +17,7 @@
 namespace mulberry::tests
 {
 
-/// What a run counted, so that a test sees that the schedules did something.
+/// Counts of a run, so that a test can check that the schedule had an effect.
 struct world_counts
 {
     std::size_t asked = 0;
@@ -28,27 +28,39 @@
     std::size_t ended = 0;
 };
 
-class core_world
+class core_simulation
 {
 public:
-    core_world(std::size_t vms, std::uint64_t seed, safeguards const& checks);
+    core_simulation(std::size_t vms, std::uint64_t seed,
+                    safeguards const& checks);
 
-    /// The whole of a proof: warm-up, the schedule under traffic, the end of
-    /// the faults, and then a check that service has come back.
-    std::vector<broken_promise> run(core_schedule const& what);
+    /// Runs one schedule: warm-up, the faults under traffic, the end of the
+    /// faults, and a check that requests are served again. Returns all
+    /// violated invariants.
+    std::vector<invariant_violation> run(core_schedule const& what);
 
-    // By hand, for tests of one story.
+    // Single steps, for tests of one scenario.
+    /// Lets the VMs start and confirms a configuration.
     void warm_up();
-    void begin(core_step const& step);
+    /// Starts the fault of a step now; the fault ends after its span.
+    void inject(core_step const& step);
+    /// Generates random calls until `end`.
     void traffic_until(time_point end);
     void run_for(duration span) { time_.run_until(time_.now() + span); }
-    request_id ask(std::size_t vm, std::size_t adapter);
-    request_id call_once(std::size_t vm, std::string const& key);
-    /// The final answer as text: `whole`, an error kind, or empty.
+    /// Sends a request through the VM, or through the next one that runs.
+    request_id submit_model_request(std::size_t vm, std::size_t adapter);
+    /// Sends a service call with an Idempotency-Key, likewise.
+    request_id submit_service_call(std::size_t vm, std::string const& key);
+    /// The final answer as text: `whole`, `killed`, an error's kind and text,
+    /// or empty if there is none yet.
     std::string outcome(request_id const& request) const;
-    /// Asks through every VM that stays, and waits for the answers.
+    /// Sends requests through every running VM, waits, and records a violation
+    /// for each that is not answered and for each leaving VM that still runs.
     void check_service();
-    std::vector<broken_promise> check() const { return promises_.check(); }
+    std::vector<invariant_violation> check() const
+    {
+        return invariants_.check();
+    }
     world_counts const& counts() const { return counts_; }
     time_point now() const { return time_.now(); }
     bool running(std::size_t vm) const { return vms_[vm]->running; }
@@ -62,27 +74,28 @@
         std::vector<listed_vm> vms;
     };
 
-    // Processes (core_world.cpp).
-    core_settings settings_of(std::size_t vm);
+    // Processes (core_simulation.cpp).
+    core_settings make_settings(std::size_t vm);
     void start(std::size_t vm);
     void every(core_process_ptr const& process, duration wait,
                std::function<void()> what);
     void feed(core_process_ptr const& process, core_event event);
     void handle(core_process_ptr const& process, core_event const& event);
-    void note_arrival(core_process_ptr const& process, core_event const& event);
+    void record_late_arrival(core_process_ptr const& process,
+                             core_event const& event);
     void flush(core_process_ptr const& process);
     void tick(core_process_ptr const& process);
-    void judge(core_process_ptr const& process);
+    void check_admission(core_process_ptr const& process);
     void pause(std::size_t vm, duration span);
     void kill(std::size_t vm);
     void close_connections(core_process_ptr const& process);
     void end_gracefully(core_process_ptr const& process);
     void confirm(std::size_t vm);
-    void list(std::size_t vm, bool present, bool leaving);
+    void set_listed(std::size_t vm, bool present, bool leaving);
     void read_list(core_process_ptr const& process);
     void check_intents();
 
-    // What a core asks for (core_network.cpp).
+    // Performing the actions of the cores (core_network.cpp).
     void perform(core_process_ptr const& process, action const& what);
     void on(core_process_ptr const& process, start_attempt const& what);
     void on(core_process_ptr const& process, cancel_attempt const& what);
@@ -96,31 +109,31 @@
     void on(core_process_ptr const& process, unload_adapter const& what);
     void on(core_process_ptr const& process, fetch_object const& what);
     void on(core_process_ptr const& process, store_object const& what);
-    void on(core_process_ptr const& process, tell_peer const& what);
+    void on(core_process_ptr const& process, send_peer_message const& what);
     void on(core_process_ptr const& process, call_service const& what);
     template <class Other>
     void on(core_process_ptr const& process, Other const& what);
-    void note_new_work(core_process_ptr const& process,
-                       request_id const& request);
+    void record_late_send(core_process_ptr const& process,
+                          request_id const& request);
     core_link_ptr connect(core_process_ptr const& client, attempt_id attempt,
                           request_id const& request);
     void send(core_link_ptr const& link, core_event event);
     void break_link(core_link_ptr const& link);
-    void hang_up(core_link_ptr const& link);
-    void arrive_forwarded(core_link_ptr const& link, std::size_t vm,
-                          worker_id const& worker,
-                          model_request const& request);
-    void watch(core_link_ptr const& link);
+    void close_link(core_link_ptr const& link);
+    void on_forwarded_arrival(core_link_ptr const& link, std::size_t vm,
+                              worker_id const& worker,
+                              model_request const& request);
+    void watch_link(core_link_ptr const& link);
     void run_service(core_link_ptr const& link, service_request const& request);
     void answer_object(core_process_ptr const& process, object_reply reply,
                        time_point deadline);
-    core_link_ptr take_writer(core_process_ptr const& process,
-                              request_id const& request);
+    core_link_ptr remove_writer(core_process_ptr const& process,
+                                request_id const& request);
     std::size_t vm_of(vm_id const& vm) const;
 
-    // Callers (core_traffic.cpp).
+    // Callers and faults (core_traffic.cpp).
     core_process_ptr process_for(std::size_t vm) const;
-    void traffic();
+    void generate_traffic();
     void withdraw(request_id const& request);
     void finish(core_process_ptr const& process, request_id const& request,
                 std::string outcome);
@@ -129,8 +142,8 @@
     std::uint64_t seed_;
     std::mt19937_64 random_;
     safeguards const& checks_;
-    core_promises promises_;
-    core_surroundings around_;
+    core_invariants invariants_;
+    core_context context_;
     fake_table table_;
     std::vector<core_process_ptr> vms_;
     std::map<worker_id, core_engine> engines_;
--- a/tests/dispatcher_bench.hpp
+++ b/tests/dispatcher_fixture.hpp
@@ -1,4 +1,5 @@
-/// A worker's dispatcher with two slots and what it asked for.
+/// A test fixture: a dispatcher of a worker with two batch slots and two
+/// adapter slots, and the actions that it requested.
 #ifndef MULBERRY_TESTS_DISPATCHER_BENCH_HPP
 #define MULBERRY_TESTS_DISPATCHER_BENCH_HPP
 
@@ -12,37 +13,41 @@
 namespace mulberry::tests
 {
 
-/// Order of arrival, least recently used, nothing ahead unless told.
-class plain_policy : public routing_policy
+/// Sends in order of arrival, evicts the least recently used adapter and
+/// preloads only the adapters in `preloads`.
+class lru_policy : public routing_policy
 {
 public:
-    std::vector<adapter_ref> wanted_ahead;
+    std::vector<adapter_ref> preloads;
 
-    std::optional<worker_id> choose(model_request const&, cluster_view const&,
-                                    std::set<worker_id> const&,
-                                    time_point) override
+    std::optional<worker_id> choose_worker(model_request const&,
+                                           cluster_view const&,
+                                           std::set<worker_id> const&,
+                                           time_point) override
     {
         return std::nullopt;
     }
     std::optional<adapter_ref>
-    victim(worker_view const&, adapter_ref const&,
-           std::vector<resident_view> const& candidates, time_point) override
+    choose_victim(worker_view const&, adapter_ref const&,
+                  std::vector<resident_view> const& candidates,
+                  time_point) override
     {
         auto const older = [](resident_view const& a, resident_view const& b)
         { return a.last_used < b.last_used; };
         return std::min_element(candidates.begin(), candidates.end(), older)
             ->adapter;
     }
-    std::optional<std::size_t> next(worker_view const&,
-                                    std::vector<waiting_request> const&,
-                                    time_point) override
+    std::optional<std::size_t> choose_next(worker_view const&,
+                                           std::vector<waiting_request> const&,
+                                           time_point) override
     {
         return 0;
     }
-    std::vector<adapter_ref> ahead(worker_view const&, cluster_view const&,
-                                   time_point) override
+    std::vector<adapter_ref> adapters_to_preload(worker_view const&,
+                                                 cluster_view const&,
+                                                 time_point) override
     {
-        return wanted_ahead;
+        return preloads;
     }
     void observe(model_request const&, time_point) override {}
     void configure(declaration const&) override {}
@@ -65,10 +70,11 @@
     return limits;
 }
 
-/// A dispatcher of fence 5 with what it asked for.
-struct dispatcher_bench
+/// A dispatcher whose owner has fencing number 5, and all actions that it
+/// requested.
+struct dispatcher_fixture
 {
-    explicit dispatcher_bench(ownership_grant grant = {})
+    explicit dispatcher_fixture(ownership_grant grant = {})
         : budget(make_load_budget("even_split"))
     {
         budget->configure({100, 10});
@@ -92,7 +98,8 @@
         request.deadline = now + time_left;
         dispatcher->submit(request, now, actions);
     }
-    /// A report of this moment with these names and requests under them.
+    /// Delivers a report of this moment with these names and the number of
+    /// requests running under each.
     void report(std::vector<engine_report::adapter_load> adapters)
     {
         engine_report shown;
@@ -104,13 +111,14 @@
         shown.adapters = std::move(adapters);
         dispatcher->on_report(shown, now, actions);
     }
-    void pass(duration time)
+    void advance(duration time)
     {
         now += time;
         dispatcher->tick(now, actions);
     }
+    /// All actions of a type so far, in order.
     template <class Action>
-    std::vector<Action> asked() const
+    std::vector<Action> actions_of() const
     {
         std::vector<Action> found;
         for (action const& each : actions)
@@ -119,27 +127,27 @@
         return found;
     }
     template <class Action>
-    Action last() const
+    Action last_action() const
     {
-        return asked<Action>().back();
+        return actions_of<Action>().back();
     }
-    /// Both slots are in use, by r1 of a and r2 of b, and r3 of c has waited
-    /// for the fair time.
-    void fill_with_busy()
+    /// Both adapter slots are in use, by request r1 for adapter a and r2 for b,
+    /// and r3 for c has waited for starvation_timeout.
+    void occupy_both_slots()
     {
         report({{engine_name("a@1#5"), 0}, {engine_name("b@1#5"), 0}});
         submit("r1", "a");
         submit("r2", "b");
         submit("r3", "c");
-        pass(std::chrono::seconds(1));
-        chunk(asked<start_attempt>()[0], 0);
-        chunk(asked<start_attempt>()[1], 0);
-        pass(std::chrono::seconds(1));
+        advance(std::chrono::seconds(1));
+        chunk(actions_of<start_attempt>()[0], 0);
+        chunk(actions_of<start_attempt>()[1], 0);
+        advance(std::chrono::seconds(1));
     }
-    /// How often the intent under that name was told to be over.
-    std::size_t forgotten(engine_name const& name) const
+    /// The number of forget_intent actions for that name.
+    std::size_t forget_count(engine_name const& name) const
     {
-        auto const all = asked<forget_intent>();
+        auto const all = actions_of<forget_intent>();
         return static_cast<std::size_t>(
             std::count_if(all.begin(), all.end(),
                           [&](auto const& each) { return each.name == name; }));
@@ -171,7 +179,7 @@
     }
 
     time_point now = time_point(std::chrono::seconds(1000));
-    plain_policy policy;
+    lru_policy policy;
     std::unique_ptr<load_budget> budget;
     safeguards checks;
     id_source ids;
--- a/tests/history.cpp
+++ b/tests/history.cpp
@@ -28,7 +28,7 @@
 {
     request_record& record = requests_[request];
     ++record.final_answers;
-    record.whole = true;
+    record.complete = true;
 }
 
 void history::answered_error(request_id const& request, error const& what)
@@ -64,7 +64,7 @@
     request_record& record = requests_[request];
     ++record.service_runs;
     if (record.once && ++calls_[call] == 2)
-        at_once_.push_back(
+        immediate_violations_.push_back(
             {violation_kind::ran_twice, call + " ran more than once"});
 }
 
@@ -76,8 +76,9 @@
 void history::accepted(std::string const& vm, request_id const& request)
 {
     if (leaving_.contains(vm))
-        at_once_.push_back({violation_kind::work_while_leaving,
-                            vm + " took " + request.str() + " while leaving"});
+        immediate_violations_.push_back(
+            {violation_kind::work_while_leaving,
+             vm + " accepted " + request.str() + " while leaving"});
 }
 
 std::size_t history::open_requests() const
@@ -121,7 +122,7 @@
     {
         if (piece.written_for != id)
             found.push_back({violation_kind::foreign_answer,
-                             id.str() + " was given an event of " +
+                             id.str() + " received an event of " +
                                  piece.written_for.str()});
         in_order = in_order && piece.offset == expected++ &&
                    piece.run == record.pieces.front().run;
@@ -131,9 +132,11 @@
                          id.str() + " has a gap, a repetition, a mix of runs "
                                     "or an event after the end"});
     bool const ends = !record.pieces.empty() && record.pieces.back().last;
-    if (record.whole && record.adapter && !ends)
-        found.push_back({violation_kind::answer_not_whole,
-                         id.str() + " was told as whole and lacks its end"});
+    if (record.complete && record.adapter && !ends)
+        found.push_back(
+            {violation_kind::answer_not_whole,
+             id.str() +
+                 " was reported complete but its last event is missing"});
 }
 
 void history::check_final(records::value_type const& each,
@@ -156,17 +159,17 @@
     if (!record.failure)
         return;
     bool const did_run = !record.started.empty() || record.service_runs > 0;
-    ran const told = record.failure->request_ran();
-    if ((told == ran::no && did_run) || (told == ran::yes && !did_run))
-        found.push_back(
-            {violation_kind::untrue_ran,
-             id.str() + " was told ran: " + std::string(to_string(told)) +
-                 " (" + record.failure->text() + "), which is untrue"});
+    ran const reported = record.failure->request_ran();
+    if ((reported == ran::no && did_run) || (reported == ran::yes && !did_run))
+        found.push_back({violation_kind::untrue_ran,
+                         id.str() + " was reported with ran: " +
+                             std::string(to_string(reported)) + " (" +
+                             record.failure->text() + "), which is incorrect"});
 }
 
 std::vector<violation> history::check() const
 {
-    std::vector<violation> found = at_once_;
+    std::vector<violation> found = immediate_violations_;
     for (auto const& each : requests_)
     {
         check_adapter(each, found);
@@ -177,7 +180,7 @@
     for (auto const& [name, in_flight] : unloads_)
         if (in_flight > 0)
             found.push_back({violation_kind::evicted_in_flight,
-                             name.str() + " was unloaded under " +
+                             name.str() + " was unloaded during " +
                                  std::to_string(in_flight) + " requests"});
     return found;
 }
--- a/tests/http_client_test.cpp
+++ b/tests/http_client_test.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// A back end whose connections follow the test's script, on one thread.
+/// A back end that runs the test's script on a thread of its own.
 class scripted_back_end
 {
 public:
@@ -30,7 +30,7 @@
         return "http://127.0.0.1:" + std::to_string(listener_.port()) + "/";
     }
 
-    bool has_waiting_connection() const { return listener_.ready(0); }
+    bool has_pending_connection() const { return listener_.ready(0); }
 
 private:
     raw_socket listener_;
@@ -46,7 +46,7 @@
     return call;
 }
 
-http_call kept_call_to(std::string url)
+http_call repeatable_call_to(std::string url)
 {
     http_call call = call_to(std::move(url), "GET");
     call.repeatable = true;
@@ -60,7 +60,7 @@
 }
 
 /// Reads one request without a body and answers it.
-void serve(raw_socket const& connection, std::string const& body)
+void answer_request(raw_socket const& connection, std::string const& body)
 {
     connection.read_until(end_of_headers);
     connection.send(answer(body));
@@ -69,27 +69,28 @@
 struct counting_observer final : http_call_observer
 {
     std::promise<void> first_data;
-    std::atomic<int> heard{0};
+    std::atomic<int> callbacks{0};
 
     void on_status(int /*status*/, http_headers const& /*headers*/) override
     {
-        ++heard;
+        ++callbacks;
     }
     void on_data(std::string_view /*data*/) override
     {
-        ++heard;
+        ++callbacks;
         first_data.set_value();
     }
-    void on_end() override { ++heard; }
+    void on_end() override { ++callbacks; }
     void on_failure(call_stage /*stage*/, std::string const& /*text*/) override
     {
-        ++heard;
+        ++callbacks;
     }
 };
 
 } // namespace
 
-TEST_CASE("a refused connection was not sent", "[http_client]")
+TEST_CASE("a call whose connection is refused fails as not sent",
+          "[http_client]")
 {
     auto listener = raw_socket::listening();
     auto const url = "http://127.0.0.1:" + std::to_string(listener.port());
@@ -115,7 +116,8 @@
     CHECK(result.stage == call_stage::not_sent);
 }
 
-TEST_CASE("a connection accepted and then closed was sent", "[http_client]")
+TEST_CASE("a call whose connection closes without an answer fails as sent",
+          "[http_client]")
 {
     scripted_back_end back_end([](raw_socket const& listener)
                                { listener.accepted(); });
@@ -128,27 +130,28 @@
 TEST_CASE("a call that must run at most once is never made twice",
           "[http_client]")
 {
-    // A call leaves a kept connection behind. The back end takes one more
-    // request on it and closes without an answer, having perhaps run it.
-    // libcurl, unasked, makes a repeatable call again; a slip's call must
-    // fail as `sent` after exactly one request, or a family is billed twice.
+    // The back end reads a second request on a kept connection and closes it
+    // without an answer, but may have run the request. libcurl retries a
+    // repeatable call by itself; a slip's call must fail as `sent` after
+    // exactly one request, otherwise a family is billed twice.
     bool const repeatable = GENERATE(true, false);
     std::atomic<int> requests{0};
     scripted_back_end back_end(
         [&](raw_socket const& listener)
         {
             auto kept = listener.accepted();
-            serve(kept, "first");
+            answer_request(kept, "first");
             auto again = raw_socket::first_ready(kept, listener)
                              ? std::move(kept)
                              : listener.accepted();
             requests += again.read_until(end_of_headers).empty() ? 0 : 1;
             again.close();
             if (repeatable)
-                serve(listener.accepted(), "second");
+                answer_request(listener.accepted(), "second");
         });
     http_client client;
-    REQUIRE(client.call_and_wait(kept_call_to(back_end.url())).status == 200);
+    REQUIRE(client.call_and_wait(repeatable_call_to(back_end.url())).status ==
+            200);
     http_call call = call_to(back_end.url());
     call.repeatable = repeatable;
     auto const result = client.call_and_wait(call);
@@ -160,14 +163,15 @@
     CHECK(result.status == 0);
     CHECK(result.stage == call_stage::sent);
     CHECK(requests == 1);
-    CHECK_FALSE(back_end.has_waiting_connection());
+    CHECK_FALSE(back_end.has_pending_connection());
 }
 
-TEST_CASE("a silent back end is given up", "[http_client]")
+TEST_CASE("a call to a silent back end fails at the silence timeout",
+          "[http_client]")
 {
-    // The back end reads the request and says nothing, or begins its answer
-    // and goes silent. Its connection is open and acknowledges everything;
-    // only the silence timeout tells.
+    // The back end reads the request and sends nothing, or stops in the middle
+    // of its answer. Its connection stays open and acknowledges everything, so
+    // only the silence timeout can detect this.
     bool const begins = GENERATE(false, true);
     std::promise<void> given_up;
     scripted_back_end back_end(
@@ -191,9 +195,9 @@
 
 TEST_CASE("a late answer never reaches another call", "[http_client]")
 {
-    // The first call is given up at its deadline. Then its answer comes, on
-    // the connection that it used, and the next call is made. That must get
-    // its own answer: the other one is another caller's summary.
+    // The first call fails at its deadline. Its answer arrives later on the
+    // same connection, and the next call is made. The next call must get its
+    // own answer: the late one is another caller's summary.
     std::promise<void> given_up;
     scripted_back_end back_end(
         [&](raw_socket const& listener)
@@ -202,18 +206,18 @@
             first.read_until(end_of_headers);
             given_up.get_future().wait();
             first.send(answer("late"));
-            serve(listener.accepted(), "own");
+            answer_request(listener.accepted(), "own");
         });
     http_client client;
-    auto call = kept_call_to(back_end.url());
+    auto call = repeatable_call_to(back_end.url());
     call.deadline = std::chrono::steady_clock::now() + 50ms;
     CHECK(client.call_and_wait(call).stage == call_stage::sent);
     given_up.set_value();
-    CHECK(client.call_and_wait(kept_call_to(back_end.url())).body == "own");
+    CHECK(client.call_and_wait(repeatable_call_to(back_end.url())).body ==
+          "own");
 }
 
-TEST_CASE("an answer that nobody asked for never reaches the next call",
-          "[http_client]")
+TEST_CASE("an unsolicited answer never reaches the next call", "[http_client]")
 {
     scripted_back_end back_end(
         [](raw_socket const& listener)
@@ -221,14 +225,17 @@
             auto const first = listener.accepted();
             first.read_until(end_of_headers);
             first.send(answer("asked") + answer("not asked"));
-            serve(listener.accepted(), "own");
+            answer_request(listener.accepted(), "own");
         });
     http_client client;
-    CHECK(client.call_and_wait(kept_call_to(back_end.url())).body == "asked");
-    CHECK(client.call_and_wait(kept_call_to(back_end.url())).body == "own");
+    CHECK(client.call_and_wait(repeatable_call_to(back_end.url())).body ==
+          "asked");
+    CHECK(client.call_and_wait(repeatable_call_to(back_end.url())).body ==
+          "own");
 }
 
-TEST_CASE("a response without a proper end is a failure", "[http_client]")
+TEST_CASE("a truncated response or one without framing is a failure",
+          "[http_client]")
 {
     auto const response = GENERATE(
         "HTTP/1.1 200 OK\r\n\r\nhalf a summary",
@@ -248,7 +255,7 @@
     CHECK(result.stage == call_stage::answering);
 }
 
-TEST_CASE("a cancelled call closes its connection and is silent",
+TEST_CASE("a cancelled call closes its connection and calls back no more",
           "[http_client]")
 {
     std::promise<bool> closed;
@@ -266,10 +273,10 @@
     observer->first_data.get_future().wait();
     client.cancel(handle);
     CHECK(closed.get_future().get());
-    CHECK(observer->heard == 2);
+    CHECK(observer->callbacks == 2);
 }
 
-TEST_CASE("a client that goes tells the observers of its calls nothing",
+TEST_CASE("destroying a client makes no callbacks to observers",
           "[http_client]")
 {
     auto const listener = raw_socket::listening();
@@ -280,7 +287,7 @@
             call_to("http://127.0.0.1:" + std::to_string(listener.port())),
             observer);
     }
-    CHECK(observer->heard == 0);
+    CHECK(observer->callbacks == 0);
     CHECK(observer.use_count() == 1);
 }
 
--- a/tests/json_rpc_test.cpp
+++ b/tests/json_rpc_test.cpp
@@ -28,7 +28,7 @@
                         }}});
 }
 
-/// The server behind a listener that wants the key "right".
+/// Serves `server` to callers with the key "right"; aborts answers to /lost.
 http_handler handler_of(rpc_server& server)
 {
     return [&server](http_request const& request,
@@ -57,12 +57,12 @@
     }
 };
 
-std::chrono::steady_clock::time_point soon()
+std::chrono::steady_clock::time_point test_deadline()
 {
     return std::chrono::steady_clock::now() + 20s;
 }
 
-Json::Value two_numbers(int a, int b)
+Json::Value add_parameters(int a, int b)
 {
     Json::Value parameters;
     parameters["a"] = a;
@@ -74,7 +74,7 @@
 {
     try
     {
-        caller.call(method, two_numbers(1, 2), soon());
+        caller.call(method, add_parameters(1, 2), test_deadline());
     }
     catch (rpc_failure const& failure)
     {
@@ -85,7 +85,8 @@
 
 } // namespace
 
-TEST_CASE("a method's result comes back to each of many callers", "[json_rpc]")
+TEST_CASE("each of many concurrent callers receives its own result",
+          "[json_rpc]")
 {
     listener listener;
     rpc_client caller = listener.caller("right");
@@ -99,8 +100,8 @@
             {
                 for (int j = 0; j < 20; ++j)
                 {
-                    auto const sum =
-                        caller.call("add", two_numbers(i, j), soon());
+                    auto const sum = caller.call("add", add_parameters(i, j),
+                                                 test_deadline());
                     right += sum.asInt() == i + j ? 1 : 0;
                 }
             });
@@ -110,7 +111,7 @@
     CHECK(right == 160);
 }
 
-TEST_CASE("the code and text of a method's failure travel to the caller",
+TEST_CASE("the caller receives the code and text of a method's failure",
           "[json_rpc]")
 {
     listener listener;
@@ -118,10 +119,11 @@
     CHECK(failure_code(caller, "refuse") == 17);
     CHECK(failure_code(caller, "break") == -32603);
     CHECK(failure_code(caller, "no such method") == -32601);
-    CHECK_THROWS_WITH(caller.call("refuse", {}, soon()), "not the owner");
+    CHECK_THROWS_WITH(caller.call("refuse", {}, test_deadline()),
+                      "not the owner");
 }
 
-TEST_CASE("a call that failed on the way says whether it may have run",
+TEST_CASE("a call that fails in transport reports whether it may have run",
           "[json_rpc]")
 {
     listener listener;
@@ -133,7 +135,7 @@
     CHECK(failure_code(unreachable, "add") == rpc_not_sent);
 }
 
-TEST_CASE("a body that is no request is answered with an error", "[json_rpc]")
+TEST_CASE("an invalid request body is answered with an error", "[json_rpc]")
 {
     auto server = make_server();
     CHECK(server.handle("{").find("-32700") != std::string::npos);
--- a/tests/model_entry_test.cpp
+++ b/tests/model_entry_test.cpp
@@ -10,34 +10,36 @@
 namespace
 {
 
-/// Takes the first worker that is not excluded, whatever it holds.
+/// Chooses the first worker that is not excluded, whatever its residents.
 class first_worker_policy : public routing_policy
 {
 public:
-    std::optional<worker_id> choose(model_request const&,
-                                    cluster_view const& view,
-                                    std::set<worker_id> const& excluded,
-                                    time_point) override
+    std::optional<worker_id> choose_worker(model_request const&,
+                                           cluster_view const& view,
+                                           std::set<worker_id> const& excluded,
+                                           time_point) override
     {
         for (worker_view const* each : view.all())
             if (!excluded.contains(each->id))
                 return each->id;
         return std::nullopt;
     }
-    std::optional<adapter_ref> victim(worker_view const&, adapter_ref const&,
-                                      std::vector<resident_view> const&,
-                                      time_point) override
+    std::optional<adapter_ref> choose_victim(worker_view const&,
+                                             adapter_ref const&,
+                                             std::vector<resident_view> const&,
+                                             time_point) override
     {
         return std::nullopt;
     }
-    std::optional<std::size_t> next(worker_view const&,
-                                    std::vector<waiting_request> const&,
-                                    time_point) override
+    std::optional<std::size_t> choose_next(worker_view const&,
+                                           std::vector<waiting_request> const&,
+                                           time_point) override
     {
         return std::nullopt;
     }
-    std::vector<adapter_ref> ahead(worker_view const&, cluster_view const&,
-                                   time_point) override
+    std::vector<adapter_ref> adapters_to_preload(worker_view const&,
+                                                 cluster_view const&,
+                                                 time_point) override
     {
         return {};
     }
@@ -65,22 +67,23 @@
     return made;
 }
 
-/// The entry of vm0; vm1 owns w1, which is full of b, and w2, which has a.
-struct entry_bench
+/// The entry of vm0. vm1 owns both workers, which have one adapter slot each:
+/// adapter b is resident at w1, adapter a at w2.
+struct entry_fixture
 {
-    entry_bench() : entry(settings_of_vm0(), policy, view, owner, checks, ids)
+    entry_fixture() : entry(settings_of_vm0(), policy, view, owner, checks, ids)
     {
         put("w1", "b", true);
         put("w2", "a", true);
     }
 
-    void put(char const* worker, char const* adapter, bool evicts)
+    void put(char const* worker, char const* adapter, bool can_evict)
     {
         worker_view shown;
         shown.id = worker_id(worker);
         shown.owner = vm_id("vm1");
         shown.adapter_slots = 1;
-        shown.evicts = evicts;
+        shown.can_evict = can_evict;
         resident_view resident;
         resident.adapter = {adapter_id(adapter), adapter_version(1)};
         shown.residents = {resident};
@@ -96,7 +99,7 @@
         entry.submit(request, now, actions);
     }
     template <class Action>
-    std::vector<Action> asked() const
+    std::vector<Action> actions_of() const
     {
         std::vector<Action> found;
         for (action const& each : actions)
@@ -123,57 +126,62 @@
 
 } // namespace
 
-// The last event is lost on the way from the owner and the mark of the end is
-// not. The caller gets the rest from the engine, or is told that it broke off.
-TEST_CASE("a forwarded answer without its last event is not whole", "[entry]")
+// The last event of a forwarded answer is lost but its end marker arrives. The
+// caller must get the rest from the engine or an error, not a truncated answer.
+TEST_CASE("a forwarded answer without its last event is resumed or fails",
+          "[entry]")
 {
-    entry_bench it;
-    it.submit();
-    REQUIRE(it.asked<forward_request>().size() == 1);
-    attempt_id const forwarded = it.asked<forward_request>()[0].attempt;
-    it.chunk(forwarded, 0, false);
-    it.entry.on_end({forwarded}, it.now, it.actions);
-    CHECK(it.asked<deliver_end>().empty());
-    REQUIRE(it.asked<start_attempt>().size() == 1);
-    start_attempt const resumed = it.asked<start_attempt>()[0];
+    entry_fixture fixture;
+    fixture.submit();
+    REQUIRE(fixture.actions_of<forward_request>().size() == 1);
+    attempt_id const forwarded =
+        fixture.actions_of<forward_request>()[0].attempt;
+    fixture.chunk(forwarded, 0, false);
+    fixture.entry.on_end({forwarded}, fixture.now, fixture.actions);
+    CHECK(fixture.actions_of<deliver_end>().empty());
+    REQUIRE(fixture.actions_of<start_attempt>().size() == 1);
+    start_attempt const resumed = fixture.actions_of<start_attempt>()[0];
     CHECK(resumed.resume);
     CHECK(resumed.offset == 1);
     bool const had = GENERATE(true, false);
     if (had)
     {
-        it.chunk(resumed.attempt, 1, true);
-        it.entry.on_end({resumed.attempt}, it.now, it.actions);
-        CHECK(it.asked<deliver_event>().size() == 2);
-        CHECK(it.asked<deliver_end>().size() == 1);
+        fixture.chunk(resumed.attempt, 1, true);
+        fixture.entry.on_end({resumed.attempt}, fixture.now, fixture.actions);
+        CHECK(fixture.actions_of<deliver_event>().size() == 2);
+        CHECK(fixture.actions_of<deliver_end>().size() == 1);
         return;
     }
-    it.entry.on_failure(
-        {resumed.attempt, failure_stage::refused, 404, "", "", {}}, it.now,
-        it.actions);
-    CHECK(it.asked<deliver_end>().empty());
-    REQUIRE(it.asked<deliver_error>().size() == 1);
-    CHECK(it.asked<deliver_error>()[0].what.kind() == error_kind::answer_cut);
+    fixture.entry.on_failure(
+        {resumed.attempt, failure_stage::refused, 404, "", "", {}}, fixture.now,
+        fixture.actions);
+    CHECK(fixture.actions_of<deliver_end>().empty());
+    REQUIRE(fixture.actions_of<deliver_error>().size() == 1);
+    CHECK(fixture.actions_of<deliver_error>()[0].what.kind() ==
+          error_kind::answer_cut);
 }
 
-// The table is out of reach, so that a full worker lets no adapter go. Whatever
-// a policy prefers, the request goes where its adapter is; if it is nowhere,
-// the owner that the policy chose says that it cannot load.
-TEST_CASE("a worker that can load nothing is passed over", "[entry]")
+// While the table is unreachable, a full worker cannot evict. Guards against
+// sending a request to such a worker, where it would wait in vain, although its
+// adapter is resident elsewhere. If it is resident nowhere, the request goes to
+// the policy's first choice, whose owner reports that it cannot load.
+TEST_CASE("a worker that cannot load the adapter is skipped", "[entry]")
 {
-    entry_bench it;
+    entry_fixture fixture;
     char const* expected = "w1";
-    SECTION("it can evict") {}
-    SECTION("it cannot")
+    SECTION("the first choice can evict") {}
+    SECTION("the first choice cannot evict")
     {
-        it.put("w1", "b", false);
+        fixture.put("w1", "b", false);
         expected = "w2";
     }
-    SECTION("it cannot, and the adapter is nowhere")
+    SECTION("no worker can evict and the adapter is resident nowhere")
     {
-        it.put("w1", "b", false);
-        it.put("w2", "c", false);
+        fixture.put("w1", "b", false);
+        fixture.put("w2", "c", false);
     }
-    it.submit();
-    REQUIRE(it.asked<forward_request>().size() == 1);
-    CHECK(it.asked<forward_request>()[0].worker == worker_id(expected));
+    fixture.submit();
+    REQUIRE(fixture.actions_of<forward_request>().size() == 1);
+    CHECK(fixture.actions_of<forward_request>()[0].worker ==
+          worker_id(expected));
 }
--- a/tests/ownership_schedule_test.cpp
+++ b/tests/ownership_schedule_test.cpp
@@ -1,5 +1,6 @@
-// Several VMs under generated schedules of faults: what must hold of ownership
-// at every moment, and that leaving out any one rule is noticed.
+// Property tests of ownership on several VMs with generated schedules of
+// faults: the safety properties hold, and leaving out any single rule is
+// detected.
 #include "ownership_cluster.hpp"
 
 #include <catch2/catch.hpp>
@@ -44,13 +45,13 @@
     return out;
 }
 
-/// By then the platform's list has had every VM. One that ends before stays a
-/// suspect for good: nothing proves that it is gone.
-constexpr duration first_fault_begins = 3s;
-constexpr duration last_fault_begins = 9s;
-constexpr duration longest_fault = 6s;
-/// Expiry, taking, and the moves that even out the load afterwards.
-constexpr duration recovery = 16s;
+/// By then every VM has been in the platform's list. A VM that ends earlier
+/// stays a suspect forever, since nothing proves that it has ended.
+constexpr duration earliest_fault = 3s;
+constexpr duration latest_fault = 9s;
+constexpr duration max_fault_duration = 6s;
+/// Time for expiry, takeover and the handovers that rebalance workers.
+constexpr duration default_recovery_time = 16s;
 
 rc::Gen<duration> any_duration(duration least, duration most)
 {
@@ -68,12 +69,13 @@
         rc::gen::set(&ownership_fault::kind, kind),
         rc::gen::set(&ownership_fault::vm, rc::gen::inRange<std::size_t>(0, 6)),
         rc::gen::set(&ownership_fault::at,
-                     any_duration(first_fault_begins, last_fault_begins)),
+                     any_duration(earliest_fault, latest_fault)),
         rc::gen::set(&ownership_fault::length,
-                     any_duration(100ms, longest_fault)));
+                     any_duration(100ms, max_fault_duration)));
 }
 
-/// Sized as a whole, since the size would also narrow what is drawn.
+/// Uses a fixed RapidCheck size, since a smaller size would also narrow the
+/// ranges of the generated values.
 rc::Gen<schedule> any_schedule()
 {
     auto const faults = rc::gen::mapcat(
@@ -91,18 +93,18 @@
 }
 
 std::vector<std::string> run(schedule const& plan, ownership_rules const& rules,
-                             cluster_size const& size = {},
-                             duration until_well = recovery)
+                             cluster_options const& options = {},
+                             duration recovery_time = default_recovery_time)
 {
-    ownership_cluster cluster(size, plan.seed, rules);
+    ownership_cluster cluster(options, plan.seed, rules);
     duration last_end{};
     for (ownership_fault const& fault : plan.faults)
     {
         cluster.add(fault);
         last_end = std::max(last_end, fault.at + fault.length);
     }
-    cluster.run_for(last_end + until_well);
-    cluster.judge_recovery();
+    cluster.run_for(last_end + recovery_time);
+    cluster.check_recovery();
     return cluster.violations();
 }
 
@@ -118,13 +120,13 @@
     return any_schedule()(rc::Random(number), 100).value();
 }
 
-/// The first of those schedules that reports that violation does not report
-/// any with the standard rules.
-bool noticed(ownership_rules const& rules, std::string const& violation,
+/// Whether a schedule causes the violation with these rules, and the first such
+/// schedule causes no violation with the standard rules.
+bool detects(ownership_rules const& rules, std::string const& violation,
              schedule (*plans)(std::uint64_t) = generated)
 {
-    constexpr std::uint64_t most_schedules = 300;
-    for (std::uint64_t each = 0; each < most_schedules; ++each)
+    constexpr std::uint64_t max_schedules = 300;
+    for (std::uint64_t each = 0; each < max_schedules; ++each)
     {
         schedule const plan = plans(each);
         if (!reported(run(plan, rules), violation))
@@ -135,7 +137,7 @@
     return false;
 }
 
-/// A VM is paused for long, and two that may have taken its workers leave.
+/// A VM is paused for 12 s, and two VMs that may have taken its workers leave.
 schedule long_pause(std::uint64_t number)
 {
     return {number,
@@ -146,7 +148,8 @@
 
 } // namespace
 
-TEST_CASE("ownership holds under any schedule of faults", "[ownership]")
+TEST_CASE("ownership is safe and recovers under any schedule of faults",
+          "[ownership]")
 {
     CHECK(rc::check("no violation",
                     []()
@@ -160,23 +163,24 @@
                     }));
 }
 
-// Four of six VMs stand by. They take the place of owners that are gone, and
-// give it back, while any of them are paused, cut off or replaced.
-TEST_CASE("ownership holds while VMs stand by and take over", "[ownership]")
+// Four of six VMs are on standby. They replace failed owners and go back to
+// standby, while any VM may be paused, cut off or replaced.
+TEST_CASE("ownership is safe while VMs on standby replace owners",
+          "[ownership]")
 {
-    cluster_size size;
-    size.vms = 6;
-    size.settle = 400ms;
-    size.owners = {2, 100};
-    // Besides: the turns of those that stand by but are gone, and a newcomer's
-    // lease before it is given its share.
+    cluster_options options;
+    options.vms = 6;
+    options.settle = 400ms;
+    options.owners = {2, 100};
+    // Adds the delays for failed VMs on standby, and the lease for which a new
+    // VM must be a member before it receives its share.
     constexpr duration longer_recovery = 30s;
     CHECK(rc::check("no violation",
                     [&]()
                     {
                         schedule const plan = *any_schedule();
                         auto const violations =
-                            run(plan, standard_ownership_rules(), size,
+                            run(plan, standard_ownership_rules(), options,
                                 longer_recovery);
                         for (std::string const& each : violations)
                             RC_LOG() << each << "\n";
@@ -184,76 +188,85 @@
                     }));
 }
 
-TEST_CASE("without the rule of newest rows a worker has two owners",
+TEST_CASE("accepting older rows gives a worker two owners",
           "[ownership][double]")
 {
-    // A VM hands a worker over; a lagging read then shows it the row of
-    // before; it believes that it owns the worker again under the old number.
+    // A VM hands a worker over. A lagging read then returns the old row, and
+    // the VM believes that it owns the worker again under the old fencing
+    // number.
     struct any_row_replaces : ownership_rules
     {
-        bool replaces(row_version, row_version) const override { return true; }
+        bool is_newer(row_version, row_version) const override { return true; }
     };
-    CHECK(noticed(any_row_replaces{}, "two owners under one fencing number"));
+    CHECK(detects(any_row_replaces{}, "two owners under one fencing number"));
 }
 
-TEST_CASE("without conditional writes a worker has two owners",
+TEST_CASE("unconditional writes give a worker two owners",
           "[ownership][double]")
 {
-    // Two VMs that see different members take the same worker; both writes
-    // land, and both believe that they own it under the same number.
+    // Two VMs that know different members take the same worker. Both writes are
+    // applied, and both VMs believe that they own the worker under the same
+    // fencing number.
     struct unconditional : ownership_rules
     {
         bool writes_conditionally() const override { return false; }
     };
-    CHECK(noticed(unconditional{}, "two owners under one fencing number"));
+    CHECK(detects(unconditional{}, "two owners under one fencing number"));
 }
 
-TEST_CASE("without waiting for the lease a VM is expired while it holds it",
+TEST_CASE("expiring a VM without waiting for its lease is detected",
           "[ownership][double]")
 {
-    // A VM's heartbeat is seen late; another expires it at once and its
+    // A VM's heartbeat is seen late. Another VM expires it at once and its
     // workers move, while it goes on giving orders.
-    struct no_patience : ownership_rules
+    struct lapses_at_once : ownership_rules
     {
         bool lapsed(time_point, time_point) const override { return true; }
     };
-    CHECK(noticed(no_patience{},
+    CHECK(detects(lapses_at_once{},
                   "a VM counts on its lease although it was expired"));
 }
 
-TEST_CASE("a holder that never doubts its lease outlives it",
+TEST_CASE("a holder that ignores the end of its lease is detected",
           "[ownership][double]")
 {
-    // A VM is cut off from the table; others expire it and take its workers;
-    // it goes on giving orders to them.
-    struct never_doubts : ownership_rules
+    // A VM cannot reach the table. Other VMs expire it and take its workers,
+    // while it goes on giving orders to them.
+    struct lease_never_ends : ownership_rules
     {
-        bool holds(time_point, time_point) const override { return true; }
+        bool own_lease_valid(time_point, time_point) const override
+        {
+            return true;
+        }
     };
-    CHECK(noticed(never_doubts{},
+    CHECK(detects(lease_never_ends{},
                   "a VM counts on its lease although it was expired"));
 }
 
-TEST_CASE("an expired VM that was paused may still send", "[ownership][double]")
+TEST_CASE("treating an expired VM as stopped is detected",
+          "[ownership][double]")
 {
-    // A VM is paused between its check and its send; its lease lapses, its
-    // successor takes it for ended and evicts; then it wakes and sends.
-    struct time_clears : ownership_rules
+    // A VM is paused between its check of the lease and its send. Its lease
+    // lapses, and its successor assumes that the VM has ended and evicts an
+    // adapter. Then the VM resumes and sends.
+    struct expiry_clears_suspects : ownership_rules
     {
-        bool sends_no_more(life_evidence const& evidence) const override
+        bool
+        has_stopped_sending(process_evidence const& evidence) const override
         {
-            return evidence.expired || ownership_rules::sends_no_more(evidence);
+            return evidence.expired ||
+                   ownership_rules::has_stopped_sending(evidence);
         }
     };
-    CHECK(noticed(time_clears{},
+    CHECK(detects(expiry_clears_suspects{},
                   "suspects cleared while an earlier owner may still send"));
 }
 
-TEST_CASE("an owner that keeps the fencing number is noticed",
+TEST_CASE("an owner that keeps the fencing number is detected",
           "[ownership][double]")
 {
-    // An owner changes without a higher number; late orders of the earlier
-    // one pass for the new one's.
+    // A worker changes owners without a higher fencing number, so late orders
+    // of the earlier owner are mistaken for orders of the new owner.
     struct same_fence : ownership_rules
     {
         fencing_number next_fence(fencing_number fence) const override
@@ -261,14 +274,15 @@
             return fencing_number(std::max<std::uint64_t>(1, fence.value()));
         }
     };
-    CHECK(noticed(same_fence{}, "a fencing number did not rise"));
+    CHECK(detects(same_fence{}, "a fencing number did not rise"));
 }
 
-TEST_CASE("an owner that drops inherited intents is noticed",
+TEST_CASE("an owner that drops inherited intents is detected",
           "[ownership][double]")
 {
-    // A VM records an unload and is paused before it sends it; its successor,
-    // who does not know of it, routes to the adapter as it vanishes.
+    // A VM records an intent and is paused before it sends the unload. Its
+    // successor does not know the intent and routes requests to the adapter
+    // while the adapter is unloaded.
     struct drops_intents : ownership_rules
     {
         std::vector<engine_name>
@@ -278,30 +292,33 @@
         }
     };
     CHECK(
-        noticed(drops_intents{}, "a recorded intent is not in a later grant"));
+        detects(drops_intents{}, "a recorded intent is not in a later grant"));
 }
 
-TEST_CASE("an owner that forgets another's intent too early is noticed",
+TEST_CASE("removing an inherited intent too early is detected",
           "[ownership][double]")
 {
-    // A VM records an unload and is paused before it sends it; its successor
-    // takes it for over; the one after that does not know of it.
+    // A VM records an intent and is paused before it sends the unload. Its
+    // successor assumes that the unload is over and removes the intent, so the
+    // next owner does not know it.
     struct forgets_early : ownership_rules
     {
         bool may_forget(bool, bool) const override { return true; }
     };
-    CHECK(noticed(forgets_early{}, "a recorded intent is not in a later grant",
+    CHECK(detects(forgets_early{}, "a recorded intent is not in a later grant",
                   long_pause));
 }
 
-TEST_CASE("an intent whose write is lost does not count as recorded",
+TEST_CASE("counting an intent as recorded without confirmation is detected",
           "[ownership][double]")
 {
-    // The table goes down as an intent is written; the VM takes it for
-    // recorded and sends the unload; its successor finds nothing in the row.
-    struct hopes : ownership_rules
+    // The table becomes unavailable while an intent is written. The VM counts
+    // the intent as recorded and sends the unload; its successor finds no
+    // intent in the row.
+    struct assumes_recorded : ownership_rules
     {
         bool intent_recorded(table_outcome) const override { return true; }
     };
-    CHECK(noticed(hopes{}, "a recorded intent is not in a later grant"));
+    CHECK(detects(assumes_recorded{},
+                  "a recorded intent is not in a later grant"));
 }
--- a/tests/peer_rows_test.cpp
+++ b/tests/peer_rows_test.cpp
@@ -5,16 +5,15 @@
 using namespace mulberry;
 using namespace std::chrono_literals;
 
-TEST_CASE("a question about rows comes back as it was", "[peer_rows]")
+TEST_CASE("a rows query round-trips through its encoding", "[peer_rows]")
 {
-    rows_question const question{
+    rows_query const query{
         {row_version(1), row_version(0), row_version(7)}, 300ms, true};
-    std::string const call = encode_rows_question(question, "vm");
-    CHECK(decode_rows_question(call.substr(call.find("\r\n\r\n") + 4)) ==
-          question);
+    std::string const call = encode_rows_query(query, "vm");
+    CHECK(decode_rows_query(call.substr(call.find("\r\n\r\n") + 4)) == query);
 }
 
-TEST_CASE("rows come back as they were", "[peer_rows]")
+TEST_CASE("a rows answer round-trips through its encoding", "[peer_rows]")
 {
     rows_answer answer;
     answer[0] = {
@@ -30,14 +29,14 @@
     CHECK(decode_rows_answer(encode_rows_answer(answer)) == answer);
 }
 
-// While VMs are replaced in turn, some run the release before, which tells
-// nothing of rows left out and knows no answer that leaves any out.
-TEST_CASE("an earlier release gets every row", "[peer_rows]")
+// During a rolling update some VMs run the previous release, which does not
+// send the fields for left-out rows and cannot handle answers that leave rows
+// out.
+TEST_CASE("an earlier release is sent every row", "[peer_rows]")
 {
-    auto const question =
-        decode_rows_question(R"({"after":[1,2,3],"wait_ms":1})");
-    REQUIRE(question);
-    CHECK(question->large_rows);
+    auto const query = decode_rows_query(R"({"after":[1,2,3],"wait_ms":1})");
+    REQUIRE(query);
+    CHECK(query->large_rows);
     std::string const set =
         R"({"read":true,"version":1,"age_ms":0,"whole":false,"rows":[]})";
     auto const answer =
@@ -46,13 +45,13 @@
     CHECK_FALSE(answer->at(0).incomplete);
 }
 
-TEST_CASE("what is no message about rows is told", "[peer_rows]")
+TEST_CASE("malformed rows messages are rejected", "[peer_rows]")
 {
     for (char const* text :
          {"", "[]", "{}", "{\"after\":[1,2],\"wait_ms\":1}",
           "{\"after\":[1,2,-3],\"wait_ms\":1}",
           "{\"after\":[1,2,3],\"wait_ms\":-1}", "{\"after\":[1,2,3]}"})
-        CHECK_FALSE(decode_rows_question(text));
+        CHECK_FALSE(decode_rows_query(text));
     std::string const good =
         R"({"read":true,"version":1,"age_ms":0,"whole":false,"rows":[]})";
     auto const with = [&](std::string const& last)
--- a/tests/pooled_allotment_test.cpp
+++ b/tests/pooled_limiter_test.cpp
@@ -1,4 +1,4 @@
-#include "pooled_allotment.hpp"
+#include "pooled_limiter.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -29,10 +29,10 @@
     return made;
 }
 
-/// One VM, whose own pool is the only one; questions are answered at once.
+/// A single VM whose own pool is the only one. Queries are answered at once.
 struct lone_vm
 {
-    pooled_allotment keeper{vm_id("a"), allotment_terms()};
+    pooled_limiter keeper{vm_id("a"), allotment_terms()};
     time_point now = start;
     std::map<ticket_id, std::optional<error>> settled;
 
@@ -47,12 +47,12 @@
         for (auto actions = keeper.run(now); !actions.empty();
              actions = keeper.run(now))
             for (allotment_action const& action : actions)
-                if (auto const* ask = std::get_if<ask_pool>(&action))
-                    keeper.on_reply(ask->number,
-                                    keeper.answer(ask->question, now), now);
+                if (auto const* ask = std::get_if<query_pool>(&action))
+                    keeper.on_reply(ask->number, keeper.answer(ask->query, now),
+                                    now);
                 else
                 {
-                    auto const& done = std::get<allotment_settled>(action);
+                    auto const& done = std::get<allotment_decision>(action);
                     settled[done.ticket] = done.refused;
                 }
     }
@@ -70,61 +70,62 @@
     }
 };
 
-std::vector<ask_pool> questions(pooled_allotment& keeper, time_point now)
+std::vector<query_pool> pool_queries(pooled_limiter& keeper, time_point now)
 {
-    std::vector<ask_pool> asked;
+    std::vector<query_pool> asked;
     for (allotment_action const& action : keeper.run(now))
-        if (auto const* ask = std::get_if<ask_pool>(&action))
+        if (auto const* ask = std::get_if<query_pool>(&action))
             asked.push_back(*ask);
     return asked;
 }
 
-/// One of three VMs, which left its parts and got no answer that matters.
-std::unique_ptr<pooled_allotment> asking_vm(double slack = 0)
+/// A VM with two other members, after it has delegated its shares to them and
+/// received empty replies.
+std::unique_ptr<pooled_limiter> asking_vm(double slack = 0)
 {
     allotment_terms terms;
-    terms.slack = slack;
-    auto keeper = std::make_unique<pooled_allotment>(vm_id("a"), terms);
+    terms.overshoot_units = slack;
+    auto keeper = std::make_unique<pooled_limiter>(vm_id("a"), terms);
     keeper->set_members(members({"b", "c"}), start);
     keeper->set_teams(limit(1000, 1000), start);
-    for (ask_pool const& ask : questions(*keeper, start))
+    for (query_pool const& ask : pool_queries(*keeper, start))
         keeper->on_reply(ask.number, allotment_reply(), start);
     return keeper;
 }
 
-/// Questions for units; parts are left all the time.
-std::vector<ask_pool> needs(pooled_allotment& keeper, time_point now)
+/// The queries that request units, without those that only renew delegations.
+std::vector<query_pool> unit_queries(pooled_limiter& keeper, time_point now)
 {
-    std::vector<ask_pool> asked = questions(keeper, now);
+    std::vector<query_pool> asked = pool_queries(keeper, now);
     std::erase_if(asked,
-                  [](ask_pool const& each) {
-                      return each.question.teams.empty() ||
-                             each.question.teams[0].least <= 0;
+                  [](query_pool const& each) {
+                      return each.query.teams.empty() ||
+                             each.query.teams[0].min_units <= 0;
                   });
     return asked;
 }
 
-/// The one question that is asked for a request.
-ask_pool question_for(pooled_allotment& keeper, std::uint64_t ticket,
-                      double units, time_point now)
+/// The query that is sent for a new request.
+query_pool query_for(pooled_limiter& keeper, std::uint64_t ticket, double units,
+                     time_point now)
 {
     keeper.request(ticket_id(ticket), pits, units, now + 5s, now);
-    auto const asked = needs(keeper, now);
+    auto const asked = unit_queries(keeper, now);
     REQUIRE(asked.size() == 1);
     return asked[0];
 }
 
-std::optional<error> refusal(pooled_allotment& keeper, time_point now)
+std::optional<error> refusal(pooled_limiter& keeper, time_point now)
 {
     for (allotment_action const& action : keeper.run(now))
-        if (auto const* done = std::get_if<allotment_settled>(&action))
+        if (auto const* done = std::get_if<allotment_decision>(&action))
             return done->refused;
     return std::nullopt;
 }
 
 } // namespace
 
-TEST_CASE("a team may ask for its rate and its burst, and no more",
+TEST_CASE("a team may use its rate and its burst, and no more",
           "[pooled_allotment]")
 {
     lone_vm vm(1000, 2000);
@@ -141,7 +142,8 @@
     CHECK(vm.fits(3, 1000));
 }
 
-TEST_CASE("a team without a limit is not kept waiting", "[pooled_allotment]")
+TEST_CASE("requests of a team without a limit do not wait",
+          "[pooled_allotment]")
 {
     lone_vm vm(1000, 0);
     vm.keeper.set_teams({}, vm.now);
@@ -149,7 +151,8 @@
     CHECK(vm.fits(1, 1e9));
 }
 
-TEST_CASE("what was not run is there for the next", "[pooled_allotment]")
+TEST_CASE("units of a request that did not run are used by the next request",
+          "[pooled_allotment]")
 {
     lone_vm vm(1000, 1000);
     vm.pass(3s);
@@ -159,9 +162,9 @@
     CHECK(vm.fits(3, 1000));
 }
 
-// Guards against a limit that is lowered and comes into force only when what
-// was saved up before is used.
-TEST_CASE("a lowered limit takes what was saved up with it",
+// Guards against a lowered limit that applies only after the units saved up
+// before are used.
+TEST_CASE("a lowered limit also applies to units saved up before",
           "[pooled_allotment]")
 {
     lone_vm vm(1000, 10'000);
@@ -171,15 +174,16 @@
     CHECK_FALSE(vm.fits(2, 100));
 }
 
-// Guards against a caller that waits in vain for a pool that does not answer,
-// and against a VM that hears nobody and lets requests pass.
-TEST_CASE("without a pool's answer the next is asked, then the request refused",
+// Guards against a request that waits for a pool that does not answer, and
+// against an isolated VM that admits requests unchecked.
+TEST_CASE("if no pool answers, the next is queried and then the request is "
+          "refused",
           "[pooled_allotment]")
 {
     auto const keeper = asking_vm();
-    ask_pool const first = question_for(*keeper, 1, 100, start);
+    query_pool const first = query_for(*keeper, 1, 100, start);
     keeper->on_reply(first.number, std::nullopt, start + 300ms);
-    auto const second = questions(*keeper, start + 300ms);
+    auto const second = pool_queries(*keeper, start + 300ms);
     REQUIRE(second.size() == 1);
     CHECK(second[0].pool != first.pool);
     keeper->on_reply(second[0].number, std::nullopt, start + 600ms);
@@ -189,38 +193,39 @@
     CHECK(why->request_ran() == ran::no);
 }
 
-// Guards against a team that saves up units in many VMs' hands and uses them
-// all at once.
-TEST_CASE("units that are not used soon are lost", "[pooled_allotment]")
+// Guards against a team that saves up units at many VMs and uses all of them
+// at once.
+TEST_CASE("units that are not used soon expire", "[pooled_allotment]")
 {
     auto const keeper = asking_vm();
-    ask_pool const first = question_for(*keeper, 1, 100, start);
+    query_pool const first = query_for(*keeper, 1, 100, start);
     keeper->on_reply(first.number, allotment_reply{{pits, 500, 0ms, 0ms}},
                      start);
     CHECK_FALSE(refusal(*keeper, start));
     keeper->request(ticket_id(2), pits, 100, start + 5s, start + 500ms);
-    CHECK(needs(*keeper, start + 500ms).empty());
-    question_for(*keeper, 3, 100, start + 700ms);
+    CHECK(unit_queries(*keeper, start + 500ms).empty());
+    query_for(*keeper, 3, 100, start + 700ms);
 }
 
-// Guards against a part of an allotment that counts in two pools at once.
-TEST_CASE("a part is left to another pool only when it has ended at the first",
+// Guards against a share of an allotment that counts in two pools at once.
+TEST_CASE("a share is delegated to another pool only after it has expired at "
+          "the first",
           "[pooled_allotment]")
 {
-    pooled_allotment keeper(vm_id("a"), allotment_terms());
+    pooled_limiter keeper(vm_id("a"), allotment_terms());
     keeper.set_members(members({"a", "b", "c"}), start);
     keeper.set_teams(limit(1000, 1000), start);
     std::map<vm_id, time_point> until;
     vm_id lost;
     for (time_point now = start; now < start + 20s; now += 100ms)
     {
-        for (ask_pool const& ask : questions(keeper, now))
+        for (query_pool const& ask : pool_queries(keeper, now))
         {
             if (lost.empty())
                 lost = ask.pool;
-            for (team_question const& each : ask.question.teams)
-                if (each.part > 0)
-                    until[ask.pool] = now + ask.question.left_for;
+            for (team_query const& each : ask.query.teams)
+                if (each.share > 0)
+                    until[ask.pool] = now + ask.query.delegated_for;
             bool const answers = ask.pool != lost || now < start + 5s;
             keeper.on_reply(
                 ask.number,
@@ -234,22 +239,21 @@
     CHECK(until.size() == 3);
 }
 
-// Guards against an allotment that grows while VMs that joined are not yet
-// counted by the others.
-TEST_CASE("a VM in its first life leaves no part at once", "[pooled_allotment]")
+// Guards against exceeding the allotment while the other VMs do not count a new
+// VM yet.
+TEST_CASE("a new VM does not delegate its shares at once", "[pooled_allotment]")
 {
-    pooled_allotment keeper(vm_id("a"), allotment_terms());
+    pooled_limiter keeper(vm_id("a"), allotment_terms());
     allotment_members joined = members({"a", "b"});
-    joined.first_life = true;
+    joined.first_incarnation = true;
     keeper.set_members(joined, start);
     keeper.set_teams(limit(1000, 1000), start);
-    CHECK(questions(keeper, start).empty());
-    CHECK(questions(keeper, start + 2s).empty());
-    CHECK_FALSE(questions(keeper, start + 3100ms).empty());
+    CHECK(pool_queries(keeper, start).empty());
+    CHECK(pool_queries(keeper, start + 2s).empty());
+    CHECK_FALSE(pool_queries(keeper, start + 3100ms).empty());
 }
 
-// Guards against requests that are refused although their units come in a
-// moment later.
+// Guards against refusing requests whose units come in a moment later.
 TEST_CASE("a request waits for units that are about to come in",
           "[pooled_allotment]")
 {
@@ -263,44 +267,45 @@
     CHECK_FALSE(vm.settled[ticket_id(2)]);
 }
 
-// Guards against a whole fleet that starts again and refuses what its teams may
-// ask for until everybody's parts are counted anew.
-TEST_CASE("a VM that was there before leaves its parts at once",
-          "[pooled_allotment]")
+// Guards against a restarted fleet that refuses requests within the allotments
+// until all VMs have been counted again.
+TEST_CASE("a restarted VM delegates its shares at once", "[pooled_allotment]")
 {
-    pooled_allotment keeper(vm_id("a"), allotment_terms());
+    pooled_limiter keeper(vm_id("a"), allotment_terms());
     keeper.set_teams(limit(1000, 1000), start);
     keeper.request(ticket_id(1), pits, 10, start + 5s, start);
-    CHECK(questions(keeper, start + 100ms).empty());
+    CHECK(pool_queries(keeper, start + 100ms).empty());
     keeper.set_members(members({"a", "b"}), start + 200ms);
-    auto const asked = questions(keeper, start + 200ms);
+    auto const asked = pool_queries(keeper, start + 200ms);
     CHECK(std::any_of(asked.begin(), asked.end(),
-                      [](ask_pool const& each)
-                      { return each.question.teams.at(0).part > 0; }));
+                      [](query_pool const& each)
+                      { return each.query.teams.at(0).share > 0; }));
     CHECK(std::any_of(asked.begin(), asked.end(),
-                      [](ask_pool const& each)
-                      { return each.question.teams.at(0).least > 0; }));
+                      [](query_pool const& each)
+                      { return each.query.teams.at(0).min_units > 0; }));
 }
 
-// Guards against a team that gets as many requests larger than its burst as
-// there are pools, beyond what it may use over its allotment.
-TEST_CASE("what no pool can hold or owe is asked of one pool only",
+// Guards against a team that gets one request larger than its burst from each
+// pool, beyond the allowed overshoot.
+TEST_CASE("units that exceed the capacity and debt of a pool are requested "
+          "from one pool only",
           "[pooled_allotment]")
 {
     auto const keeper = asking_vm(GENERATE(0.0, 5000.0));
-    ask_pool const asked = question_for(*keeper, 1, 5000, start);
+    query_pool const asked = query_for(*keeper, 1, 5000, start);
     keeper->on_reply(asked.number, allotment_reply{{pits, 0, 3s, 3s}}, start);
     auto const why = refusal(*keeper, start);
     REQUIRE(why);
     CHECK(why->kind() == error_kind::over_allotment);
 }
 
-TEST_CASE("a second pool is asked for what it may owe", "[pooled_allotment]")
+TEST_CASE("a second pool is queried for units that it may be in debt for",
+          "[pooled_allotment]")
 {
     auto const keeper = asking_vm(10'000);
-    ask_pool const first = question_for(*keeper, 1, 5000, start);
+    query_pool const first = query_for(*keeper, 1, 5000, start);
     keeper->on_reply(first.number, allotment_reply{{pits, 0, 3s, 3s}}, start);
-    auto const second = questions(*keeper, start);
+    auto const second = pool_queries(*keeper, start);
     REQUIRE(second.size() == 1);
     CHECK(second[0].pool != first.pool);
 }
--- a/tests/process_caller.cpp
+++ b/tests/process_caller.cpp
@@ -14,8 +14,8 @@
 namespace
 {
 
-/// A caller waits a little longer than the deadline that it named.
-constexpr std::chrono::seconds patience{10};
+/// How long a caller waits beyond the deadline that the request states.
+constexpr std::chrono::seconds deadline_margin{10};
 
 std::string to_text(Json::Value const& value)
 {
@@ -32,14 +32,15 @@
     made.method = method;
     made.url = url;
     made.headers.add("X-Deadline-Ms", std::to_string(deadline.count()));
-    made.deadline = std::chrono::steady_clock::now() + deadline + patience;
+    made.deadline =
+        std::chrono::steady_clock::now() + deadline + deadline_margin;
     return made;
 }
 
 } // namespace
 
-void request_under_way::on_status(int status,
-                                  mulberry::http_headers const& headers)
+void request_in_progress::on_status(int status,
+                                    mulberry::http_headers const& headers)
 {
     std::lock_guard const lock(mutex_);
     seen_.status = status;
@@ -47,14 +48,14 @@
     changed_.notify_all();
 }
 
-void request_under_way::on_data(std::string_view data)
+void request_in_progress::on_data(std::string_view data)
 {
     std::lock_guard const lock(mutex_);
     seen_.body += data;
     changed_.notify_all();
 }
 
-void request_under_way::on_end()
+void request_in_progress::on_end()
 {
     std::lock_guard const lock(mutex_);
     seen_.ended = true;
@@ -62,8 +63,8 @@
     changed_.notify_all();
 }
 
-void request_under_way::on_failure(mulberry::call_stage stage,
-                                   std::string const&)
+void request_in_progress::on_failure(mulberry::call_stage stage,
+                                     std::string const&)
 {
     std::lock_guard const lock(mutex_);
     seen_.not_sent = stage == mulberry::call_stage::not_sent;
@@ -72,13 +73,13 @@
     changed_.notify_all();
 }
 
-answer_seen request_under_way::seen() const
+received_answer request_in_progress::seen() const
 {
     std::lock_guard const lock(mutex_);
     return seen_;
 }
 
-answer_seen request_under_way::wait()
+received_answer request_in_progress::wait()
 {
     std::unique_lock lock(mutex_);
     if (!changed_.wait_for(lock, 2 * generous_wait,
@@ -87,7 +88,7 @@
     return seen_;
 }
 
-bool request_under_way::wait_for(std::string const& text)
+bool request_in_progress::wait_for(std::string const& text)
 {
     auto const has = [&] { return seen_.body.find(text) != std::string::npos; };
     std::unique_lock lock(mutex_);
@@ -121,7 +122,7 @@
     return made;
 }
 
-mulberry::http_call to_http(service_call_made const& call)
+mulberry::http_call to_http(plain_service_call const& call)
 {
     auto made = common_call(call.method,
                             "http://" + call.address + "/services/" + call.path,
--- a/tests/process_child.cpp
+++ b/tests/process_child.cpp
@@ -16,17 +16,17 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds look_interval{10};
+constexpr std::chrono::milliseconds poll_interval{10};
 constexpr std::string_view address_line = "listening ";
 constexpr int signal_base = 128;
 
-std::string text_of(std::filesystem::path const& path)
+std::string read_file(std::filesystem::path const& path)
 {
     std::ifstream file(path, std::ios::binary);
     return {std::istreambuf_iterator<char>(file), {}};
 }
 
-/// The redirections of one child.
+/// File descriptor setup of one child.
 class file_actions
 {
 public:
@@ -40,8 +40,8 @@
         posix_spawn_file_actions_addopen(&actions_, descriptor, path.c_str(),
                                          O_WRONLY | O_CREAT | O_TRUNC, 0600);
     }
-    /// A child that inherits a listener goes on accepting connections for it
-    /// after the test closed it.
+    /// Closes all other descriptors in the child: an inherited listening
+    /// socket would accept connections after the test has closed it.
     void close_others()
     {
         posix_spawn_file_actions_addclosefrom_np(&actions_, STDERR_FILENO + 1);
@@ -91,9 +91,9 @@
                                end - begin - address_line.size());
         if (!running())
             break;
-        std::this_thread::sleep_for(look_interval);
+        std::this_thread::sleep_for(poll_interval);
     }
-    throw std::runtime_error(name_ + " does not listen: " + log());
+    throw std::runtime_error(name_ + " did not report its address: " + log());
 }
 
 int child_process::wait_for_end()
@@ -102,8 +102,8 @@
     while (running())
     {
         if (std::chrono::steady_clock::now() > limit)
-            throw std::runtime_error(name_ + " does not end: " + log());
-        std::this_thread::sleep_for(look_interval);
+            throw std::runtime_error(name_ + " did not exit: " + log());
+        std::this_thread::sleep_for(poll_interval);
     }
     return WIFSIGNALED(status_) ? signal_base + WTERMSIG(status_)
                                 : WEXITSTATUS(status_);
@@ -158,12 +158,12 @@
 
 std::string child_process::output() const
 {
-    return text_of(out_);
+    return read_file(out_);
 }
 
 std::string child_process::log() const
 {
-    return text_of(log_);
+    return read_file(log_);
 }
 
 } // namespace mulberry_test
--- a/tests/process_engine_test.cpp
+++ b/tests/process_engine_test.cpp
@@ -1,5 +1,5 @@
-// What must always hold while engines misbehave and connections to them go
-// silent: real processes under traffic.
+// Guarantees that hold while engines fail and connections to engines are cut or
+// go silent, on real processes under traffic.
 #include "process_traffic.hpp"
 #include "process_wait.hpp"
 
@@ -15,7 +15,7 @@
 constexpr std::size_t some_answers = 60;
 constexpr std::size_t long_stream = 400;
 
-Json::Value at_all(char const* name, Json::Value const& value)
+Json::Value for_all_workers(char const* name, Json::Value const& value)
 {
     Json::Value body = order(name, value);
     body["worker"] = "*";
@@ -29,7 +29,7 @@
     return body;
 }
 
-bool happened(scenario& run, std::string const& kind)
+bool has_engine_event(scenario& run, std::string const& kind)
 {
     auto const events = run.world().engine_history();
     return std::any_of(events.begin(), events.end(),
@@ -37,10 +37,10 @@
                        { return event["kind"].asString() == kind; });
 }
 
-/// A stream through each VM, each of which has begun to arrive.
-std::vector<caller_registry::under_way> begun_streams(scenario& run)
+/// Starts a stream through each VM and waits until its first events arrive.
+std::vector<caller_registry::request_ptr> start_streams(scenario& run)
 {
-    std::vector<caller_registry::under_way> streams;
+    std::vector<caller_registry::request_ptr> streams;
     for (std::size_t const vm : {0, 1, 2})
     {
         model_call call = run.call_to(vm, run.world().adapters().front());
@@ -58,55 +58,56 @@
 TEST_CASE("streams whose connections go silent are resumed without a gap",
           "[engine]")
 {
-    // All connections open to the engines stop carrying bytes for good, in the
-    // middle of streams, without being closed. New ones work. The VM notices
-    // the silence and resumes each stream at its next event.
+    // All open connections to the engines stop carrying bytes in the middle of
+    // streams without being closed; new connections work. The VM detects the
+    // silence and resumes each stream at the next event.
     scenario run;
-    auto const streams = begun_streams(run);
+    auto const streams = start_streams(run);
     run.world().control_link(engine_links("silent"));
     for (auto const& each : streams)
         CHECK(answered_whole(each->wait()));
-    CHECK(happened(run, "resumed"));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(has_engine_event(run, "resumed"));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("streams whose connections are cut are resumed without a gap",
           "[engine]")
 {
     scenario run;
-    auto const streams = begun_streams(run);
+    auto const streams = start_streams(run);
     run.world().control_link(engine_links("cut"));
     for (auto const& each : streams)
         CHECK(answered_whole(each->wait()));
-    CHECK(happened(run, "resumed"));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(has_engine_event(run, "resumed"));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("connections to engines cut and silent again and again break nothing",
+TEST_CASE("repeatedly cut and silent engine connections violate no guarantee",
           "[engine]")
 {
-    // Traffic of all kinds goes on while the links fail in turn.
+    // All kinds of traffic continue while the links go silent and are cut in
+    // turn.
     scenario run;
     run.start_traffic();
     for (int round = 0; round < 3; ++round)
     {
-        REQUIRE(run.more_answers(some_answers / 2));
+        REQUIRE(run.wait_for_answers(some_answers / 2));
         run.world().control_link(engine_links("silent"));
-        REQUIRE(run.more_answers(some_answers / 2));
+        REQUIRE(run.wait_for_answers(some_answers / 2));
         run.world().control_link(engine_links("cut"));
     }
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a cut stream that the engine has forgotten is told as cut",
+TEST_CASE("a cut stream that the engine cannot resume is reported as cut",
           "[engine]")
 {
-    // The engine cannot resume it. The caller has a part of the answer: it is
-    // told that this is no end.
+    // The engine has dropped the stream's state. The caller has received a part
+    // of the answer and must learn that the answer is incomplete.
     scenario run;
-    run.world().control_engine(at_all("forget_streams", true));
-    auto const streams = begun_streams(run);
+    run.world().control_engine(for_all_workers("forget_streams", true));
+    auto const streams = start_streams(run);
     run.world().control_link(engine_links("cut"));
     for (auto const& each : streams)
     {
@@ -114,79 +115,81 @@
         CHECK(error_in(seen).kind == "answer_cut");
         CHECK_FALSE(answered_whole(seen));
     }
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("engines that restart cold in the middle of streams break nothing",
-          "[engine]")
+TEST_CASE(
+    "engines that restart without state during streams violate no guarantee",
+    "[engine]")
 {
-    // Adapters and streams are gone. Callers with a part of an answer are told
-    // that it is cut; the others are served after loads anew.
+    // The restart loses loaded adapters and streams. Callers with a part of an
+    // answer are told that it is cut; other requests are served after the
+    // adapters are loaded again.
     scenario run;
     run.start_traffic();
     for (int round = 0; round < 3; ++round)
     {
-        REQUIRE(run.more_answers(some_answers));
-        run.world().control_engine(at_all("restart", true));
+        REQUIRE(run.wait_for_answers(some_answers));
+        run.world().control_engine(for_all_workers("restart", true));
     }
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("loads that fail are tried again and break nothing", "[engine]")
+TEST_CASE("failed adapter loads are retried and violate no guarantee",
+          "[engine]")
 {
     scenario run;
     run.start_traffic();
     for (int round = 0; round < 3; ++round)
     {
-        run.world().control_engine(at_all("fail_loads", 5));
-        REQUIRE(run.more_answers(some_answers));
+        run.world().control_engine(for_all_workers("fail_loads", 5));
+        REQUIRE(run.wait_for_answers(some_answers));
     }
-    CHECK(happened(run, "load_failed"));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(has_engine_event(run, "load_failed"));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("an answer that bears another adapter's name reaches no caller",
-          "[engine]")
+TEST_CASE("an answer that names another adapter reaches no caller", "[engine]")
 {
-    // The engine echoes a name that was not asked for; whose text that is
-    // nobody knows.
+    // The engine returns an adapter name that was not requested, so the origin
+    // of the text is unknown.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
-    run.world().control_engine(at_all("wrong_model", 20));
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    REQUIRE(run.wait_for_answers(some_answers));
+    run.world().control_engine(for_all_workers("wrong_model", 20));
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a VM frozen while an engine restarts does no harm", "[engine]")
+TEST_CASE("a VM frozen while engines restart violates no guarantee", "[engine]")
 {
-    // Two failures together: the owner stands still, the engine forgets what
-    // it had loaded, another VM takes over and loads, the first goes on with
-    // what it believed.
+    // Two failures together: while the owner is frozen, the engine loses its
+    // loaded adapters and another VM takes over and loads adapters. The first
+    // VM then resumes with outdated knowledge.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
+    REQUIRE(run.wait_for_answers(some_answers));
     run.freeze_vm(1);
-    run.world().control_engine(at_all("restart", true));
-    run.aim_at({0, 2});
-    CHECK(run.more_answers(some_answers));
+    run.world().control_engine(for_all_workers("restart", true));
+    run.send_traffic_to({0, 2});
+    CHECK(run.wait_for_answers(some_answers));
     run.world().vm(1).process->thaw();
     CHECK(eventually([&] { return run.world().ready(1); }));
-    run.aim_at({0, 1, 2});
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    run.send_traffic_to({0, 1, 2});
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a caller that vanishes ends its request and no other", "[engine]")
+TEST_CASE("a caller that disconnects cancels only its own request", "[engine]")
 {
-    // The stream is cancelled at the engine, so that it takes no room in the
-    // batch; the others come whole.
+    // The stream is cancelled at the engine, so that it occupies no place in
+    // the batch; the other streams are complete.
     scenario run;
-    auto const streams = begun_streams(run);
-    run.callers().go_away(streams.front());
-    CHECK(eventually([&] { return happened(run, "cancelled"); }));
+    auto const streams = start_streams(run);
+    run.callers().disconnect(streams.front());
+    CHECK(eventually([&] { return has_engine_event(run, "cancelled"); }));
     CHECK(answered_whole(streams.at(1)->wait()));
     CHECK(answered_whole(streams.at(2)->wait()));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
--- a/tests/process_operators_test.cpp
+++ b/tests/process_operators_test.cpp
@@ -1,5 +1,6 @@
-// Operators and their configuration on the real processes: what is confirmed
-// is in force on every VM and stays, whoever races and whatever fails.
+// Operators and configuration on real processes: a confirmed configuration is
+// in force on every VM and stays in force despite concurrent operators and
+// failures.
 #include "process_traffic.hpp"
 #include "process_wait.hpp"
 
@@ -14,8 +15,8 @@
 
 constexpr std::size_t some_answers = 60;
 
-/// Plans into a file of its own.
-std::string planned(scenario& run, std::string const& change)
+/// Plans the declaration and returns the path of the plan's file.
+std::string write_plan(scenario& run, std::string const& change)
 {
     auto const declaration = run.world().write_declaration(change);
     std::string plan = declaration.string() + ".plan";
@@ -31,16 +32,15 @@
 
 } // namespace
 
-TEST_CASE("of operators who race exactly one has a plan confirmed",
-          "[operators]")
+TEST_CASE("of two concurrent confirms exactly one succeeds", "[operators]")
 {
-    // Both plans were made on the same version and say different things. The
-    // one that loses changes nothing and is told what changed since.
+    // Both plans are based on the same version and differ. The refused confirm
+    // changes nothing and its operator is told what has changed since the plan.
     scenario run;
     run.start_traffic();
     std::uint64_t const before = version_on(run, 0);
-    std::string const one = planned(run, "one");
-    std::string const other = planned(run, "other");
+    std::string const one = write_plan(run, "one");
+    std::string const other = write_plan(run, "other");
     auto const confirm = [&run](std::string const& plan) {
         return run.world().ctl({"confirm", plan});
     };
@@ -57,46 +57,46 @@
           std::string::npos);
     for (std::size_t const vm : {0, 1, 2})
         CHECK(eventually([&] { return version_on(run, vm) == before + 1; }));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a confirm whose answer is lost is in force once or not at all",
+TEST_CASE("a confirm whose answer is lost takes effect once or not at all",
           "[operators]")
 {
-    // The table takes the new version and its answer is lost. The VM reads
-    // back what became of it; the operator is told the truth.
+    // The table stores the new version, but its answer is lost. The VM reads
+    // the table to learn the outcome, and the operator gets the true result.
     scenario run;
     run.start_traffic();
     std::uint64_t const before = version_on(run, 0);
-    std::string const plan = planned(run, "lost");
+    std::string const plan = write_plan(run, "lost");
     run.world().control_platform(order("lose_answers", 3));
-    ctl_run const told = run.world().ctl({"confirm", plan});
-    INFO(told.output << told.errors);
-    bool const in_force = told.status == 0;
-    CHECK((in_force || told.status == 1 || told.status == 5));
-    CHECK(run.more_answers(some_answers));
+    ctl_run const confirmed = run.world().ctl({"confirm", plan});
+    INFO(confirmed.output << confirmed.errors);
+    bool const in_force = confirmed.status == 0;
+    CHECK((in_force || confirmed.status == 1 || confirmed.status == 5));
+    CHECK(run.wait_for_answers(some_answers));
     std::uint64_t const after = version_on(run, 0);
     CHECK(after <= before + 1);
     if (in_force)
         CHECK(after == before + 1);
     for (std::size_t const vm : {1, 2})
         CHECK(eventually([&] { return version_on(run, vm) == after; }));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a confirmed configuration is in force on a VM that stood still",
+TEST_CASE("a confirmed configuration is in force on a VM that was frozen",
           "[operators]")
 {
-    // The VM is frozen while a version is confirmed by the others. When it
-    // goes on it may not take work under the old one: its knowledge is older
-    // than the bound.
+    // The VM is frozen while the others confirm a version. After it resumes,
+    // the VM must not accept requests under the old version, since its
+    // knowledge of the configuration is older than the bound.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
+    REQUIRE(run.wait_for_answers(some_answers));
     run.freeze_vm(1);
-    run.aim_at({0, 2});
+    run.send_traffic_to({0, 2});
     std::uint64_t const before = version_on(run, 0);
-    std::string const plan = planned(run, "meanwhile");
+    std::string const plan = write_plan(run, "meanwhile");
     CHECK(eventually(
         [&]
         {
@@ -106,14 +106,14 @@
     run.world().vm(1).process->thaw();
     for (std::size_t const vm : {0, 1, 2})
         CHECK(eventually([&] { return version_on(run, vm) == before + 1; }));
-    run.aim_at({0, 1, 2});
-    CHECK(run.more_answers(some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    run.send_traffic_to({0, 1, 2});
+    CHECK(run.wait_for_answers(some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
 TEST_CASE("a VM that starts has the confirmed configuration", "[operators]")
 {
-    // A lagging read of the table would hand it the version before.
+    // A stale read of the table would return the previous version.
     scenario run;
     std::uint64_t const before = version_on(run, 0);
     run.world().confirm(run.world().write_declaration("second"));
@@ -123,22 +123,22 @@
     CHECK(eventually([&] { return run.world().ready(2); }));
     CHECK(version_on(run, 2) == before + 1);
     run.world().control_platform(order("read_lag_ms", 0));
-    CHECK(to_string(run.finish()) == nothing);
+    CHECK(to_string(run.finish()) == no_findings);
 }
 
-TEST_CASE("a late list of VMs breaks nothing", "[operators]")
+TEST_CASE("a stale list of VMs violates no guarantee", "[operators]")
 {
-    // A VM is killed and one of the same name started; for long the list says
-    // of neither what holds.
+    // A VM is killed and another of the same name is started; for a long time
+    // the list shows neither change.
     scenario run;
     run.start_traffic();
-    REQUIRE(run.more_answers(some_answers));
+    REQUIRE(run.wait_for_answers(some_answers));
     run.world().control_platform(order("list_lag_ms", 20000));
-    run.aim_at({0, 2});
+    run.send_traffic_to({0, 2});
     run.kill_vm(1);
     run.world().start_vm(1);
     CHECK(eventually([&] { return run.world().ready(1); }));
-    run.aim_at({0, 1, 2});
-    CHECK(run.more_answers(2 * some_answers));
-    CHECK(to_string(run.finish()) == nothing);
+    run.send_traffic_to({0, 1, 2});
+    CHECK(run.wait_for_answers(2 * some_answers));
+    CHECK(to_string(run.finish()) == no_findings);
 }
--- a/tests/process_traffic.hpp
+++ b/tests/process_traffic.hpp
@@ -1,4 +1,5 @@
-/// Callers that keep a deployment busy, and the record of what they saw.
+/// Callers that keep a deployment under load, and the record of their requests
+/// and answers.
 #ifndef MULBERRY_PROCESS_TRAFFIC_HPP
 #define MULBERRY_PROCESS_TRAFFIC_HPP
 
@@ -21,49 +22,50 @@
 namespace mulberry_test
 {
 
-/// Sends requests and keeps them. Thread safe.
+/// Sends requests and records them with their answers. Thread safety: safe.
 class caller_registry
 {
 public:
-    using under_way = std::shared_ptr<request_under_way>;
+    using request_ptr = std::shared_ptr<request_in_progress>;
 
-    under_way send(model_call const& call);
-    under_way send(service_call_made const& call);
-    /// The caller closes its connection.
-    void go_away(under_way const& request);
-    /// What is sent to the VM from now on must not be taken.
-    void note_leaving(std::string const& vm);
-    /// Waits until every request is over.
+    request_ptr send(model_call const& call);
+    request_ptr send(plain_service_call const& call);
+    /// Closes the caller's connection of the request.
+    void disconnect(request_ptr const& request);
+    /// Records that the VM must not accept requests sent from now on.
+    void mark_leaving(std::string const& vm);
+    /// Waits until every request is over and adds all requests to the record.
     void write_to(process_record& record);
-    /// Counts the model requests that are over by what they were told.
-    std::string told();
+    /// Numbers of model requests by VM and outcome, one line each.
+    std::string outcome_counts();
 
 private:
     template <class Call>
-    struct kept
+    struct sent_request
     {
         recorded<Call> what;
-        under_way request;
+        request_ptr request;
         mulberry::call_handle handle;
         std::chrono::steady_clock::time_point gives_up_at;
     };
     template <class Call>
-    under_way send(Call const& call, std::deque<kept<Call>>& list);
+    request_ptr send(Call const& call, std::deque<sent_request<Call>>& list);
     template <class Call>
-    static void write(std::deque<kept<Call>>& list,
+    static void write(std::deque<sent_request<Call>>& list,
                       std::vector<recorded<Call>>& out);
     template <class Call>
-    bool close(std::deque<kept<Call>>& list, under_way const& request);
+    bool close(std::deque<sent_request<Call>>& list,
+               request_ptr const& request);
 
     mulberry::http_client client_;
     std::mutex mutex_;
     std::set<std::string> leaving_;
-    std::deque<kept<model_call>> model_calls_;
-    std::deque<kept<service_call_made>> service_calls_;
+    std::deque<sent_request<model_call>> model_calls_;
+    std::deque<sent_request<plain_service_call>> service_calls_;
 };
 
-/// One run: a deployment, callers that keep it busy, and the checker at the
-/// end. The test's own thread uses it.
+/// One run: a deployment, callers that keep it under load, and the checker at
+/// the end. Thread safety: only the test's own thread may call it.
 class scenario
 {
 public:
@@ -73,26 +75,31 @@
     deployment& world() { return world_; }
     caller_registry& callers() { return registry_; }
 
+    /// Starts the threads of the callers.
     void start_traffic();
-    /// Where traffic goes from now on; all VMs at first.
-    void aim_at(std::vector<std::size_t> const& vms);
-    /// Waits until so many more answers came whole; whether they did.
-    bool more_answers(std::size_t count);
-    /// The same of calls that may not be repeated.
-    bool more_once_calls(std::size_t count);
+    /// Sets the VMs that receive the traffic from now on; initially all VMs.
+    void send_traffic_to(std::vector<std::size_t> const& vms);
+    /// Waits until `count` more model answers are complete. Returns false if
+    /// generous_wait passes first.
+    bool wait_for_answers(std::size_t count);
+    /// The same for service calls that must not be repeated.
+    bool wait_for_unrepeatable_calls(std::size_t count);
     void stop_traffic();
 
     model_call call_to(std::size_t vm, std::string const& adapter);
-    service_call_made once_call_to(std::size_t vm, std::string const& key);
+    plain_service_call unrepeatable_call_to(std::size_t vm,
+                                            std::string const& key);
     void kill_vm(std::size_t vm);
     void freeze_vm(std::size_t vm);
-    /// Waits until the VM owns workers, so that its failure touches them.
-    bool becomes_owner(std::size_t vm);
-    /// Notes that the VM takes nothing new once it has said so.
+    /// Waits until the VM owns workers, so that its failure affects workers.
+    /// Returns false if generous_wait passes first.
+    bool wait_until_owner(std::size_t vm);
+    /// Waits until the VM refuses a new request and records that the VM must
+    /// accept none from then on. Returns whether the VM refused one.
     bool await_refusal_of_new_work(std::size_t vm);
-    /// How often the callers were told what, for whoever reads a failure.
-    std::string told();
-    /// Stops the traffic, gathers all histories and checks them.
+    /// Numbers of outcomes by VM, printed to help explain a failure.
+    std::string outcome_counts();
+    /// Stops the traffic, collects all histories and returns the violations.
     std::vector<finding> finish();
 
 private:
@@ -102,7 +109,7 @@
         std::string callers;
     };
     void send_model_calls(unsigned seed);
-    void send_once_calls();
+    void send_unrepeatable_calls();
     void watch_versions();
     target pick(std::mt19937& random);
     std::vector<target> targets();
@@ -114,7 +121,7 @@
     std::vector<target> targets_;
     std::atomic<bool> stop_ = false;
     std::atomic<std::size_t> answers_ = 0;
-    std::atomic<std::size_t> once_answers_ = 0;
+    std::atomic<std::size_t> unrepeatable_answers_ = 0;
     std::vector<std::thread> threads_;
 };
 
