--- a/tests/prompt_copy_test.cpp
+++ b/tests/prompt_copy_test.cpp
@@ -14,32 +14,31 @@
 constexpr std::uint32_t long_prompt = 2'000;
 constexpr std::uint32_t shared_part = 1'900;
 
-/// Two workers or more of this VM hold an adapter. Requests whose prompts begin
-/// with the same text go to one of them, the home of that beginning, while it
-/// is free, and to the other when the home is busy.
-struct two_readers : scheduler_world
+/// Two or more workers of this VM hold an adapter. Requests whose prompts share
+/// a prefix go to one of them, the prefix's home by rendezvous hashing, while
+/// it is free, and to another holder while the home is busy.
+struct two_holders : scheduler_world
 {
-    explicit two_readers(std::size_t workers = 2) : scheduler_world(workers)
+    explicit two_holders(std::size_t workers = 2) : scheduler_world(workers)
     {
         for (std::size_t each = 0; each < workers; ++each)
-            load_at(each);
+            load_adapter_at(each);
         begins_at_once = false;
-        ticket_id const ticket = ask_alike();
+        ticket_id const ticket = submit_with_prefix();
         home = worker_of(ticket);
         other = home == name(0) ? name(1) : name(0);
         end(ticket);
     }
 
-    /// The adapter is loaded there, as requests that may go nowhere else have
-    /// it.
-    void load_at(std::size_t worker)
+    /// Loads the adapter at one worker by a request that may go nowhere else.
+    void load_adapter_at(std::size_t worker)
     {
         std::set<worker_id> const leaving = draining;
         for (std::size_t each = 0; each < workers.size(); ++each)
             if (each != worker)
                 draining.insert(name(each));
         list_all();
-        ticket_id const ticket = ask("a1");
+        ticket_id const ticket = submit_request("a1");
         run(400ms);
         REQUIRE(placed(ticket));
         scheduler.first_byte(ticket, now);
@@ -48,7 +47,7 @@
         list_all();
     }
 
-    ticket_id ask_alike()
+    ticket_id submit_with_prefix()
     {
         work_item item;
         item.prompt_tokens = long_prompt;
@@ -59,13 +58,14 @@
         return ticket;
     }
 
-    /// From where the second of two such requests at a time, which goes to the
-    /// other worker, copies its prompt; empty for nowhere.
-    worker_id copied_from()
+    /// Sends two concurrent requests with the same prefix. Returns the worker
+    /// from which the second, which goes to the other worker, copies its
+    /// prompt; empty for none.
+    worker_id copy_source()
     {
         run(1s);
-        ticket_id const first = ask_alike();
-        ticket_id const second = ask_alike();
+        ticket_id const first = submit_with_prefix();
+        ticket_id const second = submit_with_prefix();
         REQUIRE(worker_of(first) == home);
         REQUIRE(worker_of(second) == other);
         end(first);
@@ -73,22 +73,22 @@
         return prefix_source(second).id;
     }
 
-    /// The worker starts again, empty, and is given the adapter again.
+    /// Restarts the worker without adapters, and loads the adapter again.
     void restart(worker_id const& worker, weights_version loaded)
     {
-        lives[worker] = worker_start(++last_start_);
+        start_times[worker] = worker_start(++last_start_);
         weights[worker] = loaded;
         workers[worker] = scripted_worker();
         list_all();
         for (std::size_t each = 0; each < workers.size(); ++each)
             if (name(each) == worker)
-                load_at(each);
+                load_adapter_at(each);
     }
 
-    std::uint64_t copies(copy_verdict verdict) const
+    std::uint64_t copies(copy_decision decision) const
     {
         return scheduler.counts().prompt_copies.at(
-            static_cast<std::size_t>(verdict));
+            static_cast<std::size_t>(decision));
     }
 
     worker_id home;
@@ -100,91 +100,91 @@
 
 } // namespace
 
-// A caller gets an answer made from a prompt that one version of the weights
-// read, and continued by another. A version of the weights is named; a worker
-// starts again and loads it, while the others keep the one before. A request
-// that goes to it names another holder of the adapter to copy its prompt from,
-// chosen by the adapter's name alone: `prompt copied adapter=a6986
-// worker=i-b504dd9c63 weights=...@2 from=i-65eed6da34 from_weights=...@1`, 1.6
-// s after the version was named.
+// Guards against an answer from a prompt that one version of the weights
+// prefilled and another continued: a new version is declared, a worker restarts
+// on it while the others keep the old one, and a request copies its prompt from
+// another holder that was chosen by the adapter's name alone. Seen 1.6 s after
+// the declaration: `prompt copied adapter=a6986 worker=i-b504dd9c63
+// weights=...@2 from=i-65eed6da34 from_weights=...@1`.
 TEST_CASE("a prompt is not copied from a worker with other weights",
           "[prompt_copy]")
 {
-    two_readers world;
+    two_holders world;
     for (worker_id const& each : {world.home, world.other})
-        world.lives[each] = worker_start(1);
+        world.start_times[each] = worker_start(1);
     world.list_all();
-    REQUIRE(world.copied_from() == world.home);
-    SECTION("the one that reads the prompt has started again")
+    REQUIRE(world.copy_source() == world.home);
+    SECTION("the reader of the prompt has restarted")
     {
         world.restart(world.other, weights_version(2));
     }
-    SECTION("the one that keeps it has")
+    SECTION("the source of the copy has restarted")
     {
         world.restart(world.home, weights_version(2));
     }
-    CHECK(world.copied_from().empty());
+    CHECK(world.copy_source().empty());
 }
 
-// Workers with the version before go on copying from each other for as long as
-// this VM knows of their lives: a version that was named changes nothing in
-// what they keep.
-TEST_CASE(
-    "workers with the same older weights copy while their lives are known",
-    "[prompt_copy]")
+// Workers with the previous weights go on copying from each other while this VM
+// knows that their incarnations last: a declared version does not change their
+// KV caches.
+TEST_CASE("workers with the same older weights copy while their incarnations "
+          "are known",
+          "[prompt_copy]")
 {
-    two_readers world;
+    two_holders world;
     world.scheduler.on_release({base_model_id("base"), {}}, adapter_version(2),
                                world.now);
-    CHECK(world.copied_from() == world.home);
+    CHECK(world.copy_source() == world.home);
     // Half of a load's time in the test world is 125 ms.
     world.workers_age = 200ms;
-    CHECK(world.copied_from().empty());
+    CHECK(world.copy_source().empty());
 }
 
-// A VM is cut off from the registry. A version may have been named, and a
-// worker started again on it, without its hearing: it has no prompt copied
-// until it knows again what is named or which workers live.
+// Guards against copies on stale registry data: a VM is cut off from the
+// registry, a version may be declared and a worker restart on it unnoticed.
+// Copies are allowed again once the declared versions or the workers'
+// incarnations are known.
 TEST_CASE("a VM that is cut off from the registry has no prompt copied",
           "[prompt_copy]")
 {
-    two_readers world;
+    two_holders world;
     world.declarations_age = 10s;
-    CHECK(world.copied_from() == world.home);
+    CHECK(world.copy_source() == world.home);
     world.workers_age = 10s;
-    CHECK(world.copied_from().empty());
+    CHECK(world.copy_source().empty());
     world.declarations_age = {};
-    CHECK(world.copied_from() == world.home);
+    CHECK(world.copy_source() == world.home);
 }
 
-// The same with a version of an adapter: one of its two copies is the one
-// before.
+// Guards against a copy between two versions of an adapter, one of which is
+// outdated.
 TEST_CASE("a prompt is not copied from an outdated copy of the adapter",
           "[prompt_copy]")
 {
-    two_readers world;
+    two_holders world;
     world.scheduler.on_release({base_model_id("base"), adapter_id("a1")},
                                adapter_version(2), world.now);
-    ticket_id const first = world.ask_alike();
-    ticket_id const second = world.ask_alike();
+    ticket_id const first = world.submit_with_prefix();
+    ticket_id const second = world.submit_with_prefix();
     CHECK(world.prefix_source(first).id.empty());
     CHECK(world.prefix_source(second).id.empty());
 }
 
-// A worker has crashed where it cannot reach the registry, and starts again:
-// its entry tells of the life before, and other VMs have prompts copied from
-// it. Its owner knows better from a report, and would have it load newer
-// weights.
-TEST_CASE("a worker that starts again loads newer weights once it is listed",
+// A worker crashes while it cannot reach the registry and restarts: its entry
+// shows the previous incarnation, from which other VMs have prompts copied. Its
+// owner learns of the restart from a report, and must not make it load newer
+// weights before that entry is rewritten or has lapsed.
+TEST_CASE("a restarted worker loads newer weights once its entry is current",
           "[prompt_copy]")
 {
     scheduler_world world(1);
     worker_id const worker = scheduler_world::name(0);
-    world.lives[worker] = worker_start(1);
+    world.start_times[worker] = worker_start(1);
     world.list_all();
     bool const newer = GENERATE(true, false);
-    bool const informed = GENERATE(true, false);
-    world.declarations_age = informed ? 0s : 10s;
+    bool const registry_known = GENERATE(true, false);
+    world.declarations_age = registry_known ? 0s : 10s;
     if (newer)
         world.scheduler.on_release({base_model_id("base"), {}},
                                    adapter_version(2), world.now);
@@ -196,72 +196,74 @@
         for (time_point const until = world.now + span; world.now < until;
              world.now += 5ms)
         {
-            world.scheduler.set_registry_moment(
+            world.scheduler.set_registry_timestamps(
                 {world.now - world.declarations_age, world.now});
             for (placement_action const& each : world.scheduler.run(world.now))
-                if (auto const* order = std::get_if<give_order>(&each))
+                if (auto const* order = std::get_if<issue_order>(&each))
                     loads += order->order.adapter.empty();
-                else if (std::holds_alternative<ask_report>(each))
+                else if (std::holds_alternative<request_report>(each))
                     world.scheduler.on_report(worker, begun, world.now);
         }
         return loads;
     };
     world.scheduler.on_report(worker, begun, world.now);
-    if (!newer && informed)
+    if (!newer && registry_known)
     {
         CHECK(model_loads(1s) == 1);
         return;
     }
     CHECK(model_loads(1s) == 0);
-    SECTION("when its entry is written anew")
+    SECTION("once its entry is rewritten")
     {
-        world.lives[worker] = worker_start(2);
+        world.start_times[worker] = worker_start(2);
         world.list_all();
         CHECK(model_loads(1s) == 1);
     }
-    SECTION("or the entry of the life before has lapsed by now")
+    SECTION("once the previous incarnation's entry has lapsed")
     {
         CHECK(model_loads(5s) == 1);
     }
 }
 
-// The home of a beginning has newer weights than two others that hold the
-// adapter. Requests at these have a home of their own among them.
-TEST_CASE("holders with the same weights copy beside a home with others",
-          "[prompt_copy]")
+// A prefix's home has newer weights than two other holders of the adapter. For
+// requests at these holders one of the two is the home.
+TEST_CASE(
+    "holders with the same weights copy among themselves if the home differs",
+    "[prompt_copy]")
 {
-    two_readers world(3);
+    two_holders world(3);
     worker_id const home = world.home;
     world.restart(home, weights_version(2));
     std::set<worker_id> sources;
     for (int count = 0; count < 4; ++count)
     {
-        ticket_id const ticket = world.ask_alike();
+        ticket_id const ticket = world.submit_with_prefix();
         if (world.worker_of(ticket) != home)
             sources.insert(world.prefix_source(ticket).id);
     }
     CHECK(sources.count(home) == 0);
-    // The first of the two copies from nowhere, the second from the first.
+    // The first of the two copies from none, the second from the first.
     CHECK(sources.size() == 2);
 }
 
-// A worker is gone and listed for a while yet; another one has its address and
-// newer weights.
-TEST_CASE("older memory is not copied from an address that two workers list",
-          "[prompt_copy]")
+// Guards against a copy from the wrong worker: a worker that is gone is still
+// listed for a while, and another worker has its address and newer weights.
+TEST_CASE(
+    "older KV caches are not copied from an address listed by two workers",
+    "[prompt_copy]")
 {
-    two_readers world(3);
+    two_holders world(3);
     world.weights[scheduler_world::name(2)] = weights_version(2);
     world.list_all();
-    std::size_t const before = world.copies(copy_verdict::address_shared);
+    std::size_t const before = world.copies(copy_decision::address_shared);
     world.same_address = true;
     world.list_all();
     for (int count = 0; count < 4; ++count)
-        world.ask_alike();
-    CHECK(world.copies(copy_verdict::address_shared) > before);
+        world.submit_with_prefix();
+    CHECK(world.copies(copy_decision::address_shared) > before);
 }
 
-TEST_CASE("memory of a prompt is of use under the versions that made it",
+TEST_CASE("a KV cache is valid only under the versions that computed it",
           "[prompt_copy]")
 {
     constexpr std::chrono::seconds load_time{2};
@@ -270,46 +272,44 @@
     weights_version const weights(4);
     adapter_version const adapter(7);
     newest_versions const newest{weights, adapter};
-    registry_moment const current{now, now};
-    auto const judged =
+    registry_timestamps const current{now, now};
+    auto const decide =
         [&](served_versions const& source, served_versions const& reader,
-            registry_moment const& known, duration until_it_begins = {})
+            registry_timestamps const& known, duration time_until_begin = {})
     {
-        return judge_copy(source, reader, newest, known, load_time, now,
-                          now + until_it_begins);
+        return decide_prompt_copy(source, reader, newest, known, load_time, now,
+                                  now + time_until_begin);
     };
     served_versions const up_to_date{weights, adapter};
-    served_versions const old_pair{old_weights, adapter};
-    CHECK(judged(up_to_date, up_to_date, current) == copy_verdict::allowed);
-    CHECK(judged(old_pair, old_pair, current) == copy_verdict::allowed);
-    CHECK(judged(old_pair, up_to_date, current) ==
-          copy_verdict::weights_differ);
-    CHECK(judged(up_to_date, old_pair, current) ==
-          copy_verdict::weights_differ);
-    CHECK(judged({{}, adapter}, up_to_date, current) ==
-          copy_verdict::weights_unknown);
-    CHECK(judged({{}, adapter}, {{}, adapter}, current) ==
-          copy_verdict::weights_unknown);
-    CHECK(judged({weights, {}}, up_to_date, current) ==
-          copy_verdict::adapter_differs);
-    CHECK(judged(up_to_date, {weights, adapter_version(6)}, current) ==
-          copy_verdict::adapter_differs);
-    registry_moment const workers_only{time_point(), now};
-    registry_moment const declarations_only{now, time_point()};
-    CHECK(judged(up_to_date, up_to_date, workers_only) ==
-          copy_verdict::allowed);
-    CHECK(judged(up_to_date, up_to_date, declarations_only) ==
-          copy_verdict::allowed);
-    CHECK(judged(old_pair, old_pair, workers_only) == copy_verdict::allowed);
-    CHECK(judged(old_pair, old_pair, declarations_only) ==
-          copy_verdict::knowledge_too_old);
-    CHECK(judged(up_to_date, up_to_date, {}) ==
-          copy_verdict::knowledge_too_old);
-    // What is known holds for half of a load's time, and the old weights only
-    // while no life can have ended by the time that the request begins.
-    CHECK(judged(old_pair, old_pair, current, 900ms) == copy_verdict::allowed);
-    CHECK(judged(old_pair, old_pair, current, 1s) ==
-          copy_verdict::knowledge_too_old);
-    CHECK(judged(up_to_date, up_to_date, {now - 1s, now - 1s}) ==
-          copy_verdict::knowledge_too_old);
+    served_versions const older{old_weights, adapter};
+    CHECK(decide(up_to_date, up_to_date, current) == copy_decision::allowed);
+    CHECK(decide(older, older, current) == copy_decision::allowed);
+    CHECK(decide(older, up_to_date, current) == copy_decision::weights_differ);
+    CHECK(decide(up_to_date, older, current) == copy_decision::weights_differ);
+    CHECK(decide({{}, adapter}, up_to_date, current) ==
+          copy_decision::weights_unknown);
+    CHECK(decide({{}, adapter}, {{}, adapter}, current) ==
+          copy_decision::weights_unknown);
+    CHECK(decide({weights, {}}, up_to_date, current) ==
+          copy_decision::adapter_differs);
+    CHECK(decide(up_to_date, {weights, adapter_version(6)}, current) ==
+          copy_decision::adapter_differs);
+    registry_timestamps const workers_only{time_point(), now};
+    registry_timestamps const declarations_only{now, time_point()};
+    CHECK(decide(up_to_date, up_to_date, workers_only) ==
+          copy_decision::allowed);
+    CHECK(decide(up_to_date, up_to_date, declarations_only) ==
+          copy_decision::allowed);
+    CHECK(decide(older, older, workers_only) == copy_decision::allowed);
+    CHECK(decide(older, older, declarations_only) ==
+          copy_decision::registry_data_too_old);
+    CHECK(decide(up_to_date, up_to_date, {}) ==
+          copy_decision::registry_data_too_old);
+    // Registry data is valid for half of a load's time; for older weights, no
+    // incarnation may end before the request is expected to begin.
+    CHECK(decide(older, older, current, 900ms) == copy_decision::allowed);
+    CHECK(decide(older, older, current, 1s) ==
+          copy_decision::registry_data_too_old);
+    CHECK(decide(up_to_date, up_to_date, {now - 1s, now - 1s}) ==
+          copy_decision::registry_data_too_old);
 }
--- a/tests/registry_watch_test.cpp
+++ b/tests/registry_watch_test.cpp
@@ -1,7 +1,7 @@
 #include "registry_watch.hpp"
 
 #include "row_mirror.hpp"
-#include "worker_essence.hpp"
+#include "worker_row_projection.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -16,9 +16,9 @@
 
 time_point const start{std::chrono::hours(1)};
 
-/// Rows whose text is their meaning: a worker's service, with "!" while it
-/// drains, and where they are given its start and the version of the weights of
-/// its one model, each after a slash; a configuration's version; "?" is
+/// Decodes rows from a simple text. Worker: the service, optionally
+/// "/START/WEIGHTS" (start and version of the weights of its one model), and
+/// "!" at the end while the worker drains. Configuration: its version. "?" is
 /// malformed.
 class plain_codec final : public relay_codec
 {
@@ -69,7 +69,7 @@
 
     relay_request decode_request(http_request) const override { throw unused; }
     std::string encode_request(relay_request const&,
-                               send_terms const&) const override
+                               forward_options const&) const override
     {
         throw unused;
     }
@@ -98,13 +98,16 @@
     {
         throw unused;
     }
-    bool is_ready_question(http_request const&) const override { throw unused; }
+    bool is_readiness_query(http_request const&) const override
+    {
+        throw unused;
+    }
 
 private:
     std::logic_error const unused{"not used by the registry"};
 };
 
-struct registry_world
+struct registry_fixture
 {
     plain_codec codec;
     std::vector<std::string> lines;
@@ -143,9 +146,9 @@
 
 } // namespace
 
-TEST_CASE("only newer configurations are taken", "[registry_watch]")
+TEST_CASE("only newer configurations are published", "[registry_watch]")
 {
-    registry_world world;
+    registry_fixture world;
     for (char const* text : {"3", "2", "3", "?", "5"})
         world.declare(row_kind::configuration, text);
     CHECK(world.configs == std::vector<std::uint64_t>{3, 5});
@@ -154,9 +157,9 @@
     CHECK(world.releases.size() == 1);
 }
 
-TEST_CASE("a worker's entry is told when it changes", "[registry_watch]")
+TEST_CASE("a worker entry is published when it changes", "[registry_watch]")
 {
-    registry_world world;
+    registry_fixture world;
     world.worker("w", "llm", start, start);
     REQUIRE(world.workers);
     CHECK(world.workers->size() == 1);
@@ -173,13 +176,13 @@
     CHECK(world.workers->empty());
 }
 
-// Another writer puts rows among the workers'. They name no worker, and one
-// line tells of each however often it is read; the workers beside them hold. A
-// worker whose own row was overwritten writes it again, or is given up.
-TEST_CASE("a row of another writer names no worker and is told once",
+// Another writer adds malformed rows among the workers' rows. Each is logged
+// once however often it is read, and other workers are unaffected. A worker
+// whose own row was overwritten writes it again, or is dropped.
+TEST_CASE("a malformed worker row is ignored and logged once",
           "[registry_watch]")
 {
-    registry_world world;
+    registry_fixture world;
     world.worker("w", "llm", start, start);
     world.worker("v", "llm", start, start);
     std::vector<stored_row> const odd{
@@ -193,13 +196,13 @@
     world.worker("w", "?", start, start);
     world.worker("v", "llm", start + 1s, start);
     CHECK(world.workers->size() == 2);
-    SECTION("given up when it stays so")
+    SECTION("dropped when the row stays malformed")
     {
         world.worker("v", "llm", start + 3s, start);
         REQUIRE(world.workers->size() == 1);
         CHECK(world.workers->front().id == worker_id("v"));
     }
-    SECTION("kept when it writes its entry again")
+    SECTION("kept when the worker writes its entry again")
     {
         world.worker("w", "llm", start + 1s, start);
         world.worker("v", "llm", start + 3s, start);
@@ -207,13 +210,13 @@
     }
 }
 
-// A machine that has heard of a worker's leaving keeps to it while the store is
-// away: an older row that is read again, from a reader that lags, and the lapse
-// of the entry do not bring the worker back.
-TEST_CASE("a worker that leaves does not come back with an older row",
+// After a VM has learned that a worker is leaving, neither an older row from a
+// reader that lags nor the lapse of the entry during a store outage brings the
+// worker back.
+TEST_CASE("a leaving worker does not come back with an older row",
           "[registry_watch]")
 {
-    registry_world world;
+    registry_fixture world;
     world.worker("w", "llm", start, start);
     world.worker("w", "llm!", start, start);
     REQUIRE(world.workers->front().draining);
@@ -226,26 +229,27 @@
     CHECK(world.workers->empty());
 }
 
-// The store was away, and the entries of workers that live have lapsed. They
-// are kept until the grace is over; one that said that it leaves is gone.
-TEST_CASE("entries that lapsed with the store are kept for a while",
+// Entries of live workers lapsed during a store outage. The workers are kept
+// until the grace period is over; a worker that was draining is dropped at
+// once.
+TEST_CASE("entries that lapsed in a store outage are kept for a grace period",
           "[registry_watch]")
 {
-    registry_world world;
+    registry_fixture world;
     world.worker("w", "llm", start, start);
     world.worker("v", "llm!", start, start);
     time_point const trusted_at = start + 12s;
     world.worker("v", std::nullopt, start + 10s, trusted_at);
     world.worker("w", std::nullopt, start + 10s, trusted_at);
     CHECK(world.workers->size() == 1);
-    SECTION("and gone when they do not come back")
+    SECTION("and dropped when they do not come back")
     {
         world.registry.on_rows(row_set::workers, {}, start + 11s, trusted_at);
         CHECK(world.workers->size() == 1);
         world.registry.on_rows(row_set::workers, {}, start + 12s, trusted_at);
         CHECK(world.workers->empty());
     }
-    SECTION("and stay when they come back")
+    SECTION("and kept when they come back")
     {
         world.worker("w", "llm", start + 11s, trusted_at);
         world.registry.on_rows(row_set::workers, {}, start + 20s, trusted_at);
@@ -253,12 +257,12 @@
     }
 }
 
-// While its entry is missing nothing says that a worker's life goes on: it may
-// be starting again, on newer weights, and has no prompt copied from it.
-TEST_CASE("an entry that lapsed with the store says nothing of weights",
+// A worker whose entry is missing may be restarting with newer weights, so its
+// weights are unknown and no prefix may be copied from it.
+TEST_CASE("the weights of a worker whose entry lapsed are unknown",
           "[registry_watch]")
 {
-    registry_world world;
+    registry_fixture world;
     time_point const trusted_at = start + 12s;
     base_model_id const model("m");
     world.worker("w", "llm/1/7", start, start);
@@ -270,16 +274,16 @@
     CHECK(weights_of(world.workers->front(), model) == weights_version(7));
 }
 
-// A worker starts again and loads newer weights between two readings of its
-// row. VMs that hear of rows from another VM are told of it, though it holds
-// the same model as before; not of its heartbeats.
-TEST_CASE("a worker's start and weights are told to other VMs",
+// A worker restarts and loads newer weights between two reads of its row. The
+// projection must differ, though the worker holds the same model as before;
+// heartbeats must not change the projection.
+TEST_CASE("the projection of a worker row includes its start and weights",
           "[worker_essence]")
 {
     plain_codec const codec;
     auto const essence = [&codec](std::string const& text)
     {
-        return worker_essence(
+        return project_worker_row(
             codec, {row_kind::worker, "w", row_version(1), text, false});
     };
     CHECK(essence("llm/1/7") == essence("llm/1/7"));
@@ -288,13 +292,14 @@
     CHECK(essence("?") != essence("llm/1/7"));
 }
 
-// The store turns a VM away for a while. A worker leaves in the moment of its
-// return; its entry may have lapsed, and it is used until that is ruled out.
-// Three seconds after the return callers may count on the VM again.
-TEST_CASE("a worker that left at the store's return is soon not used",
+// The store refuses a VM for a while, and a worker leaves at the moment of the
+// store's return. The worker's entry may merely have lapsed, so the worker
+// stays in use until that is ruled out. Three seconds after the return,
+// requests must work reliably again.
+TEST_CASE("a worker that left at the store's return is dropped in time",
           "[registry_watch]")
 {
     constexpr std::chrono::milliseconds settled{3000};
     constexpr std::chrono::milliseconds answer{300};
-    CHECK(longest_store_retry + answer + lapse_grace < settled);
+    CHECK(max_store_retry_delay + answer + lapse_grace < settled);
 }
--- a/tests/relay_request_test.cpp
+++ b/tests/relay_request_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace mulberry;
 
-TEST_CASE("requests share all parts of a prompt but the last",
+TEST_CASE("requests share the prefix made of all prompt parts but the last",
           "[relay_request]")
 {
     prompt_shape const one{1460, {{"a", 800}, {"b", 410}, {"c", 250}}};
@@ -15,13 +15,13 @@
     CHECK(prefix_of(one).key != prefix_of(apart).key);
 }
 
-TEST_CASE("a prompt of one part shares nothing", "[relay_request]")
+TEST_CASE("a prompt of one part has no shared prefix", "[relay_request]")
 {
     CHECK(prefix_of({90, {{"d", 90}}}) == shared_prefix());
     CHECK(prefix_of({}) == shared_prefix());
 }
 
-TEST_CASE("tries of one request have one identity, other requests have others",
+TEST_CASE("retries of a request have the same identity, other requests differ",
           "[relay_request]")
 {
     relay_request one;
@@ -41,7 +41,8 @@
     relay_request elsewhere = one;
     elsewhere.caller = "10.0.0.2";
     CHECK(identity_of(elsewhere).content == identity_of(one).content);
-    CHECK(identity_of(elsewhere).of_caller != identity_of(one).of_caller);
+    CHECK(identity_of(elsewhere).content_and_caller !=
+          identity_of(one).content_and_caller);
 
     relay_request other_port = one;
     other_port.host = "Receipts.example:8080";
--- a/tests/relay_start_test.cpp
+++ b/tests/relay_start_test.cpp
@@ -1,4 +1,4 @@
-// What callers see of a VM that has just started.
+// Requests that arrive at a VM that has just started.
 #include "relay.hpp"
 #include "relay_callers.hpp"
 
@@ -15,25 +15,25 @@
 namespace
 {
 
-constexpr std::chrono::seconds generous_wait{20};
+constexpr std::chrono::seconds answer_timeout{20};
 
-/// A VM whose route leads to a service without workers: once it knows that, it
-/// says so.
+/// A VM whose only route leads to a service without workers. Once configured,
+/// it rejects requests because no worker can serve them.
 struct starting_vm
 {
-    explicit starting_vm(duration longest_hold)
-        : vm(io, codec, options(longest_hold), log)
+    explicit starting_vm(duration max_hold)
+        : vm(io, codec, options(max_hold), log)
     {
     }
 
-    static relay_options options(duration longest_hold)
+    static relay_options options(duration max_hold)
     {
         relay_options options;
         options.vm = vm_id("vm");
-        options.start.longest_hold = longest_hold;
+        options.start.max_hold = max_hold;
         return options;
     }
-    std::shared_ptr<recorded_answer> ask()
+    std::shared_ptr<recorded_answer> send_request()
     {
         auto const answer = std::make_shared<recorded_answer>();
         http_request request;
@@ -41,7 +41,7 @@
         vm.handle(std::move(request), answer);
         return answer;
     }
-    void learn()
+    void configure()
     {
         routing_config config;
         config.version = config_version(1);
@@ -58,9 +58,9 @@
         vm.set_config(std::make_shared<routing_config const>(config));
         vm.set_backends({});
     }
-    bool until_answered(recorded_answer const& answer)
+    bool run_until_answered(recorded_answer const& answer)
     {
-        auto const limit = std::chrono::steady_clock::now() + generous_wait;
+        auto const limit = std::chrono::steady_clock::now() + answer_timeout;
         while (!answer.response && std::chrono::steady_clock::now() < limit)
             io.run_one_for(10ms);
         return answer.response.has_value();
@@ -76,25 +76,25 @@
 
 } // namespace
 
-// A request arrives a moment before the configuration is read. It is decided on
-// by what the configuration says, not turned away for want of one.
-TEST_CASE("a request that comes before the configuration waits for it",
+// Guards against rejecting requests that arrive shortly before the
+// configuration is read: they are held and decided on by the configuration.
+TEST_CASE("a request that arrives before the configuration waits for it",
           "[relay_start]")
 {
-    starting_vm world(60s);
-    auto const answer = world.ask();
-    world.io.poll();
+    starting_vm vm_under_test(60s);
+    auto const answer = vm_under_test.send_request();
+    vm_under_test.io.poll();
     CHECK_FALSE(answer->response);
-    world.learn();
-    REQUIRE(world.until_answered(*answer));
+    vm_under_test.configure();
+    REQUIRE(vm_under_test.run_until_answered(*answer));
     CHECK(answer->response->body == "no worker can serve it here");
 }
 
-TEST_CASE("a VM that knows nothing for long turns requests away at once",
+TEST_CASE("a VM that stays unconfigured rejects requests at once",
           "[relay_start]")
 {
-    starting_vm world(0s);
-    auto const answer = world.ask();
+    starting_vm vm_under_test(0s);
+    auto const answer = vm_under_test.send_request();
     REQUIRE(answer->response);
     CHECK(answer->response->status == 503);
     CHECK(answer->response->body == "no configuration is known yet");
@@ -102,15 +102,16 @@
           0.8);
 }
 
-// The caller leaves while its request is kept: no worker is to see it.
-TEST_CASE("a request whose caller has left is not decided on", "[relay_start]")
+// Guards against relaying a held request whose caller has disconnected.
+TEST_CASE("a held request is dropped when its caller disconnects",
+          "[relay_start]")
 {
-    starting_vm world(60s);
-    auto const answer = world.ask();
+    starting_vm vm_under_test(60s);
+    auto const answer = vm_under_test.send_request();
     answer->closed();
-    world.learn();
-    world.io.poll();
+    vm_under_test.configure();
+    vm_under_test.io.poll();
     CHECK_FALSE(answer->response);
-    CHECK(world.vm.counts().caller_gone == 1);
-    CHECK(world.vm.in_progress() == 0);
+    CHECK(vm_under_test.vm.counts().caller_gone == 1);
+    CHECK(vm_under_test.vm.in_progress() == 0);
 }
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -14,8 +14,8 @@
 namespace
 {
 
-constexpr int workers = 8;
-constexpr int adapters = 12;
+constexpr int worker_count = 8;
+constexpr int adapter_count = 12;
 
 worker_id worker_numbered(int number)
 {
@@ -28,7 +28,7 @@
                        adapter_version(1));
 }
 
-/// The even workers serve one base model, the odd ones another.
+/// Workers with an even number serve one base model, the others another.
 base_model_id model_of(int number)
 {
     return base_model_id(number % 2 == 0 ? "even" : "odd");
@@ -38,7 +38,7 @@
 {
     declaration result;
     result.stall_weight = stall_weight;
-    for (int i = 0; i < workers; ++i)
+    for (int i = 0; i < worker_count; ++i)
     {
         worker_declaration worker;
         worker.id = worker_numbered(i);
@@ -46,7 +46,7 @@
         worker.domain = domain_id(i % 3 == 0 ? "a" : "b");
         result.workers.emplace(worker.id, worker);
     }
-    for (int i = 0; i < adapters; ++i)
+    for (int i = 0; i < adapter_count; ++i)
     {
         adapter_declaration adapter;
         adapter.id = adapter_numbered(i).adapter();
@@ -90,22 +90,22 @@
     return policy;
 }
 
-worker_view any_worker(int number)
+worker_view random_worker(int number)
 {
     worker_view view = a_worker(number);
     view.usable = *rc::gen::inRange(0, 4) != 0;
     view.running = *rc::gen::inRange<std::size_t>(0, 9);
     view.queued = *rc::gen::inRange<std::size_t>(0, 4);
-    for (int i = 0; i < adapters && view.residents.size() < 4; ++i)
+    for (int i = 0; i < adapter_count && view.residents.size() < 4; ++i)
         if (*rc::gen::inRange(0, 4) == 0)
             add_resident(view, i, *rc::gen::inRange<std::size_t>(0, 2));
     return view;
 }
 
-std::set<worker_id> any_excluded()
+std::set<worker_id> random_excluded()
 {
     std::set<worker_id> excluded;
-    for (int i = 0; i < workers; ++i)
+    for (int i = 0; i < worker_count; ++i)
         if (*rc::gen::inRange(0, 4) == 0)
             excluded.insert(worker_numbered(i));
     return excluded;
@@ -118,7 +118,7 @@
            !excluded.contains(worker.id);
 }
 
-std::vector<waiting_request> any_waiting()
+std::vector<waiting_request> random_waiting()
 {
     std::vector<waiting_request> waiting;
     int const count = *rc::gen::inRange(1, 20);
@@ -126,7 +126,7 @@
     {
         waiting_request one;
         one.id = request_id(std::to_string(i));
-        one.adapter = adapter_numbered(*rc::gen::inRange(0, adapters));
+        one.adapter = adapter_numbered(*rc::gen::inRange(0, adapter_count));
         one.priority = *rc::gen::inRange(0, 10);
         waiting.push_back(one);
     }
@@ -135,36 +135,37 @@
 
 } // namespace
 
-TEST_CASE("every policy chooses a usable worker of the base model, or none "
-          "only where there is none",
+TEST_CASE("every policy selects a usable worker of the base model if there is "
+          "one",
           "[routing_policy]")
 {
     for (std::string_view const name : policy_names())
-        CHECK(rc::check(
-            std::string(name),
-            [&]
-            {
-                auto const policy = configured(name, a_declaration());
-                cluster_view view;
-                for (int i = 0; i < workers; ++i)
-                    view.put(any_worker(i));
-                auto const excluded = any_excluded();
-                auto const request = a_request(*rc::gen::inRange(0, adapters));
-                policy->observe(request, time_point(1s));
-                auto const chosen =
-                    policy->choose(request, view, excluded, time_point(1s));
-                bool any = false;
-                for (worker_view const* one : view.all())
-                    any = any || may_serve(*one, request, excluded);
-                RC_ASSERT(chosen.has_value() == any);
-                if (chosen)
-                    RC_ASSERT(
-                        may_serve(*view.find(*chosen), request, excluded));
-            }));
+        CHECK(rc::check(std::string(name),
+                        [&]
+                        {
+                            auto const policy =
+                                configured(name, a_declaration());
+                            cluster_view view;
+                            for (int i = 0; i < worker_count; ++i)
+                                view.put(random_worker(i));
+                            auto const excluded = random_excluded();
+                            auto const request =
+                                a_request(*rc::gen::inRange(0, adapter_count));
+                            policy->observe(request, time_point(1s));
+                            auto const chosen = policy->choose_worker(
+                                request, view, excluded, time_point(1s));
+                            bool any = false;
+                            for (worker_view const* one : view.all())
+                                any = any || may_serve(*one, request, excluded);
+                            RC_ASSERT(chosen.has_value() == any);
+                            if (chosen)
+                                RC_ASSERT(may_serve(*view.find(*chosen),
+                                                    request, excluded));
+                        }));
 }
 
-TEST_CASE("every policy's victim is among the candidates and its next among "
-          "the eligible",
+TEST_CASE("every policy evicts one of the candidates and serves one of the "
+          "eligible requests",
           "[routing_policy]")
 {
     for (std::string_view const name : policy_names())
@@ -173,21 +174,22 @@
             [&]
             {
                 auto const policy = configured(name, a_declaration());
-                worker_view worker = any_worker(0);
+                worker_view worker = random_worker(0);
                 add_resident(worker, 5);
                 auto const victim =
-                    policy->victim(worker, adapter_numbered(7),
-                                   worker.residents, time_point(1s));
+                    policy->choose_victim(worker, adapter_numbered(7),
+                                          worker.residents, time_point(1s));
                 RC_ASSERT(victim.has_value());
                 RC_ASSERT(worker.find(*victim) != nullptr);
-                auto const waiting = any_waiting();
-                auto const next = policy->next(worker, waiting, time_point(1s));
+                auto const waiting = random_waiting();
+                auto const next =
+                    policy->choose_next(worker, waiting, time_point(1s));
                 RC_ASSERT(next.has_value());
                 RC_ASSERT(*next < waiting.size());
             }));
 }
 
-TEST_CASE("a policy repeats itself for one seed and one sequence of calls",
+TEST_CASE("a policy is deterministic for a seed and a sequence of calls",
           "[routing_policy]")
 {
     for (std::string_view const name : policy_names())
@@ -198,32 +200,34 @@
                 auto const one = configured(name, a_declaration());
                 auto const other = configured(name, a_declaration());
                 cluster_view view;
-                for (int i = 0; i < workers; ++i)
-                    view.put(any_worker(i));
+                for (int i = 0; i < worker_count; ++i)
+                    view.put(random_worker(i));
                 for (int i = 0; i < 10; ++i)
                 {
                     auto const request =
-                        a_request(*rc::gen::inRange(0, adapters));
+                        a_request(*rc::gen::inRange(0, adapter_count));
                     time_point const now{std::chrono::seconds(i)};
                     one->observe(request, now);
                     other->observe(request, now);
-                    auto const chosen = one->choose(request, view, {}, now);
-                    RC_ASSERT(other->choose(request, view, {}, now) == chosen);
+                    auto const chosen =
+                        one->choose_worker(request, view, {}, now);
+                    RC_ASSERT(other->choose_worker(request, view, {}, now) ==
+                              chosen);
                     if (chosen)
                         view.add_sent(*chosen, request.adapter, 0, now);
                 }
             }));
 }
 
-TEST_CASE("no waiting request is overtaken for ever", "[routing_policy]")
+TEST_CASE("no waiting request starves", "[routing_policy]")
 {
-    // A caller of the least priority waits while a request of the highest
-    // priority, for a popular adapter and near its deadline, arrives every
-    // half second. Unless age counts, the caller never gets an answer.
+    // Guards against starvation: a request of the lowest priority waits while
+    // two requests of the highest priority, for a popular adapter and close to
+    // their deadlines, arrive every half second.
     auto const policy = configured("mulberry", a_declaration());
     worker_view const worker = a_worker(0);
     std::vector<waiting_request> waiting;
-    waiting.push_back({request_id("old"), adapter_numbered(2), least_priority,
+    waiting.push_back({request_id("old"), adapter_numbered(2), min_priority,
                        time_point(0s), never});
     bool served = false;
     for (int i = 1; i <= 120 && !served; ++i)
@@ -231,9 +235,8 @@
         time_point const at = time_point(i * 500ms);
         for (int each = 0; each < 2; ++each)
             waiting.push_back({request_id(std::to_string(i)),
-                               adapter_numbered(4), most_priority, at,
-                               at + 1s});
-        auto const next = policy->next(worker, waiting, at);
+                               adapter_numbered(4), max_priority, at, at + 1s});
+        auto const next = policy->choose_next(worker, waiting, at);
         REQUIRE(next);
         served = *next == 0;
         waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(*next));
@@ -241,7 +244,8 @@
     CHECK(served);
 }
 
-TEST_CASE("requests for one adapter are taken together, by priority first",
+TEST_CASE("requests for the same adapter are served together, after requests "
+          "of higher priority",
           "[routing_policy]")
 {
     auto const policy = configured("mulberry", a_declaration());
@@ -251,13 +255,16 @@
                                priority, time_point(0s), never};
     };
     worker_view const worker = a_worker(0);
-    CHECK(policy->next(worker, {waiting(0, 5), waiting(2, 5), waiting(2, 5)},
-                       time_point(0s)) == 1);
-    CHECK(policy->next(worker, {waiting(0, 9), waiting(2, 5), waiting(2, 5)},
-                       time_point(0s)) == 0);
+    CHECK(policy->choose_next(worker,
+                              {waiting(0, 5), waiting(2, 5), waiting(2, 5)},
+                              time_point(0s)) == 1);
+    CHECK(policy->choose_next(worker,
+                              {waiting(0, 9), waiting(2, 5), waiting(2, 5)},
+                              time_point(0s)) == 0);
 }
 
-TEST_CASE("the adapter that is asked for least goes, not the one used last",
+TEST_CASE("the adapter with the lowest request rate is evicted even if it was "
+          "used most recently",
           "[routing_policy]")
 {
     auto const policy = configured("mulberry", a_declaration());
@@ -269,16 +276,17 @@
     add_resident(worker, 2);
     worker.residents[0].last_used = time_point(40s);
     worker.residents[1].last_used = time_point(49s);
-    CHECK(policy->victim(worker, adapter_numbered(4), worker.residents,
-                         time_point(50s)) == adapter_numbered(2));
+    CHECK(policy->choose_victim(worker, adapter_numbered(4), worker.residents,
+                                time_point(50s)) == adapter_numbered(2));
 }
 
-TEST_CASE("what was popular before a shift gives way soon after it",
+TEST_CASE("an adapter that lost its popularity is evicted soon after the shift",
           "[routing_policy]")
 {
-    // One adapter is asked for every second and then no more; another, never
-    // asked for before, then every fifth second. Judged by the long run alone
-    // the first would keep its slot for minutes.
+    // One adapter is requested every second and then no more; from then on
+    // another adapter, not requested before, is requested every fifth second.
+    // By the long-term rate alone, the first adapter would keep its slot for
+    // minutes.
     auto const policy = configured("mulberry", a_declaration());
     for (int i = 0; i < 300; ++i)
         policy->observe(a_request(0), time_point(std::chrono::seconds(i)));
@@ -287,11 +295,12 @@
     worker_view worker = a_worker(0);
     add_resident(worker, 0);
     add_resident(worker, 2);
-    CHECK(policy->victim(worker, adapter_numbered(4), worker.residents,
-                         time_point(360s)) == adapter_numbered(0));
+    CHECK(policy->choose_victim(worker, adapter_numbered(4), worker.residents,
+                                time_point(360s)) == adapter_numbered(0));
 }
 
-TEST_CASE("what is declared ready is loaded ahead and kept", "[routing_policy]")
+TEST_CASE("adapters declared ready are preloaded and evicted last",
+          "[routing_policy]")
 {
     declaration configuration = a_declaration();
     ready_declaration ready;
@@ -310,7 +319,7 @@
     for (std::string_view const name : policy_names())
     {
         auto const policy = configured(name, configuration);
-        CHECK(policy->ahead(worker, view, time_point(1s)) ==
+        CHECK(policy->adapters_to_preload(worker, view, time_point(1s)) ==
               std::vector{adapter_numbered(0)});
     }
 
@@ -319,15 +328,15 @@
         policy->observe(a_request(2), time_point(std::chrono::seconds(i)));
     add_resident(worker, 0);
     add_resident(worker, 2);
-    CHECK(policy->victim(worker, adapter_numbered(4), worker.residents,
-                         time_point(50s)) == adapter_numbered(2));
-    // Slots force it when nothing else may go.
+    CHECK(policy->choose_victim(worker, adapter_numbered(4), worker.residents,
+                                time_point(50s)) == adapter_numbered(2));
+    // The declared adapter is evicted if there is no other candidate.
     std::vector const only{worker.residents.front()};
-    CHECK(policy->victim(worker, adapter_numbered(4), only, time_point(50s)) ==
-          adapter_numbered(0));
+    CHECK(policy->choose_victim(worker, adapter_numbered(4), only,
+                                time_point(50s)) == adapter_numbered(0));
 }
 
-TEST_CASE("nothing is loaded ahead in place of what is wanted more",
+TEST_CASE("no adapter is preloaded in place of adapters with more demand",
           "[routing_policy]")
 {
     auto const policy = configured("mulberry", a_declaration());
@@ -340,7 +349,7 @@
             policy->observe(a_request(0), now);
     }
     cluster_view view;
-    for (int i = 0; i < workers; i += 2)
+    for (int i = 0; i < worker_count; i += 2)
     {
         worker_view worker = a_worker(i);
         for (int adapter = 2; adapter < 10; adapter += 2)
@@ -348,30 +357,33 @@
         view.put(worker);
     }
     for (worker_view const* worker : view.all())
-        CHECK(policy->ahead(*worker, view, time_point(100s)).empty());
+        CHECK(policy->adapters_to_preload(*worker, view, time_point(100s))
+                  .empty());
 }
 
-TEST_CASE("a holder with batch room is used and a second copy is not loaded",
+TEST_CASE("a holder with a free batch slot is selected instead of loading a "
+          "second copy",
           "[routing_policy]")
 {
     auto const policy = configured("mulberry", a_declaration(1.0));
     cluster_view view;
-    for (int i = 0; i < workers; i += 2)
+    for (int i = 0; i < worker_count; i += 2)
         view.put(a_worker(i));
     worker_view holder = a_worker(4);
     holder.running = 7;
     add_resident(holder, 0, 7);
     view.put(holder);
-    CHECK(policy->choose(a_request(0), view, {}, time_point(1s)) == holder.id);
+    CHECK(policy->choose_worker(a_request(0), view, {}, time_point(1s)) ==
+          holder.id);
 }
 
-TEST_CASE("a saturated holder is left for a load elsewhere once waiting there "
-          "costs more",
+TEST_CASE("a saturated holder is not selected once its queueing delay costs "
+          "more than a load elsewhere",
           "[routing_policy]")
 {
     auto const policy = configured("mulberry", a_declaration(0.8));
     cluster_view view;
-    for (int i = 0; i < workers; i += 2)
+    for (int i = 0; i < worker_count; i += 2)
         view.put(a_worker(i));
     worker_view holder = a_worker(4);
     holder.running = 8;
@@ -379,21 +391,23 @@
     add_resident(holder, 0, 8);
     holder.residents.front().queued = 30;
     view.put(holder);
-    auto const chosen = policy->choose(a_request(0), view, {}, time_point(1s));
+    auto const chosen =
+        policy->choose_worker(a_request(0), view, {}, time_point(1s));
     REQUIRE(chosen);
     CHECK(*chosen != holder.id);
 }
 
-TEST_CASE("the stall weight decides between opening an idle holder and a load "
-          "on a busy worker",
+TEST_CASE("the stall weight decides between an idle holder and a load on a "
+          "busy worker",
           "[routing_policy]")
 {
-    // Six requests run on the worker that is filled first. An adapter is
-    // loaded only on an idle worker that is filled last. The Trust would open
-    // that one and not let the request stall; Chia Đều would keep it closed.
+    // Six requests run on the first worker in the fill order. The requested
+    // adapter is loaded only on an idle worker, the last in the fill order. A
+    // high stall weight selects the idle worker to avoid a cold start; a low
+    // stall weight keeps that worker unused.
     declaration const configuration = a_declaration();
     std::vector<std::pair<std::uint64_t, int>> order;
-    for (int i = 0; i < workers; i += 2)
+    for (int i = 0; i < worker_count; i += 2)
         order.emplace_back(stable_hash(worker_numbered(i).str()), i);
     std::sort(order.begin(), order.end());
     cluster_view view;
@@ -412,15 +426,15 @@
         auto const policy = configured("mulberry", a_declaration(stall_weight));
         std::optional<worker_id> last;
         for (int i = 1; i < 100; ++i)
-            last = policy->choose(a_request(0), view, {},
-                                  time_point(std::chrono::seconds(i)));
+            last = policy->choose_worker(a_request(0), view, {},
+                                         time_point(std::chrono::seconds(i)));
         return last;
     };
     CHECK(chosen(0.95) == idle.id);
     CHECK(chosen(0.1) == busy.id);
 }
 
-TEST_CASE("a worker with the prompt's prefix cached is preferred",
+TEST_CASE("a worker that has cached the prompt's prefix is preferred",
           "[routing_policy]")
 {
     auto const policy = configured("mulberry", a_declaration(1.0));
@@ -436,17 +450,17 @@
     }
     model_request request = a_request(0);
     request.prefix_key = 77;
-    CHECK(policy->choose(request, view, {}, time_point(1s)) ==
+    CHECK(policy->choose_worker(request, view, {}, time_point(1s)) ==
           worker_numbered(2));
 }
 
-TEST_CASE("a worker that can take nothing in is left for one that can",
+TEST_CASE("a worker that cannot load another adapter is not selected",
           "[routing_policy]")
 {
-    // A VM was frozen past its lease. Its worker's new owner treats all that is
-    // loaded there as pinned, for as long as the frozen VM may wake up; the
-    // worker is also the one that requests are packed on. Sent there, a
-    // request for another adapter would wait out its deadline while other
+    // A VM is frozen until its lease expires. The new owner of its workers
+    // treats their loaded adapters as pinned while the frozen VM may wake up,
+    // and requests are packed on one of these workers first. A request for
+    // another adapter sent there would wait until its deadline although other
     // workers have free slots.
     for (double const stall_weight : {0.0, 0.5, 1.0})
     {
@@ -463,8 +477,8 @@
                 add_resident(worker, 4, 1);
                 worker.running = 2;
                 for (resident_view& resident : worker.residents)
-                    resident.suspected = number != 4;
-                worker.evicts = number != 4;
+                    resident.pinned_by_previous_owner = number != 4;
+                worker.can_evict = number != 4;
             }
             else
             {
@@ -476,10 +490,11 @@
             view.put(worker);
         }
         time_point const now{1h};
-        auto const chosen = policy->choose(a_request(0), view, {}, now);
+        auto const chosen = policy->choose_worker(a_request(0), view, {}, now);
         REQUIRE(chosen);
         CHECK(*chosen == worker_numbered(6));
-        auto const resident = policy->choose(a_request(2), view, {}, now);
+        auto const resident =
+            policy->choose_worker(a_request(2), view, {}, now);
         REQUIRE(resident);
         CHECK(*resident != worker_numbered(6));
     }
--- a/tests/scheduler_world.hpp
+++ b/tests/scheduler_world.hpp
@@ -1,4 +1,4 @@
-/// A service scheduler with workers that answer its orders, in virtual time.
+/// Test harness: a service scheduler with simulated workers in virtual time.
 #ifndef MULBERRY_TESTS_SCHEDULER_WORLD_HPP
 #define MULBERRY_TESTS_SCHEDULER_WORLD_HPP
 
@@ -13,20 +13,20 @@
 namespace mulberry::test
 {
 
-/// An engine's worker as orders see it. A load is done when its time is over
-/// and the load is asked about again.
+/// Simulated worker that executes orders. A load is completed by the first
+/// order after its load time is over.
 class scripted_worker
 {
 public:
-    order_outcome take(worker_order const& order, time_point now);
+    order_outcome handle_order(worker_order const& order, time_point now);
     void lose_answers(bool lost) { loses_answers_ = lost; }
     worker_report report() const;
-    std::size_t held() const { return resident_.size() + coming_.size(); }
-    std::size_t most_held() const { return most_held_; }
+    std::size_t held() const { return resident_.size() + loading_.size(); }
+    std::size_t max_held() const { return max_held_; }
     std::uint64_t sequence() const { return sequence_; }
-    /// A request that the scheduler does not know of uses the adapter: an
-    /// unload waits for its end.
-    void use(std::string const& adapter) { used_.insert(adapter); }
+    /// Simulates a request unknown to the scheduler that uses the adapter; an
+    /// unload waits for the end of that request.
+    void mark_in_use(std::string const& adapter) { used_.insert(adapter); }
     bool holds(std::string const& adapter) const
     {
         return resident_.count(adapter) > 0;
@@ -48,12 +48,12 @@
 
     std::uint64_t sequence_ = 0;
     std::set<std::string> resident_;
-    std::map<std::string, time_point> coming_;
+    std::map<std::string, time_point> loading_;
     std::set<std::string> used_;
-    std::map<std::string, time_point> leaving_;
+    std::map<std::string, time_point> unloading_;
     std::map<std::string, std::size_t> loads_;
     std::map<std::string, adapter_version> ordered_;
-    std::size_t most_held_ = 0;
+    std::size_t max_held_ = 0;
     bool loses_answers_ = false;
 };
 
@@ -64,14 +64,16 @@
     explicit scheduler_world(std::size_t workers, std::size_t adapter_slots = 4,
                              std::size_t batch_slots = 8);
 
-    /// A request for an adapter; empty: for the model itself.
-    ticket_id ask(std::string const& adapter, int priority = 0,
-                  duration time_left = std::chrono::seconds(5),
-                  std::uint32_t prompt_tokens = 0);
-    /// Another VM's request for room at a worker.
-    ticket_id ask_for_peer(std::string const& adapter, std::size_t worker,
-                           std::set<worker_id> excluded = {});
-    /// A request as it is; target, ticket and times are filled in.
+    /// Submits a request for an adapter, or for the model if `adapter` is
+    /// empty.
+    ticket_id submit_request(std::string const& adapter, int priority = 0,
+                             duration time_left = std::chrono::seconds(5),
+                             std::uint32_t prompt_tokens = 0);
+    /// Submits another VM's request for a grant at a worker.
+    ticket_id submit_peer_request(std::string const& adapter,
+                                  std::size_t worker,
+                                  std::set<worker_id> excluded = {});
+    /// Submits `item` after setting its target, ticket and times.
     ticket_id submit(work_item item, std::string const& adapter,
                      duration time_left = std::chrono::seconds(5));
     /// Runs the scheduler and answers orders and reports until `span` is over.
@@ -94,7 +96,7 @@
         return granted_.at(ticket).version;
     }
     worker_id worker_of(ticket_id ticket) const { return placed_.at(ticket); }
-    refuse_request const& refusal(ticket_id ticket) const
+    reject_request const& refusal(ticket_id ticket) const
     {
         return refused_.at(ticket);
     }
@@ -102,8 +104,11 @@
     {
         return versions_.at(ticket);
     }
-    std::vector<ticket_id> const& order_of_placing() const { return order_; }
-    std::vector<ask_owner> const& asks() const { return asks_; }
+    std::vector<ticket_id> const& placement_order() const { return order_; }
+    std::vector<request_owner_grant> const& grant_requests() const
+    {
+        return grant_requests_;
+    }
     backend_entry prefix_source(ticket_id ticket) const
     {
         return sources_.at(ticket).value_or(backend_entry());
@@ -116,24 +121,23 @@
     void own_all();
 
     time_point now{std::chrono::hours(1)};
-    /// Whether a request that is placed begins its answer in the same moment.
+    /// Whether a placed request starts its answer at once.
     bool begins_at_once = true;
-    /// Whether workers answer questions for their reports.
+    /// Whether workers answer report requests.
     bool reports = true;
     service_config config;
     std::map<worker_id, scripted_worker> workers;
     std::set<worker_id> draining;
-    /// When workers started, of those that say it.
-    std::map<worker_id, worker_start> lives;
-    /// The versions of the weights that workers list; the first where none is
-    /// given.
+    /// Start times of the workers that list one.
+    std::map<worker_id, worker_start> start_times;
+    /// Versions of the weights that workers list; 1 if none is given.
     std::map<worker_id, weights_version> weights;
     /// All workers list one address.
     bool same_address = false;
-    /// How old what is known of the registry is.
+    /// Age of the registry data known to the scheduler.
     duration declarations_age{};
     duration workers_age{};
-    std::map<worker_id, order_grant> grants;
+    std::map<worker_id, owned_worker> owned_workers;
     service_scheduler scheduler;
 
 private:
@@ -142,15 +146,15 @@
     std::size_t batch_slots_;
     std::uint64_t last_ticket_ = 0;
     std::map<ticket_id, worker_id> placed_;
-    /// Of other VMs' requests.
+    /// Grants of other VMs' requests.
     std::map<ticket_id, granted_copy> granted_;
     std::map<ticket_id, time_point> times_;
     std::map<ticket_id, adapter_version> versions_;
     std::map<ticket_id, std::optional<backend_entry>> sources_;
-    std::map<ticket_id, refuse_request> refused_;
+    std::map<ticket_id, reject_request> refused_;
     std::set<ticket_id> withdrawn_;
     std::vector<ticket_id> order_;
-    std::vector<ask_owner> asks_;
+    std::vector<request_owner_grant> grant_requests_;
     std::vector<std::pair<time_point, worker_order>> unanswered_;
 };
 
--- a/tests/service_version_test.cpp
+++ b/tests/service_version_test.cpp
@@ -1,5 +1,5 @@
-// Which versions of an adapter requests may begin on while newer ones are
-// declared one after the other.
+// Versions of an adapter that requests may start on while newer ones are
+// declared.
 #include "scheduler_world.hpp"
 
 #include <catch2/catch.hpp>
@@ -13,12 +13,13 @@
 
 model_target const target{base_model_id("base"), adapter_id("a1")};
 
-/// A worker whose copy of the first version is in use, and so is not replaced.
-struct copy_in_use
+/// A single worker whose copy of the first version is in use and therefore not
+/// replaced.
+struct superseded_copy_in_use
 {
-    copy_in_use()
+    superseded_copy_in_use()
     {
-        world.ask("a1", 0, 60s);
+        world.submit_request("a1", 0, 60s);
         world.run(300ms);
     }
 
@@ -29,7 +30,7 @@
 
     bool placed_now()
     {
-        ticket_id const asked = world.ask("a1", 0, 10s);
+        ticket_id const asked = world.submit_request("a1", 0, 10s);
         world.run(5ms);
         return world.placed(asked);
     }
@@ -39,126 +40,127 @@
 
 } // namespace
 
-// A new version is declared while a copy of the old one is in use. Requests go
-// on at the old copy while the new one is loaded elsewhere; once it is there,
-// or the grace is over, none begins on the old one.
-TEST_CASE("a new version is loaded beside the old one without a dip",
+// Guards against an interruption when a new version is declared while a copy of
+// the old one is in use. Requests use the old copy until the new one is loaded
+// elsewhere or the grace period is over.
+TEST_CASE("a new version is loaded while the old copy serves requests",
           "[scheduler]")
 {
     scheduler_world world(2);
     model_target const target{base_model_id("base"), adapter_id("a1")};
-    ticket_id const old = world.ask("a1");
+    ticket_id const old = world.submit_request("a1");
     world.run(300ms);
     worker_id const old_home = world.worker_of(old);
     world.scheduler.on_release(target, adapter_version(2), world.now);
-    ticket_id const during = world.ask("a1");
+    ticket_id const during = world.submit_request("a1");
     world.run(5ms);
     REQUIRE(world.placed(during));
     CHECK(world.worker_of(during) == old_home);
     world.run(300ms);
-    ticket_id const after = world.ask("a1");
+    ticket_id const after = world.submit_request("a1");
     world.run(5ms);
     REQUIRE(world.placed(after));
     CHECK(world.worker_of(after) != old_home);
 }
 
-TEST_CASE("no request begins on an old version after the grace", "[scheduler]")
+TEST_CASE("no request starts on an old version after the grace period",
+          "[scheduler]")
 {
     scheduler_world world(1);
     model_target const target{base_model_id("base"), adapter_id("a1")};
-    ticket_id const old = world.ask("a1", 0, 60s);
+    ticket_id const old = world.submit_request("a1", 0, 60s);
     world.run(300ms);
     world.scheduler.on_release(target, adapter_version(2), world.now);
     world.run(3s);
-    ticket_id const late = world.ask("a1", 0, 10s);
+    ticket_id const late = world.submit_request("a1", 0, 10s);
     world.run(100ms);
     CHECK_FALSE(world.placed(late));
-    // The old copy makes way as soon as nothing uses it.
+    // The old copy is evicted as soon as no request uses it.
     world.end(old);
     world.run(400ms);
     CHECK(world.placed(late));
     CHECK(world.workers.at(scheduler_world::name(0)).loads_of("a1") == 2);
 }
 
-// A version is declared, and the orders that replace the old copy are lost on
-// the way or answered "already there" for a copy that never went. What is
-// believed of the worker is wrong then; the load and the request both name the
-// version, so that the worker does not take the old one for it.
-TEST_CASE("loads and requests name the version that was declared",
-          "[scheduler]")
+// Guards against a wrong assumption about the worker's copy, after orders that
+// were lost or answered "already loaded" for the old copy. The load and the
+// request name the version, so that the worker does not use the old one.
+TEST_CASE("loads and requests name the declared version", "[scheduler]")
 {
     scheduler_world world(1);
     model_target const target{base_model_id("base"), adapter_id("a1")};
-    ticket_id const before = world.ask("a1");
+    ticket_id const before = world.submit_request("a1");
     world.run(300ms);
     CHECK(world.version_of(before) == adapter_version());
     world.end(before);
     world.scheduler.on_release(target, adapter_version(2), world.now);
     world.run(600ms);
-    ticket_id const soon = world.ask("a1");
+    ticket_id const soon = world.submit_request("a1");
     world.run(600ms);
     REQUIRE(world.placed(soon));
     CHECK(world.workers.at(scheduler_world::name(0)).ordered_version("a1") ==
           adapter_version(2));
     world.end(soon);
     world.run(2s);
-    ticket_id const late = world.ask("a1");
+    ticket_id const late = world.submit_request("a1");
     world.run(100ms);
     REQUIRE(world.placed(late));
     CHECK(world.version_of(late) == adapter_version(2));
 }
 
-// A caller of the model itself is told that no worker can serve it, for as long
-// as the workers live. A version of the weights is named; workers load it when
-// they load the model next. Requests name it at once, as if it were an
-// adapter's, and every worker that holds the version before refuses them. In a
-// day with 75 VMs: `tries again ... reason=rejected by the worker status=421`
-// of requests without an adapter: none before the version, 675 in 27 s after
-// it.
-TEST_CASE("a version of the weights does not keep requests from the model",
-          "[scheduler]")
+// Guards against rejecting all requests for the base model after a version of
+// its weights is declared. Workers load the new weights only with their next
+// load of the model; requests that named the version were rejected by every
+// worker with older weights (675 rejections with status 421 in 27 s on 75 VMs,
+// none before the declaration).
+TEST_CASE(
+    "a declared version of the weights does not block requests for the model",
+    "[scheduler]")
 {
     scheduler_world world(1);
-    ticket_id const before = world.ask("");
+    ticket_id const before = world.submit_request("");
     world.run(100ms);
     REQUIRE(world.placed(before));
     world.end(before);
     world.scheduler.on_release({base_model_id("base"), {}}, adapter_version(2),
                                world.now);
     world.run(3s);
-    ticket_id const after = world.ask("");
+    ticket_id const after = world.submit_request("");
     world.run(100ms);
     REQUIRE(world.placed(after));
     CHECK(world.version_of(after) == adapter_version());
 }
 
-// An old copy may be used for two seconds. A worker has seconds of prompts to
-// read when a request comes near the end of them: the request would begin long
-// after, on the old version, and so is not sent there.
-TEST_CASE("an old version is not used by what would begin after the grace",
+// Guards against sending a request to an old copy near the end of the grace
+// period of two seconds at a worker with a prefill backlog of seconds. The
+// request would start on the old version long after the grace period.
+TEST_CASE("a request that would start after the grace period is not sent to an "
+          "old copy",
           "[scheduler]")
 {
     scheduler_world world(1);
     model_target const target{base_model_id("base"), adapter_id("a1")};
-    ticket_id const first = world.ask("a1", 0, 60s);
+    ticket_id const first = world.submit_request("a1", 0, 60s);
     world.run(300ms);
     REQUIRE(world.placed(first));
     world.scheduler.on_release(target, adapter_version(2), world.now);
     world.run(1s);
     world.begins_at_once = false;
-    ticket_id const heavy = world.ask("a1", 0, 60s, 20'000);
+    ticket_id const heavy = world.submit_request("a1", 0, 60s, 20'000);
     world.run(5ms);
     REQUIRE(world.placed(heavy));
-    ticket_id const late = world.ask("a1", 0, 60s);
+    ticket_id const late = world.submit_request("a1", 0, 60s);
     world.run(5ms);
     CHECK_FALSE(world.placed(late));
 }
 
-// Guards against a further version that gives replaced copies another grace.
-TEST_CASE("a copy is not used again when the next version is declared",
-          "[scheduler]")
+// Guards against a further version that restarts the grace period of superseded
+// copies.
+TEST_CASE(
+    "a superseded copy is not used again when the next version is declared",
+    "[scheduler]")
 {
-    copy_in_use old;
+    superseded_copy_in_use old;
     old.declare(2);
     REQUIRE(old.placed_now());
     old.world.run(4s);
@@ -167,11 +169,12 @@
     CHECK_FALSE(old.placed_now());
 }
 
-// Guards against a grace that never ends while versions follow each other.
+// Guards against a grace period that never ends while versions follow each
+// other.
 TEST_CASE("versions in quick succession do not prolong the use of an old one",
           "[scheduler]")
 {
-    copy_in_use old;
+    superseded_copy_in_use old;
     for (std::uint64_t version = 2; version < 8; ++version)
     {
         old.declare(version);
@@ -180,66 +183,66 @@
     CHECK_FALSE(old.placed_now());
 }
 
-// Guards against a request that runs on whatever copy its worker has: what is
-// believed of the worker may be wrong.
+// Guards against a request that runs on any copy that its worker has, when the
+// assumed version of that copy is wrong.
 TEST_CASE(
-    "a request names a version that is in force though a newer one is not",
+    "a request names the current version while a newer one is not loaded yet",
     "[scheduler]")
 {
     scheduler_world world(1);
-    ticket_id const first = world.ask("a1");
+    ticket_id const first = world.submit_request("a1");
     world.run(300ms);
     world.end(first);
     world.scheduler.on_release(target, adapter_version(2), world.now);
     world.run(100ms);
-    ticket_id const second = world.ask("a1", 0, 60s);
+    ticket_id const second = world.submit_request("a1", 0, 60s);
     world.run(3s);
     REQUIRE(world.placed(second));
     world.scheduler.on_release(target, adapter_version(3), world.now);
-    ticket_id const third = world.ask("a1");
+    ticket_id const third = world.submit_request("a1");
     world.run(5ms);
     REQUIRE(world.placed(third));
     CHECK(world.version_of(third) == adapter_version(2));
 }
 
-// Guards against a copy that is wrongly believed to be the newest.
-TEST_CASE("a request to the newest copy names it from the first moment",
+// Guards against a copy that is wrongly assumed to be the newest.
+TEST_CASE("a request to the newest copy names its version at once",
           "[scheduler]")
 {
     scheduler_world world(1);
     world.scheduler.on_release(target, adapter_version(2), world.now);
-    ticket_id const asked = world.ask("a1");
+    ticket_id const asked = world.submit_request("a1");
     world.run(300ms);
     REQUIRE(world.placed(asked));
     CHECK(world.version_of(asked) == adapter_version(2));
 }
 
-TEST_CASE("a grant tells the version of the copy", "[scheduler]")
+TEST_CASE("a grant states the version of the copy", "[scheduler]")
 {
     scheduler_world world(1);
     world.scheduler.on_release(target, adapter_version(2), world.now);
-    ticket_id const asked = world.ask_for_peer("a1", 0);
+    ticket_id const asked = world.submit_peer_request("a1", 0);
     world.run(300ms);
     REQUIRE(world.granted(asked));
     CHECK(world.granted_version(asked) == adapter_version(2));
 }
 
-// Guards against a grant by a VM that hears of versions later than this one.
-TEST_CASE("a grant for a copy that was replaced is not used", "[scheduler]")
+// Guards against a grant by a VM that learns of versions later than this one.
+TEST_CASE("a grant for a superseded copy is not used", "[scheduler]")
 {
     scheduler_world world(1);
-    world.grants.clear();
-    world.scheduler.set_grants({});
+    world.owned_workers.clear();
+    world.scheduler.set_owned_workers({});
     world.scheduler.set_owners({{scheduler_world::name(0), vm_id("vm-2")}});
     world.scheduler.on_release(target, adapter_version(2), world.now);
     world.scheduler.on_release(target, adapter_version(3), world.now + 1s);
     world.run(2500ms);
     auto const used = [&world](std::uint64_t version)
     {
-        ticket_id const asked = world.ask("a1");
+        ticket_id const asked = world.submit_request("a1");
         world.run(5ms);
-        return world.scheduler.on_owner(
-            asked, ask_outcome::granted,
+        return world.scheduler.on_grant_answer(
+            asked, grant_outcome::granted,
             {scheduler_world::name(0), adapter_version(version)}, world.now);
     };
     CHECK_FALSE(used(1));
@@ -247,8 +250,8 @@
     CHECK(used(3));
 }
 
-// Guards against memory of a newer version's that an older one goes on from.
-TEST_CASE("a granted older copy does not read a newer one's prompt",
+// Guards against using a prompt cache of a newer version for an older version.
+TEST_CASE("a granted older copy does not use a newer version's prompt cache",
           "[scheduler]")
 {
     for (std::uint64_t key = 1; key < 9; ++key)
@@ -256,8 +259,8 @@
         scheduler_world world(2);
         worker_id const theirs = scheduler_world::name(0);
         worker_id const ours = scheduler_world::name(1);
-        world.grants.erase(theirs);
-        world.scheduler.set_grants(world.grants);
+        world.owned_workers.erase(theirs);
+        world.scheduler.set_owned_workers(world.owned_workers);
         world.scheduler.set_owners({{theirs, vm_id("vm-2")}});
         world.scheduler.on_release(target, adapter_version(2), world.now);
         world.run(3s);
@@ -273,19 +276,19 @@
         at_theirs.excluded = {ours};
         ticket_id const older = world.submit(at_theirs, "a1");
         world.run(5ms);
-        REQUIRE(world.scheduler.on_owner(older, ask_outcome::granted,
-                                         {theirs, adapter_version(2)},
-                                         world.now));
+        REQUIRE(world.scheduler.on_grant_answer(older, grant_outcome::granted,
+                                                {theirs, adapter_version(2)},
+                                                world.now));
         world.run(0ms);
         REQUIRE(world.version_of(older) == adapter_version(2));
         CHECK(world.prefix_source(older).id.empty());
     }
 }
 
-/// A stream that was sent to the first version and has not begun.
-struct unbegun_stream
+/// A stream that was sent to the first version and has not started.
+struct unstarted_stream
 {
-    explicit unbegun_stream(bool streams = true)
+    explicit unstarted_stream(bool streams = true)
     {
         old.world.begins_at_once = false;
         work_item item;
@@ -294,15 +297,16 @@
         old.world.run(5ms);
         REQUIRE(old.world.placed(ticket));
     }
-    copy_in_use old;
+    superseded_copy_in_use old;
     ticket_id ticket;
 };
 
-// Guards against a request that begins long after it was sent.
-TEST_CASE("a stream that has not begun is withdrawn from a replaced version",
-          "[scheduler]")
+// Guards against a request that starts long after it was sent.
+TEST_CASE(
+    "a stream that has not started is withdrawn from a superseded version",
+    "[scheduler]")
 {
-    unbegun_stream late;
+    unstarted_stream late;
     scheduler_world& world = late.old.world;
     late.old.declare(2);
     world.run(7s);
@@ -312,11 +316,11 @@
     CHECK(world.withdrawn(late.ticket));
 }
 
-// Guards against a deadline that moves on with each further version.
-TEST_CASE("a further version gives a stream no more time to begin",
+// Guards against a deadline that each further version extends.
+TEST_CASE("a further version gives a stream no more time to start",
           "[scheduler]")
 {
-    unbegun_stream late;
+    unstarted_stream late;
     late.old.declare(2);
     late.old.world.run(4s);
     late.old.declare(3);
@@ -324,10 +328,10 @@
     CHECK(late.old.world.withdrawn(late.ticket));
 }
 
-TEST_CASE("only what has not begun is withdrawn", "[scheduler]")
+TEST_CASE("only streams that have not started are withdrawn", "[scheduler]")
 {
     bool const streams = GENERATE(true, false);
-    unbegun_stream late(streams);
+    unstarted_stream late(streams);
     scheduler_world& world = late.old.world;
     if (streams)
         world.scheduler.first_byte(late.ticket, world.now);
--- a/tests/virtual_world.hpp
+++ b/tests/simulation_context.hpp
@@ -1,6 +1,6 @@
-/// Virtual time and chance, shared by the fakes of a schedule.
-#ifndef MULBERRY_VIRTUAL_WORLD_HPP
-#define MULBERRY_VIRTUAL_WORLD_HPP
+/// Virtual time and random choices, shared by the fakes of a schedule.
+#ifndef MULBERRY_SIMULATION_CONTEXT_HPP
+#define MULBERRY_SIMULATION_CONTEXT_HPP
 
 #include "dispatch_schedule.hpp"
 
@@ -17,32 +17,32 @@
 using namespace mulberry;
 using namespace std::chrono_literals;
 
-/// Of a hundred chances of a fault that is enabled, those at which it strikes.
+/// Probability in percent that an enabled fault occurs at each opportunity.
 inline constexpr int fault_percent = 6;
-/// No fault strikes after this time.
+/// No fault occurs after this time.
 inline constexpr duration fault_time = 4s;
 
-/// Virtual time, the order of events, and all that is drawn by lot.
-class virtual_world
+/// Virtual clock, event queue and random source of one simulated schedule.
+class simulation_context
 {
 public:
-    explicit virtual_world(schedule_options const& options)
+    explicit simulation_context(schedule_options const& options)
         : options_(options), random_(options.seed)
     {
     }
 
     time_point now() const { return now_; }
     std::size_t below(std::size_t bound) { return random_() % bound; }
-    duration between(duration least, duration most)
+    duration between(duration min, duration max)
     {
-        auto const span = static_cast<std::size_t>((most - least).count());
-        return least + duration(below(span + 1));
+        auto const span = static_cast<std::size_t>((max - min).count());
+        return min + duration(below(span + 1));
     }
-    /// Whether a fault strikes here.
-    bool strikes(fault which)
+    /// Decides at random whether an enabled fault occurs now.
+    bool fault_occurs(fault which)
     {
-        bool const hit = below(100) < fault_percent;
-        return hit && (options_.faults & which) != 0 &&
+        bool const occurs = below(100) < fault_percent;
+        return occurs && (options_.faults & which) != 0 &&
                now_ < time_point(fault_time);
     }
     bool enabled(fault which) const { return (options_.faults & which) != 0; }
@@ -52,7 +52,7 @@
         events_.emplace(std::make_pair(now_ + delay, ++last_),
                         std::move(event));
     }
-    /// Does the next event; false when `until` comes first.
+    /// Runs the next event; returns false if none is due by `until`.
     bool step(time_point until)
     {
         if (events_.empty() || events_.begin()->first.first > until)
--- a/tests/virtual_engine.hpp
+++ b/tests/virtual_engine.hpp
@@ -1,10 +1,10 @@
-/// A model engine in virtual time, with what goes wrong at engines and on the
-/// way to them.
+/// A fake model engine in virtual time, with injected faults of the engine and
+/// of the connections to it.
 #ifndef MULBERRY_VIRTUAL_ENGINE_HPP
 #define MULBERRY_VIRTUAL_ENGINE_HPP
 
 #include "history.hpp"
-#include "virtual_world.hpp"
+#include "simulation_context.hpp"
 
 #include "action.hpp"
 #include "attempt_event.hpp"
@@ -31,7 +31,7 @@
     limits.order_timeout = 300ms;
     limits.settle_time = 400ms;
     limits.load_backoff = 100ms;
-    limits.fair_wait = 200ms;
+    limits.starvation_timeout = 200ms;
     return limits;
 }
 
@@ -50,16 +50,17 @@
     return {adapter_id("a" + std::to_string(number)), adapter_version(1)};
 }
 
-/// The end of a connection at an owner: false once that owner dropped it.
+/// The owner's end of a connection to the engine.
 struct connection
 {
     std::function<void(answer_piece const&)> event;
     std::function<void()> end;
     std::function<void(failure_stage, int)> failure;
+    /// False once the owner has closed the connection.
     bool open = true;
     bool silent = false;
     bool begun = false;
-    /// Bytes of one connection arrive in order.
+    /// Keeps the bytes of one connection in order.
     time_point last_arrival{};
 };
 using connection_ptr = std::shared_ptr<connection>;
@@ -69,7 +70,7 @@
 class fake_engine
 {
 public:
-    fake_engine(virtual_world& world, history& seen, bool checks_fence)
+    fake_engine(simulation_context& world, history& seen, bool checks_fence)
         : world_(&world), history_(&seen), checks_fence_(checks_fence)
     {
     }
@@ -78,7 +79,7 @@
     {
         if (!fence_holds(call.fence))
             return fail(to, failure_stage::refused, 412);
-        if (world_->strikes(busy_engine))
+        if (world_->fault_occurs(busy_engine))
             return fail(to, failure_stage::refused, 503);
         if (!loaded_.contains(call.name))
             return fail(to, failure_stage::refused, 404);
@@ -97,7 +98,7 @@
     void resume(start_attempt const& call, connection_ptr const& to)
     {
         auto const found = runs_.find(call.request.id);
-        if (found == runs_.end() || world_->strikes(forgotten_stream))
+        if (found == runs_.end() || world_->fault_occurs(forgotten_stream))
             return fail(to, failure_stage::refused, 404);
         run& item = *found->second;
         item.to = to;
@@ -127,14 +128,14 @@
         if (loaded_.size() + loading_ >= test_worker().adapter_slots)
             return answer(outcome::refused, 409, "no_free_slot");
         ++loading_;
-        bool const unknown = world_->strikes(unknown_load);
-        bool const fails = world_->strikes(failed_load);
-        duration const takes = unknown ? world_->between(100ms, 600ms)
-                                       : world_->between(10ms, 100ms);
+        bool const unknown = world_->fault_occurs(unknown_load);
+        bool const fails = world_->fault_occurs(failed_load);
+        duration const load_time = unknown ? world_->between(100ms, 600ms)
+                                           : world_->between(10ms, 100ms);
         if (unknown)
             world_->after(test_limits().order_timeout,
                           [=] { answer(outcome::unknown, 0, ""); });
-        world_->after(takes,
+        world_->after(load_time,
                       [=, this, boot = boot_]
                       {
                           if (boot != boot_)
@@ -157,7 +158,7 @@
         using outcome = order_result::outcome;
         if (!fence_holds(fence))
             return answer(outcome::refused, 412, "old_fencing_number");
-        if (world_->strikes(unknown_unload))
+        if (world_->fault_occurs(unknown_unload))
         {
             duration const timeout = test_limits().order_timeout;
             world_->after(timeout, [=] { answer(outcome::unknown, 0, ""); });
@@ -165,11 +166,12 @@
                 world_->after(
                     world_->between(0ms,
                                     timeout + test_limits().settle_time - 50ms),
-                    [=, this] { take_out(name); });
+                    [=, this] { remove_adapter(name); });
             return;
         }
-        bool const there = take_out(name);
-        answer(there ? outcome::done : outcome::refused, there ? 200 : 404, "");
+        bool const was_loaded = remove_adapter(name);
+        answer(was_loaded ? outcome::done : outcome::refused,
+               was_loaded ? 200 : 404, "");
     }
 
     void restart()
@@ -178,7 +180,7 @@
         loading_ = 0;
         loaded_.clear();
         for (run_ptr const& each : std::exchange(active_, {}))
-            lose(each);
+            fail_stream(each);
         runs_.clear();
     }
 
@@ -279,25 +281,25 @@
         connection_ptr const to = item.to;
         bool const last = offset + 1 == item.total;
         answer_piece piece{item.request, item.name, offset, item.number, last};
-        to->silent |= world_->strikes(silent_stream);
-        if (world_->strikes(cut_stream))
+        to->silent |= world_->fault_occurs(silent_stream);
+        if (world_->fault_occurs(cut_stream))
             return fail(
                 to, to->begun ? failure_stage::answering : failure_stage::sent,
                 0);
-        if (world_->strikes(skipped_event))
+        if (world_->fault_occurs(skipped_event))
             return;
-        if (world_->strikes(wrong_adapter_echo))
+        if (world_->fault_occurs(wrong_adapter_echo))
             piece.name = engine_name("other@1#1");
-        if (world_->strikes(crossed_event) && !active_.empty())
-            cross(item, offset);
+        if (world_->fault_occurs(crossed_event) && !active_.empty())
+            emit_crossed_event(item, offset);
         to->begun = true;
         send(to, [to, piece] { to->event(piece); });
-        if (world_->strikes(repeated_event))
+        if (world_->fault_occurs(repeated_event))
             send(to, [to, piece] { to->event(piece); });
     }
 
-    /// An event of another request arrives on the connection.
-    void cross(run const& item, std::uint64_t offset)
+    /// Sends an event of another request on this request's connection.
+    void emit_crossed_event(run const& item, std::uint64_t offset)
     {
         run const& other = *active_[world_->below(active_.size())];
         if (other.request == item.request)
@@ -319,7 +321,7 @@
         start_waiting();
     }
 
-    void lose(run_ptr const& item)
+    void fail_stream(run_ptr const& item)
     {
         item->stopped = true;
         fail(item->to,
@@ -327,24 +329,24 @@
              0);
     }
 
-    bool take_out(engine_name const& name)
+    bool remove_adapter(engine_name const& name)
     {
         if (loaded_.erase(name) == 0)
             return false;
-        std::vector<run_ptr> under;
+        std::vector<run_ptr> affected;
         for (run_ptr const& each : active_)
             if (each->name == name)
-                under.push_back(each);
-        history_->unloaded(name, under.size());
-        for (run_ptr const& each : under)
+                affected.push_back(each);
+        history_->unloaded(name, affected.size());
+        for (run_ptr const& each : affected)
         {
             stop(each);
-            lose(each);
+            fail_stream(each);
         }
         return true;
     }
 
-    virtual_world* world_;
+    simulation_context* world_;
     history* history_;
     bool checks_fence_;
     fencing_number highest_fence_;
@@ -353,7 +355,7 @@
     std::uint64_t last_run_ = 0;
     std::set<engine_name> loaded_;
     std::vector<run_ptr> active_;
-    /// The newest run of each request, also when it is over.
+    /// The latest run of each request, including ended ones.
     std::map<request_id, run_ptr> runs_;
 };
 
--- a/tests/worker_adapters_test.cpp
+++ b/tests/worker_adapters_test.cpp
@@ -20,15 +20,15 @@
     return {model, adapter_id(adapter)};
 }
 
-/// One worker that accepts every order; its loads are done when the test says.
-struct ordered_worker
+/// A worker that accepts every order; a load completes when the test says so.
+struct test_worker
 {
     worker_adapters adapters;
     time_point now{std::chrono::hours(1)};
 
-    ordered_worker() : adapters(settings())
+    test_worker() : adapters(settings())
     {
-        adapters.grant(vm_id("vm"), fencing_number(1), now);
+        adapters.on_ownership_acquired(vm_id("vm"), fencing_number(1), now);
         worker_report report;
         report.models[model] = {};
         adapters.on_report(report, now);
@@ -41,9 +41,9 @@
         return settings;
     }
 
-    void want(std::string const& adapter, int waiting = 1)
+    void request_load(std::string const& adapter, int waiting = 1)
     {
-        adapters.want(target(adapter), {}, now);
+        adapters.request_load(target(adapter), {}, now);
         for (int number = 0; number < waiting; ++number)
             adapters.begin_wait(target(adapter));
     }
@@ -54,7 +54,7 @@
             worker, [](model_target const&) { return 0.0; }, now);
     }
 
-    /// The loads that are ordered now, in their order.
+    /// Issues all loads that are due and returns their adapters in order.
     std::vector<std::string> order_loads()
     {
         std::vector<std::string> ordered;
@@ -66,34 +66,34 @@
         return ordered;
     }
 
-    /// Every load on its way is done; nothing else is ordered.
-    void finish_loads(std::size_t coming)
+    /// Completes every load in progress; no other order is issued.
+    void finish_loads(std::size_t count)
     {
-        for (std::size_t number = 0; number < coming; ++number)
+        for (std::size_t number = 0; number < count; ++number)
         {
             auto const order = next();
             REQUIRE(order);
             CHECK(adapters.stage({order->model, order->adapter}) ==
                   adapter_stage::loading);
-            adapters.on_outcome(order_outcome::holds, now);
+            adapters.on_outcome(order_outcome::already_applied, now);
         }
     }
 
-    /// Has four more adapters fetched, each of which takes that long; how many
-    /// were on their way at a time at the first.
-    std::size_t fetch_four(duration takes)
+    /// Requests four more adapters, each of which takes `takes` to load.
+    /// Returns the maximum number of concurrent loads.
+    std::size_t load_four(duration takes)
     {
         for (int number = 0; number < 4; ++number)
-            want("f" + std::to_string(last_++));
-        std::size_t at_a_time = 0;
+            request_load("f" + std::to_string(last_++));
+        std::size_t max_concurrent = 0;
         while (true)
         {
-            auto const coming = order_loads();
-            if (coming.empty())
-                return at_a_time;
-            at_a_time = std::max(at_a_time, coming.size());
+            auto const loads = order_loads();
+            if (loads.empty())
+                return max_concurrent;
+            max_concurrent = std::max(max_concurrent, loads.size());
             now += takes;
-            finish_loads(coming.size());
+            finish_loads(loads.size());
         }
     }
 
@@ -103,59 +103,60 @@
 
 } // namespace
 
-// The start of all workers at once: each fetches as many adapters as it may,
-// and the weight store sends all of them slowly. A worker whose fetches take
-// four times as long has one on its way at a time, and four again when they
-// are as fast as usual.
-TEST_CASE("the slower fetches are the fewer are on their way",
+// Guards against slow fetches when all workers start at once: each fetches as
+// many adapters as it may, and the weight store sends all of them slowly. A
+// worker whose fetches take four times as long loads one adapter at a time, and
+// four again when fetches are as fast as usual.
+TEST_CASE("slower fetches reduce the number of concurrent loads",
           "[worker_adapters]")
 {
-    ordered_worker worker;
-    CHECK(worker.fetch_four(250ms) == 4);
-    worker.fetch_four(1000ms);
-    worker.fetch_four(1000ms);
-    CHECK(worker.fetch_four(1000ms) == 1);
+    test_worker worker;
+    CHECK(worker.load_four(250ms) == 4);
+    worker.load_four(1000ms);
+    worker.load_four(1000ms);
+    CHECK(worker.load_four(1000ms) == 1);
     for (int round = 0; round < 4; ++round)
-        worker.fetch_four(250ms);
-    CHECK(worker.fetch_four(250ms) == 4);
+        worker.load_four(250ms);
+    CHECK(worker.load_four(250ms) == 4);
 }
 
-// A hot adapter and rare ones are wanted at the same moment. Twenty requests
-// wait for the hot one, so it comes first; a rare one that has waited for long
-// comes before it.
-TEST_CASE("what more requests wait for is fetched first", "[worker_adapters]")
+// Guards against loads in plain order of arrival: a hot adapter with twenty
+// waiting requests comes before rare adapters that are requested at the same
+// moment, but not before one that has waited for long.
+TEST_CASE("an adapter with more waiting requests is loaded first",
+          "[worker_adapters]")
 {
-    ordered_worker worker;
+    test_worker worker;
     for (char const* rare : {"a1", "a2", "a3", "a4", "a5"})
-        worker.want(rare);
+        worker.request_load(rare);
     worker.now += 10ms;
-    worker.want("hot", 20);
+    worker.request_load("hot", 20);
     auto const ordered = worker.order_loads();
     REQUIRE(ordered.size() == 4);
     CHECK(ordered.front() == "hot");
     CHECK(ordered[1] == "a1");
 }
 
-TEST_CASE("what has waited for long is fetched before what many want",
+TEST_CASE("an adapter that has waited for long is loaded before a hot one",
           "[worker_adapters]")
 {
-    ordered_worker worker;
-    worker.want("rare");
+    test_worker worker;
+    worker.request_load("rare");
     worker.now += 3s;
-    worker.want("hot", 20);
+    worker.request_load("hot", 20);
     CHECK(worker.order_loads().front() == "rare");
 }
 
-// The order before last is on its way when a load conflicts twice. The report
-// that is read then shows the worker before that order; it is not believed, and
-// what is on its way is not ordered again.
-TEST_CASE("a report from before the last orders is not believed",
+// Guards against repeated orders: a load conflicts twice while an earlier order
+// is in progress, and the report that is read then shows the worker before that
+// order. The report is rejected, and the load in progress is not ordered again.
+TEST_CASE("a report that predates the last orders is rejected",
           "[worker_adapters]")
 {
-    ordered_worker worker;
-    worker.want("a1");
+    test_worker worker;
+    worker.request_load("a1");
     REQUIRE(worker.order_loads().size() == 1);
-    worker.want("a2");
+    worker.request_load("a2");
     for (int time = 0; time < 2; ++time)
     {
         REQUIRE(worker.next());
@@ -166,13 +167,13 @@
     worker.now += 400ms;
     worker_report report;
     report.models[model] = {};
-    REQUIRE(worker.adapters.wants_report(worker.now));
-    worker.adapters.report_asked();
+    REQUIRE(worker.adapters.needs_report(worker.now));
+    worker.adapters.on_report_requested();
     worker.adapters.on_report(report, worker.now);
     CHECK_FALSE(worker.adapters.synced());
     worker.now += 100ms;
-    REQUIRE(worker.adapters.wants_report(worker.now));
-    SECTION("a later one is")
+    REQUIRE(worker.adapters.needs_report(worker.now));
+    SECTION("a later report is accepted")
     {
         report.sequence = 1;
         report.models[model] = {{adapter_id("a1"), adapter_version(1)}};
@@ -180,7 +181,7 @@
         CHECK(worker.adapters.synced());
         CHECK(worker.adapters.stage(target("a1")) == adapter_stage::resident);
     }
-    SECTION("after a while whatever it says is")
+    SECTION("any report is accepted after a while")
     {
         worker.now += 2s;
         worker.adapters.on_report(report, worker.now);
@@ -188,24 +189,23 @@
     }
 }
 
-// A request that another VM sent without asking uses an adapter that this one
-// takes for idle. Its unload is accepted and waits. The worker would answer any
-// other order with a conflict, so that none goes out before the unload is done;
-// the count of orders stays right.
-TEST_CASE("an unload that waits for a request holds back other orders",
-          "[worker_adapters]")
+// Guards against a wrong sequence: a request that another VM sent without a
+// grant uses an adapter that this VM takes for idle, so that the accepted
+// unload waits. The worker would answer any other order with a conflict;
+// therefore none is sent until the unload is complete.
+TEST_CASE("an unload in progress delays other orders", "[worker_adapters]")
 {
     worker_adapters_settings settings;
     settings.adapter_slots = 2;
     worker_adapters adapters(settings);
     time_point now{std::chrono::hours(1)};
-    adapters.grant(vm_id("vm"), fencing_number(1), now);
+    adapters.on_ownership_acquired(vm_id("vm"), fencing_number(1), now);
     worker_report report;
     report.models[model] = {{adapter_id("a1"), adapter_version(1)},
                             {adapter_id("a2"), adapter_version(1)}};
     adapters.on_report(report, now);
-    adapters.want(target("b1"), {}, now);
-    adapters.want(target("b2"), {}, now);
+    adapters.request_load(target("b1"), {}, now);
+    adapters.request_load(target("b2"), {}, now);
     auto const next = [&]
     {
         return adapters.next_order(
@@ -222,24 +222,24 @@
     CHECK(again->kind == order_kind::unload);
     CHECK(again->adapter == unload->adapter);
     CHECK(again->expected_sequence == unload->expected_sequence + 1);
-    adapters.on_outcome(order_outcome::holds, now);
+    adapters.on_outcome(order_outcome::already_applied, now);
     auto const load = next();
     REQUIRE(load);
     CHECK(load->kind == order_kind::load);
     CHECK(load->expected_sequence == unload->expected_sequence + 1);
 }
 
-// Guards against a question for a version that was declared after the order.
-TEST_CASE("a load on its way is asked about under the version it names",
+// Guards against a poll that names a version declared after the order.
+TEST_CASE("a load in progress is polled with the version it names",
           "[worker_adapters]")
 {
     worker_adapters adapters({});
     time_point now{std::chrono::hours(1)};
-    adapters.grant(vm_id("vm"), fencing_number(1), now);
+    adapters.on_ownership_acquired(vm_id("vm"), fencing_number(1), now);
     worker_report report;
     report.models[model] = {};
     adapters.on_report(report, now);
-    adapters.want(target("a1"), adapter_version(2), now);
+    adapters.request_load(target("a1"), adapter_version(2), now);
     adapters.begin_wait(target("a1"));
     auto const next = [&]
     {
@@ -249,7 +249,7 @@
     auto const load = next();
     REQUIRE(load);
     REQUIRE(load->version == adapter_version(2));
-    adapters.outdate(target("a1"), adapter_version(3));
+    adapters.mark_outdated(target("a1"), adapter_version(3));
     adapters.on_outcome(order_outcome::accepted, now);
     now += 300ms;
     auto const question = next();
